--- /dev/null
+++ b/crates/node/tests/golden/messages.rs
@@ -0,0 +1,229 @@
+//! Each form that each message between the system's own processes can take.
+
+use ashvane_gossip::{
+    Buckets, Digest, HearingTerm, Node, Server, ServerRank, Silence, State, Summary, Update,
+};
+use ashvane_node::links::Message;
+use ashvane_quorum::duty::{DiskReport, Held};
+use ashvane_quorum::{
+    Accepted, Ballot, Member, Membership, Proposal, Refusal, Request, Response, StoredConfig, TextDigest,
+    Value,
+};
+
+use super::{assert_golden, golden};
+
+pub fn gateway() -> Node {
+    Node {
+        name: "gateway-7".to_owned(),
+        life: u64::MAX - 5,
+        age: 2,
+        down: true,
+        address: "10.1.0.7:7080".to_owned(),
+        control: None,
+        zone: "north".to_owned(),
+        front: true,
+        disk: None,
+    }
+}
+
+pub fn control_node() -> Node {
+    Node {
+        name: "control-1".to_owned(),
+        life: 17,
+        age: 1,
+        down: false,
+        address: "10.1.0.1:7080".to_owned(),
+        control: Some("10.1.0.1:8047".to_owned()),
+        zone: "south".to_owned(),
+        front: false,
+        disk: Some("first:10.1.0.1:8047".into()),
+    }
+}
+
+fn term() -> HearingTerm {
+    HearingTerm { epoch: 3, round: 2, holder: "control-1".to_owned() }
+}
+
+pub fn server(state: State, silence: Silence) -> Server {
+    Server {
+        id: "i-1".to_owned(),
+        service: "lookup".to_owned(),
+        address: "10.2.0.9:9001".to_owned(),
+        zone: "north".to_owned(),
+        capacity: 4,
+        state,
+        seq: 19,
+        silence,
+        keeper: "control-1".to_owned(),
+    }
+}
+
+fn membership() -> Membership {
+    let member = |disk: &str, address: &str| Member { disk: disk.into(), address: address.to_owned() };
+    Membership::new(4, vec![member("d-b", "10.1.0.2:7080"), member("d-a", "10.1.0.1:7080")])
+}
+
+fn ballot(round: u64) -> Ballot {
+    Ballot { round, by: format!("d-a/11/{round:x}").into() }
+}
+
+fn config(version: u64) -> StoredConfig {
+    StoredConfig { version, digest: TextDigest::of(b"{}"), text: "q1YqSy0qzszPU7IyqgUA".into() }
+}
+
+fn accepted(next: Option<Membership>) -> Accepted {
+    let value = Value::default().with(&config(5)).with(&config(9));
+    Accepted { ballot: ballot(6), value: value.into(), next }
+}
+
+fn request(request: Request) -> Message {
+    Message::Request { number: 12, request }
+}
+
+fn accept(proposal: Proposal, next: Option<Membership>) -> Message {
+    request(Request::Accept { epoch: 4, ballot: ballot(7), proposal, next })
+}
+
+fn response(refusal: Option<Refusal>) -> Message {
+    let Accepted { ballot: held, value, next } = accepted(Some(membership()));
+    let response = Response {
+        refusal,
+        disk: "d-b".into(),
+        membership: membership(),
+        promised: ballot(8),
+        ballot: held,
+        next: next.filter(|_| refusal.is_none()),
+        value: Some(value).filter(|_| refusal.is_none()),
+    };
+    Message::Response { number: 12, response }
+}
+
+fn summary(hearing: HearingTerm) -> Message {
+    let rank = |state, silence| ServerRank { state, seq: 8, silence };
+    let servers = [
+        ("i-1", rank(State::Ready, Silence::Heard)),
+        ("i-2", rank(State::Draining, Silence::Missed)),
+        ("i-3", rank(State::Gone, Silence::Claimed(term()))),
+    ];
+    Message::Summary(Summary {
+        parts: 0x8000_0001,
+        nodes: [("control-1".to_owned(), (1, 17, false))].into(),
+        servers: servers.into_iter().map(|(id, rank)| (id.to_owned(), rank)).collect(),
+        epoch: 4,
+        hearing,
+    })
+}
+
+fn digest(alone: bool) -> Digest {
+    Digest { entries: u64::MAX, epoch: 4, version: 9, alone }
+}
+
+/// Each case under a name of its own.
+pub fn cases() -> Vec<(&'static str, Message)> {
+    let update = |number, updates| Message::Update { number, updates };
+    let (known, base) = (Some((4, ballot(6))), ballot(6));
+    let prepare = |known| request(Request::Prepare { epoch: 4, ballot: ballot(7), known });
+    let install = Request::Install { membership: membership(), accepted: accepted(None) };
+    let report = DiskReport { held: Held { epoch: 4, version: 9 }, leaving: true };
+    vec![
+        ("hello-gateway", Message::Hello(gateway())),
+        ("hello-control", Message::Hello(control_node())),
+        ("update-nodes", update(0, vec![Update::Node(gateway()), Update::Node(control_node())])),
+        ("update-server-ready", update(3, vec![Update::Server(server(State::Ready, Silence::Heard))])),
+        ("update-server-draining", update(0, vec![Update::Server(server(State::Draining, Silence::Missed))])),
+        (
+            "update-server-gone",
+            update(0, vec![Update::Server(server(State::Gone, Silence::Claimed(term())))]),
+        ),
+        ("update-membership", update(0, vec![Update::Membership(membership())])),
+        ("update-hearing", update(5, vec![Update::Hearing(term())])),
+        ("got-taken", Message::Got { number: 3, taken: true, epoch: 4 }),
+        ("got-not-taken", Message::Got { number: 4, taken: false, epoch: 0 }),
+        ("digest", Message::Digest(digest(false))),
+        ("digest-alone", Message::Digest(digest(true))),
+        ("buckets", Message::Buckets(Buckets { entries: vec![0, 1, u64::MAX], epoch: 4 })),
+        ("feed-on", Message::Feed(true)),
+        ("feed-off", Message::Feed(false)),
+        ("summary", summary(term())),
+        ("summary-no-term", summary(HearingTerm::default())),
+        ("want", Message::Want { above: 8 }),
+        ("config", Message::Config(config(9))),
+        ("read", request(Request::Read { known: None })),
+        ("read-known", request(Request::Read { known })),
+        ("prepare", prepare(None)),
+        ("prepare-known", prepare(Some(ballot(6)))),
+        ("accept-whole", accept(Proposal::Whole(accepted(None).value), None)),
+        ("accept-same", accept(Proposal::Same { base: base.clone() }, Some(membership()))),
+        ("accept-with", accept(Proposal::With { base, config: config(10) }, None)),
+        ("install", request(install)),
+        ("learn", request(Request::Learn { epoch: 4, accepted: accepted(Some(membership())) })),
+        ("response", response(None)),
+        ("response-other-epoch", response(Some(Refusal::OtherEpoch))),
+        ("response-not-a-member", response(Some(Refusal::NotAMember))),
+        ("response-outbid", response(Some(Refusal::Outbid))),
+        ("response-needs-whole", response(Some(Refusal::NeedsWhole))),
+        ("response-malformed", response(Some(Refusal::Malformed))),
+        ("verify", Message::Verify { number: 2 }),
+        ("verified", Message::Verified { number: 2, digest: digest(false) }),
+        ("disk", Message::Disk(report)),
+        ("packed", Message::Packed("q1YqSy0qzszPU7IyqgUA".to_owned())),
+    ]
+}
+
+/// The number of a message's variant: without an arm here a new one does not compile, and needs its case.
+fn variant(message: &Message) -> usize {
+    match message {
+        Message::Hello(_) => 0,
+        Message::Update { .. } => 1,
+        Message::Got { .. } => 2,
+        Message::Digest(_) => 3,
+        Message::Buckets(_) => 4,
+        Message::Feed(_) => 5,
+        Message::Summary(_) => 6,
+        Message::Want { .. } => 7,
+        Message::Config(_) => 8,
+        Message::Request { .. } => 9,
+        Message::Response { .. } => 10,
+        Message::Verify { .. } => 11,
+        Message::Verified { .. } => 12,
+        Message::Disk(_) => 13,
+        Message::Packed(_) => 14,
+    }
+}
+
+#[test]
+fn every_variant_has_a_case() {
+    let covered: std::collections::BTreeSet<usize> = cases().iter().map(|(_, m)| variant(m)).collect();
+    assert_eq!(covered.into_iter().collect::<Vec<_>>(), (0..15).collect::<Vec<_>>());
+}
+
+#[test]
+fn messages_are_written_as_earlier_releases_write_them() {
+    for (case, message) in cases() {
+        let text = serde_json::to_string(&message).expect("a message") + "\n";
+        assert_golden(&format!("messages/{case}.json"), &text);
+    }
+}
+
+#[test]
+fn messages_of_earlier_releases_are_read_and_lose_nothing() {
+    for (case, _) in cases() {
+        let text = golden(&format!("messages/{case}.json"));
+        let message: Message = serde_json::from_str(&text).unwrap_or_else(|e| panic!("{case}: {e}"));
+        assert_eq!(serde_json::to_string(&message).expect("a message") + "\n", text, "{case}");
+    }
+}
+
+/// Fields that a still earlier release did not know may be missing.
+#[test]
+fn fields_that_came_later_may_be_missing() {
+    let without = |case: &str, field: &str| {
+        let text = golden(&format!("messages/{case}.json"));
+        let at = text.find(field).unwrap_or_else(|| panic!("{case}: {field}"));
+        let rest = &text[at + field.len()..];
+        serde_json::from_str::<Message>(&format!("{}{rest}", &text[..at])).is_ok()
+    };
+    assert!(without("summary-no-term", r#","hearing":{"epoch":0,"round":0,"holder":""}"#));
+    assert!(without("update-server-draining", r#","silence":"missed""#));
+    assert!(without("digest-alone", r#","alone":true"#));
+}
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -20,7 +20,7 @@
 use ashvane_node::register::Register;
 use ashvane_node::settings::Settings;
 use slog::{Discard, Drain, KV as _, Logger, OwnedKVList, Record, o};
-use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, DuplexStream, duplex};
+use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, DuplexStream, duplex, split};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, interval, sleep, timeout};
@@ -190,6 +190,22 @@
         WAY + if jitter == 0 { Duration::ZERO } else { ms(fastrand::u64(..jitter)) }
     }
 
+    /// Takes the place of the process at an address: whoever calls it from now on comes out here.
+    pub fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Ways> {
+        let (door, callers) = mpsc::unbounded_channel();
+        self.doors.borrow_mut().insert(address.to_owned(), door);
+        callers
+    }
+
+    /// Calls the process at an address, with nothing in between.
+    pub fn connect(&self, address: &str) -> Option<DuplexStream> {
+        let (near, far) = duplex(WINDOW);
+        let (read, write) = split(far);
+        let door = self.doors.borrow().get(address).cloned()?;
+        door.send((Box::new(read), Box::new(write))).ok()?;
+        Some(near)
+    }
+
     fn carry(&self, pump: impl Future<Output = ()> + 'static) {
         self.pumps.borrow_mut().push(Box::pin(pump));
         self.wanted.borrow_mut().take().into_iter().for_each(Waker::wake);
@@ -204,6 +220,7 @@
     let whole = network.broken(&from, &to);
     while network.broken(&from, &to) == whole {
         let n = read.read(&mut bytes).await.unwrap_or(0);
+        record_traffic(&from, &to, &bytes[..n]);
         sleep(network.delay() + network.takes(&to, n)).await;
         while network.is_cut(&from, &to) {
             sleep(ms(20)).await;
@@ -447,15 +464,54 @@
     std::env::var_os("NODE_LOG").is_some()
 }
 
+/// What is recorded of a simulated day: all that processes log, and all bytes that pass between them.
+#[derive(Default)]
+pub struct Recording {
+    /// Each line with its time, in seconds.
+    pub log: String,
+    /// By sender and receiver, in the order in which they passed.
+    pub traffic: BTreeMap<(String, String), Vec<u8>>,
+}
+
 thread_local! {
     static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
+    static RECORDING: RefCell<Option<Recording>> = const { RefCell::new(None) };
+}
+
+/// Records what follows on this thread, until [`recorded`].
+pub fn record() {
+    RECORDING.replace(Some(Recording::default()));
+}
+
+/// Ends the recording.
+pub fn recorded() -> Recording {
+    RECORDING.take().unwrap_or_default()
+}
+
+fn is_recording() -> bool {
+    RECORDING.with_borrow(Option::is_some)
+}
+
+fn record_traffic(from: &str, to: &str, bytes: &[u8]) {
+    RECORDING.with_borrow_mut(|recording| {
+        let Some(recording) = recording else { return };
+        let way = (host(from).to_owned(), host(to).to_owned());
+        recording.traffic.entry(way).or_default().extend(bytes);
+    });
 }
 
 pub fn say(what: &str) {
+    let began = BEGAN.get().unwrap_or_else(Instant::now);
+    let line = format!("{:8.3} {what}", began.elapsed().as_secs_f64());
     if is_aloud() {
-        let began = BEGAN.get().unwrap_or_else(Instant::now);
-        eprintln!("{:8.3} {what}", began.elapsed().as_secs_f64());
+        eprintln!("{line}");
     }
+    RECORDING.with_borrow_mut(|recording| {
+        if let Some(recording) = recording {
+            recording.log += &line;
+            recording.log.push('\n');
+        }
+    });
 }
 
 /// What a process is told from outside.
@@ -469,7 +525,7 @@
     settings: Settings, life: u64, storage: Option<Storage>, network: Rc<Network>,
     slot: Rc<RefCell<Option<Rc<Agent>>>>, mut orders: Orders,
 ) {
-    let log = match is_aloud() {
+    let log = match is_aloud() || is_recording() {
         true => Logger::root(Aloud.fuse(), o!("at" => settings.node.clone())),
         false => Logger::root(Discard, o!()),
     };
