--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,6 +4,8 @@
 //! May know: the limits' own rules in `ashvane-memory`, a lease's in `ashvane-fleet`. Must not know: the script's form, which is
 //! `ashvane-script`'s; files, processes, sockets; what the settings are used for.
 
+#![expect(missing_docs, reason = "not done yet: The rest reads as well")]
+
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,5 +1,7 @@
 //! Runs the decision module on the simulator's wire: one line in, one call; one call, one line out.
 
+#![expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
+
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -24,7 +26,7 @@
 }
 
 impl Wire {
-    fn line(&self, line: std::fmt::Arguments) {
+    fn line(&self, line: std::fmt::Arguments<'_>) {
         let reply = &mut *self.reply.borrow_mut();
         if reply.context != Some(self.instance) {
             reply.context = Some(self.instance);
@@ -169,7 +171,7 @@
         Ok(false)
     }
 
-    fn list(&mut self, f: &mut Fields) -> Result<(), String> {
+    fn list(&mut self, f: &mut Fields<'_>) -> Result<(), String> {
         let number = f.parsed("list")?;
         let rows = f.parsed("hosts")?;
         self.lists.insert(number, Vec::new());
@@ -177,7 +179,7 @@
         Ok(())
     }
 
-    fn row(&mut self, f: &mut Fields) -> Result<(), String> {
+    fn row(&mut self, f: &mut Fields<'_>) -> Result<(), String> {
         let (number, left) = self.open_list.ok_or("a row stands outside a list")?;
         let started = f.micros("online_since_us")?.filter(|t| !t.is_zero());
         let _weight: Option<f64> = f.maybe("weight")?;
@@ -196,7 +198,7 @@
         Ok(())
     }
 
-    fn event(&mut self, instance: u64, name: &str, f: &mut Fields) -> Result<(), String> {
+    fn event(&mut self, instance: u64, name: &str, f: &mut Fields<'_>) -> Result<(), String> {
         let mut gatherer = self.gatherers.get_mut(&instance);
         match name {
             "sync" => {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,6 +6,12 @@
 //! [`roster`]. May know: time as what has passed on a clock that is handed in. Must not know: clocks, sockets,
 //! files, how the record is replicated, what gatherers do.
 
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    reason = "not done yet: The control and state code reads as well as it works"
+)]
+
 pub mod fence;
 pub mod pace;
 pub mod record;
--- a/crates/gatherer/src/log_lines.rs
+++ b/crates/gatherer/src/log_lines.rs
@@ -21,7 +21,7 @@
 /// Bytes that a pipe takes at once where it takes any: longer lines are left out.
 const AT_ONCE: usize = 4096;
 /// How often lines that wait are looked at again.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(200);
+pub(crate) const LOOK_AGAIN: Duration = Duration::from_millis(200);
 /// How long the program's end waits for lines that are still to be written.
 const LAST_LINES: Duration = Duration::from_millis(200);
 /// Pause between looks for that.
@@ -74,7 +74,7 @@
 
 impl Logger {
     /// Lets a record's line wait to be written, with a line on those left out before it.
-    fn note(&self, record: &Record) {
+    fn note(&self, record: &Record<'_>) {
         let as_json = self.as_json.load(Ordering::Relaxed);
         if !self.in_rate() || !self.queue(self.line(record, as_json)) {
             self.left_out.fetch_add(1, Ordering::Relaxed);
@@ -92,7 +92,7 @@
     }
 
     /// A record as a line. What is in it from outside stays on its line.
-    fn line(&self, record: &Record, as_json: bool) -> String {
+    fn line(&self, record: &Record<'_>, as_json: bool) -> String {
         let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         let words = cut(&record.args().to_string());
         let (name, level) = (&self.name, record.level());
@@ -150,11 +150,11 @@
 }
 
 impl Log for Logger {
-    fn enabled(&self, metadata: &Metadata) -> bool {
+    fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.level() <= log::max_level() && metadata.target().starts_with("ashvane")
     }
 
-    fn log(&self, record: &Record) {
+    fn log(&self, record: &Record<'_>) {
         if self.enabled(record.metadata()) {
             self.note(record);
             self.write(takes, &mut std::io::stderr());
@@ -174,7 +174,7 @@
 }
 
 /// Starts writing. Before it nothing is written.
-pub fn start(name: &str, level: LevelFilter, settings: &LogSettings, ledger: Ledger) {
+pub(crate) fn start(name: &str, level: LevelFilter, settings: &LogSettings, ledger: Ledger) {
     let second = Mutex::new(Second { began: Instant::now(), written: 0 });
     let name = name.to_owned();
     let (left_out, lines_a_second, as_json, waiting) = Default::default();
@@ -186,14 +186,14 @@
 }
 
 /// Writes lines that had to wait, as far as that is taken now.
-pub fn write_waiting() {
+pub(crate) fn write_waiting() {
     if let Some(logger) = LOGGER.get() {
         logger.write(takes, &mut std::io::stderr());
     }
 }
 
 /// Takes over settings, at the start and at a reload.
-pub fn adopt(settings: &LogSettings) {
+pub(crate) fn adopt(settings: &LogSettings) {
     let Some(logger) = LOGGER.get() else { return };
     logger.as_json.store(settings.form.unwrap_or_default() == LogForm::Json, Ordering::Relaxed);
     let lines = settings.lines_a_second.unwrap_or(LINES_A_SECOND);
--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -46,7 +46,7 @@
 const LAST_WRITES: Duration = Duration::from_millis(100);
 
 /// The files that the program starts from and reads again when it is told to.
-pub struct Files {
+pub(crate) struct Files {
     /// What the platform tells it.
     pub config: String,
     /// Our own settings, where there are any.
@@ -75,7 +75,7 @@
 /// The admin listener, where there is one.
 type AdminTask = Option<(SocketAddr, JoinHandle<()>)>;
 
-pub struct Program {
+pub(crate) struct Program {
     config: Config,
     files: Files,
     /// The keepers that it talks with, until its end.
@@ -105,12 +105,14 @@
 
 impl Program {
     /// Runs until told to end and done, or until it cannot start.
-    pub fn run(config: Config, files: Files, level: log::LevelFilter, as_json: bool) -> Result<(), String> {
+    pub(crate) fn run(
+        config: Config, files: Files, level: log::LevelFilter, as_json: bool,
+    ) -> Result<(), String> {
         LocalSet::new().block_on(&runtime()?, Self::serve(config, files, level, as_json))
     }
 
     /// All faults of a settings file for a program that may take so much memory.
-    pub fn check(file: &str, memory: u64) -> Result<Vec<Fault>, String> {
+    pub(crate) fn check(file: &str, memory: u64) -> Result<Vec<Fault>, String> {
         Ok(runtime()?.block_on(own::load(file, memory)).err().unwrap_or_default())
     }
 
@@ -142,6 +144,10 @@
         sockets.min(usize::try_from(room).unwrap_or(usize::MAX)).max(1)
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not done yet: The path of a request reads as well as it works"
+    )]
     async fn serve(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
--- a/crates/gatherer/src/program/own.rs
+++ b/crates/gatherer/src/program/own.rs
@@ -21,7 +21,7 @@
 }
 
 /// Evaluates a file for a program that may take so many bytes, in a process of its own.
-pub async fn load(file: &str, memory: u64) -> Result<Settings, Vec<Fault>> {
+pub(super) async fn load(file: &str, memory: u64) -> Result<Settings, Vec<Fault>> {
     let evaluating = async {
         let mut command = Command::new(std::env::current_exe()?.with_file_name(EVALUATOR));
         command.args(["--settings", file, "--memory-bytes", &memory.to_string()]);
--- a/crates/gatherer/src/protocol/config.rs
+++ b/crates/gatherer/src/protocol/config.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug)]
-pub struct Config {
+pub(crate) struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -42,7 +42,7 @@
 
 impl Config {
     /// What a newer file says otherwise although only a restart can change it.
-    pub fn wants_restart(&self, newer: &Config) -> Vec<&'static str> {
+    pub(crate) fn wants_restart(&self, newer: &Config) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&newer.fixed);
         pairs.filter(|(ours, theirs)| ours != theirs).map(|(ours, _)| ours.0).collect()
     }
@@ -54,7 +54,7 @@
 
 /// Reads the configuration file that `GW_CONFIG` names. Variables hold over it, but at a reload the file is
 /// newer than the variable that names discovery.
-pub fn load(path: &str, reload: bool) -> Result<Config, String> {
+pub(crate) fn load(path: &str, reload: bool) -> Result<Config, String> {
     let variable = |name: &str| std::env::var(name).ok().filter(|_| !(reload && name == "GW_DISCOVERY"));
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
     text.and_then(|text| decode(&text, variable)).map_err(|e| format!("GW_CONFIG {path}: {e}"))
--- a/crates/gatherer/src/protocol/event.rs
+++ b/crates/gatherer/src/protocol/event.rs
@@ -11,7 +11,7 @@
 use super::list::List;
 use super::query::{Query, Reply};
 
-pub enum Event {
+pub(crate) enum Event {
     Came {
         query: Query,
         arrived: Instant,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub(crate) enum Phase {
     /// Listens, but knows no server that is ready.
     Starting,
     Ready,
@@ -57,7 +57,7 @@
 /// The requests whose handlers have ended, so that those who left can be told from those answered without a
 /// look through all that is held.
 #[derive(Default)]
-pub struct Left {
+pub(crate) struct Left {
     tickets: Mutex<Vec<u64>>,
     next: AtomicU64,
     news: Notify,
@@ -65,22 +65,22 @@
 
 impl Left {
     /// A ticket, which is told when what is returned is dropped.
-    pub fn ticket(self: &Arc<Self>) -> Leaving {
+    pub(crate) fn ticket(self: &Arc<Self>) -> Leaving {
         Leaving { left: self.clone(), ticket: self.next.fetch_add(1, Ordering::Relaxed) }
     }
 
-    pub async fn news(&self) {
+    pub(crate) async fn news(&self) {
         self.news.notified().await;
     }
 
     /// The tickets told since the last call. At most one for each open request stands here.
-    pub fn take(&self) -> Vec<u64> {
+    pub(crate) fn take(&self) -> Vec<u64> {
         std::mem::take(&mut *self.tickets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 /// A request's handler, while it lasts.
-pub struct Leaving {
+pub(crate) struct Leaving {
     left: Arc<Left>,
     pub ticket: u64,
 }
--- a/crates/gatherer/src/protocol/frame.rs
+++ b/crates/gatherer/src/protocol/frame.rs
@@ -13,7 +13,7 @@
 
 /// One part within a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PartCall {
+pub(crate) struct PartCall {
     pub id: Arc<str>,
     pub shard: u32,
     /// How many milliseconds the gatherer will wait.
@@ -22,20 +22,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sent {
+pub(crate) enum Sent {
     Call(Vec<PartCall>),
     GiveUp(Arc<str>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub(crate) enum End {
     Done,
     Failed,
     Full,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Got {
+pub(crate) enum Got {
     Answer {
         id: String,
         end: End,
@@ -46,7 +46,7 @@
 }
 
 #[derive(Debug)]
-pub enum Fault {
+pub(crate) enum Fault {
     Broken(std::io::Error),
     Malformed(&'static str),
     NoRoom,
@@ -60,7 +60,7 @@
 
 /// Reads and writes frames. It may be asked since when a frame has begun to come and is not whole.
 #[derive(Clone, Default)]
-pub struct Frames {
+pub(crate) struct Frames {
     pub begun: Rc<Cell<Option<Instant>>>,
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// How many bytes the frame that has begun takes in all, once its length is known and can be one.
-pub fn length(bytes: &[u8]) -> Option<usize> {
+pub(crate) fn length(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
     (length <= FRAME_MOST).then_some(4 + length)
 }
--- a/crates/gatherer/src/protocol/list.rs
+++ b/crates/gatherer/src/protocol/list.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub(crate) struct List {
     pub revision: u64,
     /// All servers, or only those that changed.
     pub all: bool,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub(crate) struct Listed {
     pub id: String,
     pub address: SocketAddr,
     pub zone: Option<u32>,
@@ -78,10 +78,10 @@
     Ok(List { revision: wire.revision, all: wire.complete, servers })
 }
 
-pub fn decode(bytes: &[u8], network: &Network) -> Result<List, String> {
+pub(crate) fn decode(bytes: &[u8], network: &Network) -> Result<List, String> {
     list(serde_json::from_slice(bytes).map_err(|e| e.to_string())?, network)
 }
 
-pub fn from_value(value: Value, network: &Network) -> Result<List, String> {
+pub(crate) fn from_value(value: Value, network: &Network) -> Result<List, String> {
     list(serde_json::from_value(value).map_err(|e| e.to_string())?, network)
 }
--- a/crates/gatherer/src/protocol/query.rs
+++ b/crates/gatherer/src/protocol/query.rs
@@ -40,14 +40,14 @@
 
 /// A part's value, as a shard server gave it.
 #[derive(Debug, Serialize)]
-pub struct WireValue {
+pub(crate) struct WireValue {
     #[serde(rename = "partition")]
     pub shard: u32,
     pub value: String,
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Query {
+pub(crate) struct Query {
     pub id: String,
     pub vertical: usize,
     pub tenant: Option<usize>,
@@ -60,14 +60,14 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Part {
+pub(crate) struct Part {
     pub shard: u32,
     pub weight: f64,
 }
 
 /// The final answer to a query.
 #[derive(Debug)]
-pub enum Reply {
+pub(crate) enum Reply {
     Answered {
         whole: bool,
         values: Vec<WireValue>,
@@ -80,7 +80,7 @@
     Unheld(StatusCode, &'static str),
 }
 
-pub type Refusal = (StatusCode, &'static str);
+pub(crate) type Refusal = (StatusCode, &'static str);
 
 fn bad(reason: &'static str) -> Refusal {
     (StatusCode::BAD_REQUEST, reason)
@@ -103,14 +103,14 @@
 }
 
 /// Which vertical a path names.
-pub fn vertical(path: &str, network: &Network) -> Result<usize, Refusal> {
+pub(crate) fn vertical(path: &str, network: &Network) -> Result<usize, Refusal> {
     let name = path.split('/').nth(1).unwrap_or_default();
     let found = network.verticals.iter().position(|v| v == name);
     found.ok_or((StatusCode::NOT_FOUND, "no such path"))
 }
 
 /// Whose a query is; none where the settings name no tenants.
-pub fn tenant(headers: &HeaderMap, network: &Network) -> Result<Option<usize>, Refusal> {
+pub(crate) fn tenant(headers: &HeaderMap, network: &Network) -> Result<Option<usize>, Refusal> {
     if network.tenants.is_empty() {
         return Ok(None);
     }
@@ -120,7 +120,7 @@
 }
 
 /// Reads a query of the vertical that its path names.
-pub fn decode(
+pub(crate) fn decode(
     vertical: usize, path: &str, headers: &HeaderMap, body: &[u8], network: &Network,
 ) -> Result<Query, Refusal> {
     let key = path.splitn(3, '/').nth(2).and_then(|rest| rest.rsplit('/').next());
@@ -162,32 +162,32 @@
 }
 
 /// A reply in a few words.
-pub fn say(status: StatusCode, words: &'static str) -> Response<Body> {
+pub(crate) fn say(status: StatusCode, words: &'static str) -> Response<Body> {
     let mut reply = Response::new(Body::from(words));
     *reply.status_mut() = status;
     reply
 }
 
 /// About how long the body of an answer will be, a little more where no value has to be escaped.
-pub fn length(values: &[WireValue]) -> usize {
+pub(crate) fn length(values: &[WireValue]) -> usize {
     ANSWER_FRAME + values.iter().map(|v| VALUE_FRAME + v.value.len()).sum::<usize>()
 }
 
 /// The body of an answer.
-pub fn body(whole: bool, values: &[WireValue]) -> Option<Vec<u8>> {
+pub(crate) fn body(whole: bool, values: &[WireValue]) -> Option<Vec<u8>> {
     let mut body = Vec::with_capacity(length(values));
     serde_json::to_writer(&mut body, &WireReply { whole, results: values }).ok()?;
     Some(body)
 }
 
 /// An answer with such a body.
-pub fn answered(body: Body) -> Response<Body> {
+pub(crate) fn answered(body: Body) -> Response<Body> {
     let mut reply = Response::new(body);
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
 
-pub fn encode(reply: Reply) -> Response<Body> {
+pub(crate) fn encode(reply: Reply) -> Response<Body> {
     match reply {
         Reply::Answered { whole, values, .. } => match body(whole, &values) {
             Some(body) => answered(Body::from(body)),
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// What the decisions are joined to.
-pub struct Ends {
+pub(crate) struct Ends {
     /// The most connections to shard servers.
     pub most_lanes: usize,
     pub events: mpsc::Sender<Event>,
@@ -56,7 +56,7 @@
     pub ledger: Ledger,
 }
 
-pub struct Routing {
+pub(crate) struct Routing {
     gatherer: Gatherer<Hand>,
     actions: Actions,
     clock: Clock,
@@ -77,7 +77,9 @@
 }
 
 impl Routing {
-    pub fn new(settings: &Settings, network: &Network, known: &List, ends: Ends) -> Result<Self, NoRoom> {
+    pub(crate) fn new(
+        settings: &Settings, network: &Network, known: &List, ends: Ends,
+    ) -> Result<Self, NoRoom> {
         let Ends { most_lanes, events, asked, ready, ledger } = ends;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = Instant::now();
@@ -107,7 +109,7 @@
         Ok(routing)
     }
 
-    pub async fn run(mut self, mut inbox: mpsc::Receiver<Event>, left: Arc<Left>) {
+    pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, left: Arc<Left>) {
         loop {
             let mut first = None;
             let due = self.due();
--- a/crates/gatherer/src/transport/admin.rs
+++ b/crates/gatherer/src/transport/admin.rs
@@ -34,7 +34,7 @@
 /// The longest head that is read.
 const HEAD_MOST: usize = 8 * 1024;
 
-pub struct Admin {
+pub(crate) struct Admin {
     pub ledger: Ledger,
     /// What the allocator has given out.
     pub live: fn() -> u64,
@@ -122,7 +122,7 @@
         let _ = timeout(OPEN_FOR, http.serve_connection(TokioIo::new(stream), service)).await;
     }
 
-    pub async fn run(self: Arc<Self>, listener: TcpListener) {
+    pub(crate) async fn run(self: Arc<Self>, listener: TcpListener) {
         let places = Arc::new(Semaphore::new(OPEN_MOST));
         loop {
             let Ok(place) = places.clone().acquire_owned().await else { return };
--- a/crates/gatherer/src/transport/answers.rs
+++ b/crates/gatherer/src/transport/answers.rs
@@ -22,7 +22,7 @@
 
 /// A client's connection, as its answers know it.
 #[derive(Clone)]
-pub struct Wire {
+pub(crate) struct Wire {
     pub number: u64,
     /// Its place is wanted.
     pub wanted: Arc<Notify>,
@@ -30,7 +30,7 @@
 }
 
 impl Wire {
-    pub fn new(number: u64) -> Wire {
+    pub(crate) fn new(number: u64) -> Wire {
         Wire { number, wanted: Arc::default(), cut: Arc::default() }
     }
 
@@ -40,7 +40,7 @@
         self.wanted.notify_one();
     }
 
-    pub fn is_cut(&self) -> bool {
+    pub(crate) fn is_cut(&self) -> bool {
         self.cut.load(Ordering::Relaxed)
     }
 }
@@ -52,7 +52,7 @@
     wires: BTreeMap<u64, (Wire, u32)>,
 }
 
-pub struct Answers {
+pub(crate) struct Answers {
     ledger: Ledger,
     start: Instant,
     open: Mutex<Open>,
@@ -85,7 +85,7 @@
 }
 
 impl Answers {
-    pub fn new(ledger: Ledger) -> Answers {
+    pub(crate) fn new(ledger: Ledger) -> Answers {
         Answers { ledger, start: Instant::now(), open: Mutex::default() }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// So many bytes of an answer have gone to a client.
-    pub fn wrote(&self, number: u64, bytes: usize) {
+    pub(crate) fn wrote(&self, number: u64, bytes: usize) {
         self.open().writers.wrote(number, bytes as u64);
     }
 
@@ -137,7 +137,7 @@
 
     /// Makes a reply an answer to the client at this wire. What ran and finds no room is given up with no
     /// promise: it must not be called rejected.
-    pub async fn encode(
+    pub(crate) async fn encode(
         self: &Arc<Self>, reply: Reply, wire: Option<Wire>, tenant: Option<usize>, until: Instant,
     ) -> Response<Body> {
         let Reply::Answered { whole, values, room: held } = reply else { return query::encode(reply) };
--- a/crates/gatherer/src/transport/discovery.rs
+++ b/crates/gatherer/src/transport/discovery.rs
@@ -38,7 +38,7 @@
     error.source().map_or(error.to_string(), |cause| format!("{error}: {}", told(cause)))
 }
 
-pub struct Discovery {
+pub(crate) struct Discovery {
     /// Where it is asked; a newer address takes the place of the one before, with whatever is asked there.
     pub address: watch::Receiver<SocketAddr>,
     pub network: Arc<Network>,
@@ -122,7 +122,7 @@
 
     /// Follows the list for good, at the newest address. What is known of the list counts at the first only:
     /// another's revisions need not go on from there.
-    pub async fn run(self, revision: u64) {
+    pub(crate) async fn run(self, revision: u64) {
         let (mut address, mut revision) = (self.address.clone(), Some(revision));
         loop {
             tokio::select! {
--- a/crates/gatherer/src/transport/front.rs
+++ b/crates/gatherer/src/transport/front.rs
@@ -45,7 +45,7 @@
 const ROOM_PAUSE: Duration = Duration::from_millis(50);
 /// What a client's connection takes while it is open, in bytes: HTTP's buffers, its task and its request's.
 /// An estimate: what it misses shows as unattributed.
-pub const CLIENT_BYTES: u64 = 20 * 1024;
+pub(crate) const CLIENT_BYTES: u64 = 20 * 1024;
 /// What the machine may hold of an answer that its client does not read, in bytes: it counts this twice. Much
 /// more would stand outside every cap, and much less slow down far clients.
 const SEND_BYTES: u32 = 64 * 1024;
@@ -55,7 +55,7 @@
 const TOLD_AGAIN: Duration = Duration::from_secs(60);
 
 /// A listener for clients.
-pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     // Accepted connections take it over.
@@ -65,7 +65,7 @@
 }
 
 /// What every request's handler needs.
-pub struct Front {
+pub(crate) struct Front {
     pub network: Arc<Network>,
     pub events: mpsc::Sender<Event>,
     /// The handlers that ended: their clients may have left.
@@ -287,7 +287,7 @@
 }
 
 /// The open connections and when the last one came.
-pub struct Door {
+pub(crate) struct Door {
     permits: Arc<Semaphore>,
     ledger: Ledger,
     most: usize,
@@ -300,7 +300,7 @@
 }
 
 impl Door {
-    pub fn new(most: usize, ledger: Ledger) -> Self {
+    pub(crate) fn new(most: usize, ledger: Ledger) -> Self {
         let permits = Arc::new(Semaphore::new(most));
         let (idle, next, told) = Default::default();
         Door { permits, ledger, most, last: Instant::now().into(), idle, next, told }
@@ -310,11 +310,11 @@
         self.next.replace(self.next.get() + 1)
     }
 
-    pub fn open(&self) -> usize {
+    pub(crate) fn open(&self) -> usize {
         self.most - self.permits.available_permits()
     }
 
-    pub fn quiet_for(&self) -> Duration {
+    pub(crate) fn quiet_for(&self) -> Duration {
         self.last.get().elapsed()
     }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    pub async fn run(self: Rc<Self>, listener: TcpListener, front: Arc<Front>) {
+    pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, front: Arc<Front>) {
         let (phase, answers) = (front.phase.clone(), front.answers.clone());
         let router = router(front);
         loop {
--- a/crates/gatherer/src/transport/head.rs
+++ b/crates/gatherer/src/transport/head.rs
@@ -18,7 +18,7 @@
 const LINE_KEPT: usize = 32;
 /// Bytes and time for what a client still sends after its answer: unread, they would take the answer along.
 const LINGER_MOST: usize = 256 * 1024;
-pub const LINGER: Duration = Duration::from_millis(300);
+pub(super) const LINGER: Duration = Duration::from_millis(300);
 
 /// What the next byte belongs to.
 enum Next {
@@ -90,12 +90,12 @@
 
 /// Shared by a connection's bytes and those who serve its requests.
 #[derive(Clone, Default)]
-pub struct Framing(Rc<RefCell<Next>>);
+pub(super) struct Framing(Rc<RefCell<Next>>);
 
 impl Framing {
     /// A request is served whose body has this length; none if it comes in chunks. False if its head says
     /// more than one thing about that.
-    pub fn sound(&self, length: Option<u64>) -> bool {
+    pub(super) fn sound(&self, length: Option<u64>) -> bool {
         let mut next = self.0.borrow_mut();
         let sound = matches!(*next, Next::Unsaid { framings: 0 | 1 });
         *next = match length {
@@ -108,7 +108,7 @@
 }
 
 /// A client's connection.
-pub struct Watched<S> {
+pub(super) struct Watched<S> {
     stream: S,
     /// Told of the bytes that went out.
     wrote: Box<dyn Fn(usize)>,
@@ -119,7 +119,7 @@
 }
 
 impl<S> Watched<S> {
-    pub fn new(stream: S, framing: Framing, wrote: impl Fn(usize) + 'static) -> Self {
+    pub(super) fn new(stream: S, framing: Framing, wrote: impl Fn(usize) + 'static) -> Self {
         Watched { stream, wrote: Box::new(wrote), framing, rest: BytesMut::new(), linger: None }
     }
 }
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -104,7 +104,7 @@
     }
 }
 
-pub struct Keepers {
+pub(crate) struct Keepers {
     /// This process, by a name that no other process has or had.
     who: String,
     name: String,
@@ -129,7 +129,9 @@
 }
 
 impl Keepers {
-    pub fn new(name: &str, seed: u64, settings: &FleetSettings, events: mpsc::Sender<Event>) -> Keepers {
+    pub(crate) fn new(
+        name: &str, seed: u64, settings: &FleetSettings, events: mpsc::Sender<Event>,
+    ) -> Keepers {
         let (began, every, terms) = (now(), settings.every(), settings.terms());
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -160,7 +162,7 @@
     }
 
     /// Calls until the program ends; then hands over what it owns.
-    pub async fn run(mut self, mut phase: watch::Receiver<Phase>) {
+    pub(crate) async fn run(mut self, mut phase: watch::Receiver<Phase>) {
         loop {
             let at = now();
             if let Some(turn) = self.seat.at(at, &self.terms) {
--- a/crates/gatherer/src/transport/lane.rs
+++ b/crates/gatherer/src/transport/lane.rs
@@ -24,7 +24,7 @@
 const READ_LEAST: usize = 1024;
 /// What a connection takes while it is open, in bytes: both buffers, its task and its records. An estimate:
 /// what it misses shows as unattributed.
-pub const LANE_BYTES: u64 = 12 * 1024;
+pub(crate) const LANE_BYTES: u64 = 12 * 1024;
 /// What the machine may hold of answers that are not read yet, in bytes: some of the longest frames.
 const RECEIVE_BYTES: u32 = 256 * 1024;
 /// Pause between looks for room for a frame: the decisions take up what is in meanwhile.
@@ -32,7 +32,7 @@
 
 /// A part that waits for its frame to be written.
 #[derive(Clone)]
-pub struct Queued {
+pub(crate) struct Queued {
     pub id: Arc<str>,
     pub shard: u32,
     pub text: Arc<str>,
@@ -47,7 +47,7 @@
 /// What the owner and the task share. The owner bounds what is queued: parts by the connection's
 /// number, each given up once.
 #[derive(Default)]
-pub struct Lane {
+pub(crate) struct Lane {
     outbox: RefCell<VecDeque<Out>>,
     /// The parts of the frame that is being written.
     writing: RefCell<Vec<Arc<str>>>,
@@ -58,23 +58,23 @@
 
 impl Lane {
     /// Queues a frame, with the room that it takes.
-    pub fn call(&self, parts: Vec<Queued>, room: Charge) {
+    pub(crate) fn call(&self, parts: Vec<Queued>, room: Charge) {
         self.outbox.borrow_mut().push_back(Out::Call(parts, room));
         self.news.notify_one();
     }
 
-    pub fn give_up(&self, id: Arc<str>) {
+    pub(crate) fn give_up(&self, id: Arc<str>) {
         self.outbox.borrow_mut().push_back(Out::GiveUp(id));
         self.news.notify_one();
     }
 
     /// Ends the connection at once, even if nothing can be written; what is out on it is given up.
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         self.closing.notify_one();
     }
 
     /// Takes a part back whose frame is not begun; false if it is.
-    pub fn withdraw(&self, id: &str) -> bool {
+    pub(crate) fn withdraw(&self, id: &str) -> bool {
         let mut outbox = self.outbox.borrow_mut();
         for out in outbox.iter_mut() {
             let Out::Call(parts, _) = out else { continue };
@@ -88,13 +88,13 @@
     }
 
     /// Whether the last byte of a part's frame is still to be written.
-    pub fn unwritten(&self, id: &str) -> bool {
+    pub(crate) fn unwritten(&self, id: &str) -> bool {
         let queued = |out: &Out| matches!(out, Out::Call(parts, _) if parts.iter().any(|p| &*p.id == id));
         self.outbox.borrow().iter().any(queued) || self.writing.borrow().iter().any(|w| &**w == id)
     }
 
     /// Since when a frame has begun to come that is not whole yet.
-    pub fn reads_since(&self) -> Option<Instant> {
+    pub(crate) fn reads_since(&self) -> Option<Instant> {
         self.frames.begun.get()
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    pub async fn run(
+    pub(crate) async fn run(
         self: Rc<Self>, number: u64, address: SocketAddr, dial_limit: Duration, events: mpsc::Sender<Event>,
         ledger: Ledger,
     ) {
--- a/crates/gatherer/src/transport/mod.rs
+++ b/crates/gatherer/src/transport/mod.rs
@@ -1,9 +1,9 @@
 //! The sockets: clients in front, discovery and shard servers behind. Nothing here decides.
 
-pub mod admin;
-pub mod answers;
-pub mod discovery;
-pub mod front;
+pub(crate) mod admin;
+pub(crate) mod answers;
+pub(crate) mod discovery;
+pub(crate) mod front;
 mod head;
-pub mod keepers;
-pub mod lane;
+pub(crate) mod keepers;
+pub(crate) mod lane;
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -15,19 +15,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-pub const fn ms(ms: u64) -> Duration {
+pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// How long a test waits for anything.
-pub const PATIENCE: Duration = ms(10_000);
+pub(crate) const PATIENCE: Duration = ms(10_000);
 
 /// Looks again and again until it is so; fails the test if it never is.
-pub async fn until(what: &str, so: impl Fn() -> bool) {
+pub(crate) async fn until(what: &str, so: impl Fn() -> bool) {
     until_so(what, async || so()).await;
 }
 
-pub async fn until_so(what: &str, mut so: impl AsyncFnMut() -> bool) {
+pub(crate) async fn until_so(what: &str, mut so: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !so().await {
         assert!(Instant::now() < end, "{what}: not within {PATIENCE:?}");
@@ -37,7 +37,7 @@
 
 /// What a shard server does with a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub(crate) enum Manner {
     Answer,
     /// Answers so late.
     Late(Duration),
@@ -60,7 +60,7 @@
 
 /// A frame that a shard server got.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub connection: usize,
     pub letter: char,
     /// The parts' ids, or the one given up.
@@ -69,7 +69,7 @@
 }
 
 #[derive(Clone)]
-pub struct Shard {
+pub(crate) struct Shard {
     pub address: SocketAddr,
     pub manner: Arc<Mutex<Manner>>,
     pub seen: Arc<Mutex<Vec<Seen>>>,
@@ -78,16 +78,16 @@
 }
 
 /// The value that a stand-in gives a part.
-pub fn value_of(id: &str) -> String {
+pub(crate) fn value_of(id: &str) -> String {
     format!("value-of-{id}")
 }
 
 /// The same, made this long.
-pub fn long_value(id: &str, length: usize) -> String {
+pub(crate) fn long_value(id: &str, length: usize) -> String {
     format!("{:x<length$}", value_of(id))
 }
 
-pub fn frame(letter: char, rest: &str) -> Vec<u8> {
+pub(crate) fn frame(letter: char, rest: &str) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
     bytes.push(letter as u8);
     bytes.extend_from_slice(rest.as_bytes());
@@ -95,7 +95,7 @@
 }
 
 impl Shard {
-    pub async fn start(manner: Manner) -> Shard {
+    pub(crate) async fn start(manner: Manner) -> Shard {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let shard = Shard {
             address: listener.local_addr().expect("its address"),
@@ -123,19 +123,23 @@
         *self.manner.lock().expect("a manner")
     }
 
-    pub fn behave(&self, manner: Manner) {
+    pub(crate) fn behave(&self, manner: Manner) {
         *self.manner.lock().expect("a manner") = manner;
     }
 
-    pub fn seen(&self, letter: char) -> Vec<Seen> {
+    pub(crate) fn seen(&self, letter: char) -> Vec<Seen> {
         self.seen.lock().expect("frames").iter().filter(|s| s.letter == letter).cloned().collect()
     }
 
     /// How many parts it was asked for.
-    pub fn parts(&self) -> usize {
+    pub(crate) fn parts(&self) -> usize {
         self.seen('S').iter().map(|s| s.ids.len()).sum()
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not done yet: The path of a request reads as well as it works"
+    )]
     async fn serve(&self, mut stream: TcpStream, connection: usize) -> std::io::Result<()> {
         let (answers, mut queue) = tokio::sync::mpsc::unbounded_channel::<Vec<u8>>();
         let (mut read, mut write) = stream.split();
@@ -206,7 +210,7 @@
 
 /// Discovery: a list that tests change, and a manner in which it answers.
 #[derive(Clone)]
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub address: SocketAddr,
     list: Arc<Mutex<(u64, bool, Vec<Value>)>>,
     /// Answers with this in place of the list, or not at all if it is empty.
@@ -241,12 +245,12 @@
     }
 }
 
-pub fn list(revision: u64, complete: bool, members: Vec<Value>) -> Value {
+pub(crate) fn list(revision: u64, complete: bool, members: Vec<Value>) -> Value {
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
 impl Discovery {
-    pub async fn start() -> Discovery {
+    pub(crate) async fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("its address");
         let list = Arc::new(Mutex::new((1, true, Vec::new())));
@@ -264,14 +268,14 @@
     }
 
     /// Tells a change, or a whole list: its revision.
-    pub fn tell(&self, complete: bool, members: Vec<Value>) -> u64 {
+    pub(crate) fn tell(&self, complete: bool, members: Vec<Value>) -> u64 {
         let mut list = self.list.lock().expect("a list");
         *list = (list.0 + 1, complete, members);
         list.0
     }
 }
 
-pub fn member(name: &str, address: SocketAddr, cell: u32, phase: &str, up_since_ms: u64) -> Value {
+pub(crate) fn member(name: &str, address: SocketAddr, cell: u32, phase: &str, up_since_ms: u64) -> Value {
     json!({"id": name, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": cell,
            "phase": phase, "size": 1.0, "up_since_ms": up_since_ms})
 }
@@ -282,7 +286,7 @@
 }
 
 /// Two cells, each shard in both; `near` needs three quarters, `book` must not run twice.
-pub fn settings() -> Value {
+pub(crate) fn settings() -> Value {
     json!({
         "balancers": 1, "zone": 0, "zones": ["a", "b"], "quantum_us": 5000, "membership_mode": "pushed",
         "request_classes": [vertical("near", "retryable"), vertical("book", "fragile")],
@@ -298,19 +302,19 @@
 }
 
 #[derive(Debug)]
-pub struct Reply {
+pub(crate) struct Reply {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
 impl Reply {
-    pub fn json(&self) -> Value {
+    pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("JSON")
     }
 
     /// How many parts it holds; each must be what a shard server gave for this very query.
-    pub fn values(&self, id: &str) -> usize {
+    pub(crate) fn values(&self, id: &str) -> usize {
         let body = self.json();
         let results = body["results"].as_array().expect("results");
         for r in results {
@@ -321,22 +325,22 @@
 }
 
 /// A client's connection.
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 impl Client {
     /// A connection whose machine takes in little that is not read.
-    pub async fn narrow(listen: SocketAddr) -> Client {
+    pub(crate) async fn narrow(listen: SocketAddr) -> Client {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a size");
         Client(socket.connect(listen).await.expect("a connection"))
     }
 
-    pub async fn send(&mut self, request: &str) {
+    pub(crate) async fn send(&mut self, request: &str) {
         self.0.write_all(request.as_bytes()).await.expect("written");
     }
 
     /// The next answer; none if the connection ends before one.
-    pub async fn next(&mut self) -> Option<Reply> {
+    pub(crate) async fn next(&mut self) -> Option<Reply> {
         let mut bytes = Vec::new();
         let head = loop {
             if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -357,14 +361,14 @@
         Some(Reply { status, head: text, body: String::from_utf8(bytes[head..].to_vec()).expect("text") })
     }
 
-    pub async fn ask(&mut self, request: &str) -> Reply {
+    pub(crate) async fn ask(&mut self, request: &str) -> Reply {
         self.send(request).await;
         self.next().await.expect("an answer")
     }
 }
 
 /// A request for so many parts of equal weight, about what its id names.
-pub fn request(vertical: &str, id: &str, parts: u32, deadline: &str) -> String {
+pub(crate) fn request(vertical: &str, id: &str, parts: u32, deadline: &str) -> String {
     let part = |shard| json!({"partition": shard, "share": 1.0 / f64::from(parts)});
     let body = json!({"targets": (0..parts).map(part).collect::<Vec<_>>(), "query": "c41e77d0"});
     post(
@@ -374,14 +378,14 @@
     )
 }
 
-pub fn post(path: &str, headers: &[(&str, &str)], body: &str) -> String {
+pub(crate) fn post(path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let headers: String = headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     let length = body.len();
     format!("POST /{path} HTTP/1.1\r\nHost: api\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
 
 /// The program, with its surroundings.
-pub struct World {
+pub(crate) struct World {
     pub shards: Vec<Shard>,
     pub discovery: Discovery,
     pub listen: SocketAddr,
@@ -398,17 +402,17 @@
 static WORLDS: AtomicU32 = AtomicU32::new(0);
 
 impl World {
-    pub async fn start(manners: &[Manner]) -> World {
+    pub(crate) async fn start(manners: &[Manner]) -> World {
         World::with(manners, |_| {}).await
     }
 
     /// One shard server for each manner, in alternating cells. `change` may alter the configuration.
-    pub async fn with(manners: &[Manner], change: impl FnOnce(&mut Value)) -> World {
+    pub(crate) async fn with(manners: &[Manner], change: impl FnOnce(&mut Value)) -> World {
         World::with_own(manners, None, change).await
     }
 
     /// The same with a settings file of our own and an admin listener.
-    pub async fn watched(manners: &[Manner], own: &str, change: impl FnOnce(&mut Value)) -> World {
+    pub(crate) async fn watched(manners: &[Manner], own: &str, change: impl FnOnce(&mut Value)) -> World {
         World::with_own(manners, Some(own), change).await
     }
 
@@ -447,60 +451,60 @@
         world
     }
 
-    pub async fn client(&self) -> Client {
+    pub(crate) async fn client(&self) -> Client {
         Client(TcpStream::connect(self.listen).await.expect("a connection"))
     }
 
-    pub async fn health(&self) -> u16 {
+    pub(crate) async fn health(&self) -> u16 {
         self.client().await.ask("GET /healthz HTTP/1.1\r\nHost: api\r\n\r\n").await.status
     }
 
-    pub async fn ready(self) -> World {
+    pub(crate) async fn ready(self) -> World {
         until_so("it is ready", async || self.health().await == 200).await;
         self
     }
 
     /// What the admin listener answers at a path.
-    pub async fn told(&self, path: &str) -> Reply {
+    pub(crate) async fn told(&self, path: &str) -> Reply {
         let mut client = Client(TcpStream::connect(self.admin).await.expect("the admin listener"));
         client.ask(&format!("GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n")).await
     }
 
     /// What is told of one purpose.
-    pub async fn purpose(&self, name: &str) -> Value {
+    pub(crate) async fn purpose(&self, name: &str) -> Value {
         let table = self.told("/memory").await.json();
         let rows = table["purposes"].as_array().expect("purposes");
         rows.iter().find(|row| row["purpose"] == name).expect("a known purpose").clone()
     }
 
     /// How many bytes a purpose has open.
-    pub async fn open(&self, name: &str) -> u64 {
+    pub(crate) async fn open(&self, name: &str) -> u64 {
         self.purpose(name).await["now"].as_u64().expect("a number")
     }
 
     /// Replaces our own settings file with this.
-    pub fn rewrite_own(&self, own: &str) {
+    pub(crate) fn rewrite_own(&self, own: &str) {
         std::fs::write(self.folder.join("own.star"), script(self.admin, own)).expect("a settings file");
     }
 
-    pub fn parts(&self) -> usize {
+    pub(crate) fn parts(&self) -> usize {
         self.shards.iter().map(Shard::parts).sum()
     }
 
     /// Replaces the configuration file as it is with what `change` makes of it.
-    pub fn rewrite(&self, change: impl FnOnce(&mut Value)) {
+    pub(crate) fn rewrite(&self, change: impl FnOnce(&mut Value)) {
         let text = std::fs::read_to_string(self.config()).expect("the configuration");
         let mut config = serde_json::from_str(&text).expect("JSON");
         change(&mut config);
         std::fs::write(self.config(), config.to_string()).expect("a configuration");
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let line = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh").args(["-c", &line]).status().expect("sh").success());
     }
 
-    pub async fn exit(&mut self) -> ExitStatus {
+    pub(crate) async fn exit(&mut self) -> ExitStatus {
         let mut status = None;
         until_so("it ends", async || {
             status = self.child.try_wait().expect("its state");
@@ -510,12 +514,12 @@
         status.expect("it has ended")
     }
 
-    pub fn config(&self) -> String {
+    pub(crate) fn config(&self) -> String {
         self.folder.join("config.json").to_str().expect("text").to_owned()
     }
 
     /// Resident memory, in kB.
-    pub fn memory(&self) -> usize {
+    pub(crate) fn memory(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
@@ -523,7 +527,7 @@
     }
 
     /// Whether it has started another process in its life: page faults of those that have ended, or one that runs.
-    pub fn started_others(&self) -> bool {
+    pub(crate) fn started_others(&self) -> bool {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").expect("its state");
         // Counted from behind the name, which is in brackets and may hold spaces.
@@ -534,7 +538,7 @@
 
     /// What it has open beside its standard streams and what it was left by the tests' own parents, each once, as
     /// the machine names it.
-    pub fn open_files(&self) -> std::collections::BTreeSet<String> {
+    pub(crate) fn open_files(&self) -> std::collections::BTreeSet<String> {
         let of = |process: &str| {
             let entries = std::fs::read_dir(format!("/proc/{process}/fd")).expect("its descriptors");
             let apart = |e: &std::fs::DirEntry| !["0", "1", "2"].iter().any(|std| e.file_name() == *std);
@@ -546,7 +550,7 @@
     }
 
     /// How many of its sockets are Unix sockets.
-    pub fn unix_sockets(&self) -> usize {
+    pub(crate) fn unix_sockets(&self) -> usize {
         let table = std::fs::read_to_string(format!("/proc/{}/net/unix", self.child.id())).expect("a table");
         let inodes: std::collections::BTreeSet<&str> =
             table.lines().skip(1).filter_map(|line| line.split_whitespace().nth(6)).collect();
@@ -554,7 +558,7 @@
         self.open_files().iter().filter_map(inode).filter(|inode| inodes.contains(inode.as_str())).count()
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 }
@@ -567,7 +571,7 @@
     }
 }
 
-pub fn program() -> Command {
+pub(crate) fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ashvane"));
     command.stdin(Stdio::null()).env_remove("GW_CONFIG").env_remove("GW_LISTEN");
     command.env_remove("GW_NAME").env_remove("GW_DISCOVERY");
@@ -575,7 +579,7 @@
 }
 
 /// Runs the program to its end: its status, and all it wrote to standard output and error.
-pub fn run(arguments: &[&str], config: Option<&str>) -> (bool, String, String) {
+pub(crate) fn run(arguments: &[&str], config: Option<&str>) -> (bool, String, String) {
     let mut command = program();
     command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
     if let Some(path) = config {
--- a/crates/gossip/src/departed.rs
+++ b/crates/gossip/src/departed.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 /// Time for which a name is remembered. A process that was out of touch for longer may tell of what it knew before.
-pub const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
+pub(crate) const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
 /// How many names are remembered at most: of forty thousand restarts a day, those of a day and a half.
 const NAMES_MOST: usize = 60_000;
 
 /// Names of what is gone, each with the rank under which it was known last.
-pub struct Departed<Rank> {
+pub(crate) struct Departed<Rank> {
     ranks: BTreeMap<String, Rank>,
     /// The names in the order in which they came, and since when.
     order: VecDeque<(Duration, String)>,
@@ -24,7 +24,7 @@
 
 impl<Rank: Ord> Departed<Rank> {
     /// The one place where a name is added.
-    pub fn add(&mut self, name: String, rank: Rank, now: Duration) {
+    pub(crate) fn add(&mut self, name: String, rank: Rank, now: Duration) {
         if self.ranks.insert(name.clone(), rank).is_none() {
             self.order.push_back((now, name));
         }
@@ -34,24 +34,24 @@
     }
 
     /// Whether an entry of this rank is one that has gone, or older than that.
-    pub fn covers(&self, name: &str, rank: &Rank) -> bool {
+    pub(crate) fn covers(&self, name: &str, rank: &Rank) -> bool {
         self.ranks.get(name).is_some_and(|last| rank <= last)
     }
 
     /// The rank under which a name was known last.
-    pub fn rank(&self, name: &str) -> Option<&Rank> {
+    pub(crate) fn rank(&self, name: &str) -> Option<&Rank> {
         self.ranks.get(name)
     }
 
     /// It is back: a later life, or a later word of its own.
-    pub fn remove(&mut self, name: &str) {
+    pub(crate) fn remove(&mut self, name: &str) {
         if self.ranks.remove(name).is_some() {
             self.order.retain(|(_, other)| other != name);
         }
     }
 
     /// Forgets the names whose time is over.
-    pub fn forget(&mut self, now: Duration) {
+    pub(crate) fn forget(&mut self, now: Duration) {
         while self.order.front().is_some_and(|(at, _)| *at + REMEMBERED < now) {
             self.forget_first();
         }
@@ -64,7 +64,7 @@
     }
 
     /// How many names are remembered.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.ranks.len()
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -4,6 +4,8 @@
 //!
 //! [`Directory`] is the state, without I/O or a clock; [`peers`] says who talks to whom.
 
+#![expect(missing_docs, reason = "not done yet: The control and state code reads as well as it works")]
+
 mod departed;
 mod directory;
 mod hearing;
--- a/crates/gossip/tests/updates.rs
+++ b/crates/gossip/tests/updates.rs
@@ -109,6 +109,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
     fn step(&mut self, crashes: bool) {
         self.now += Duration::from_millis(self.rng.u64(1..120));
         match self.rng.usize(0..100) {
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -4,6 +4,12 @@
 //! gatherers over HTTP/1.1 with JSON. May know: the record and its judge, openraft, redb, sockets. Must not know:
 //! what a duty is for, queries, gatherers' insides.
 
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    reason = "not done yet: The control and state code reads as well as it works"
+)]
+
 pub mod clock;
 pub mod network;
 pub mod server;
--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/store.rs
@@ -19,8 +19,8 @@
 
 use crate::{Types, clock};
 
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const VOTE: &str = "vote";
 const COMMITTED: &str = "committed";
 const PURGED: &str = "purged";
--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -1,6 +1,12 @@
 //! A long run in little time: so many queries at a rate, with troubles all along, against a gatherer that may
 //! take so much memory. Tells what came of the queries and whether each purpose's memory stays at its level.
 
+#![expect(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    reason = "not done yet: The rest reads as well"
+)]
+
 use std::net::SocketAddr;
 use std::process::{ExitCode, Stdio};
 use std::sync::Arc;
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -36,11 +36,11 @@
 
     use serde::{Deserialize as _, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(time: &Duration, out: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(time: &Duration, out: S) -> Result<S::Ok, S::Error> {
         out.serialize_u64(time.as_millis() as u64)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
         u64::deserialize(from).map(Duration::from_millis)
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,6 +5,14 @@
 //! long run; many processes of the program with faults between them, and the rules checked on the history of
 //! what they did. May know: the public protocols, and how the program is started. Must not know: its code.
 
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc,
+    clippy::too_many_lines,
+    reason = "not done yet: The rest reads as well"
+)]
+
 pub mod checks;
 pub mod clients;
 pub mod discovery;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -35,7 +35,7 @@
 }
 
 impl fmt::Display for Node {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Node::Clients => f.write_str("clients"),
             Node::List => f.write_str("list"),
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -6,6 +6,8 @@
 //! [`Usual`] weight of what a query brings. May know: bytes, purposes, tenants by number, the time it is
 //! told. Must not know: queries, servers, connections, protocols.
 
+#![expect(missing_docs, clippy::missing_errors_doc, reason = "not done yet: The rest reads as well")]
+
 mod ledger;
 mod limits;
 mod purpose;
--- a/crates/memory/src/shares.rs
+++ b/crates/memory/src/shares.rs
@@ -10,7 +10,7 @@
 const KEPT_BACK: f64 = 0.25;
 
 #[derive(Clone, Debug)]
-pub struct Tenant {
+pub(crate) struct Tenant {
     pub now: u64,
     pub peak: u64,
     pub refused: u64,
@@ -20,13 +20,13 @@
 
 /// The tenants of one purpose, the last of them all that have no name.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub(crate) struct Shares {
     pub tenants: Vec<Tenant>,
     weights: f64,
 }
 
 impl Shares {
-    pub fn new(weights: &[f64]) -> Shares {
+    pub(crate) fn new(weights: &[f64]) -> Shares {
         let tenant = |weight: f64| Tenant { now: 0, peak: 0, refused: 0, weight, active: None };
         let tenants: Vec<Tenant> = weights.iter().map(|w| tenant(*w)).collect();
         let weights = tenants.iter().map(|t| t.weight).sum::<f64>();
@@ -36,19 +36,19 @@
         Shares { tenants, weights: weights + rest }
     }
 
-    pub fn index(&self, tenant: Option<usize>) -> usize {
+    pub(crate) fn index(&self, tenant: Option<usize>) -> usize {
         let last = self.tenants.len() - 1;
         tenant.filter(|t| *t < last).unwrap_or(last)
     }
 
     /// What a tenant may always take of a cap.
-    pub fn share(&self, tenant: usize, cap: u64) -> u64 {
+    pub(crate) fn share(&self, tenant: usize, cap: u64) -> u64 {
         (cap as f64 * self.tenants[tenant].weight / self.weights) as u64
     }
 
     /// Whether a tenant may take so much more while so much of the cap is in use: within its share always;
     /// beyond it only what the others that are active, or may wake, don't need.
-    pub fn may_take(&mut self, tenant: usize, bytes: u64, used: u64, cap: u64, now: Duration) -> bool {
+    pub(crate) fn may_take(&mut self, tenant: usize, bytes: u64, used: u64, cap: u64, now: Duration) -> bool {
         let own = &mut self.tenants[tenant];
         own.active = Some(now);
         if own.now + bytes <= self.share(tenant, cap) {
@@ -66,13 +66,13 @@
         used + bytes + owed + kept_back <= cap
     }
 
-    pub fn add(&mut self, tenant: usize, bytes: u64) {
+    pub(crate) fn add(&mut self, tenant: usize, bytes: u64) {
         let t = &mut self.tenants[tenant];
         t.now += bytes;
         t.peak = t.peak.max(t.now);
     }
 
-    pub fn give_back(&mut self, tenant: usize, bytes: u64) {
+    pub(crate) fn give_back(&mut self, tenant: usize, bytes: u64) {
         self.tenants[tenant].now -= bytes;
     }
 }
--- a/crates/memory/tests/model.rs
+++ b/crates/memory/tests/model.rs
@@ -60,6 +60,7 @@
     after(purpose) <= limits.of(purpose).cap && (all <= limits.total || within)
 }
 
+#[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
 fn holds(steps: Vec<Step>) -> bool {
     let first = Limits::of_memory(4 << 20);
     let weights = [1.0, 2.0, 5.0];
--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -58,7 +58,7 @@
     (0..5).map(once).fold(f64::MAX, f64::min)
 }
 
-pub fn print_entries(sizes: &[usize]) {
+pub(crate) fn print_entries(sizes: &[usize]) {
     let names = [
         "memory of a server's entry, bytes",
         "learn one entry, us",
@@ -139,7 +139,7 @@
     (0..routes).map(route).collect()
 }
 
-pub fn print_configuration(sizes: &[usize]) {
+pub(crate) fn print_configuration(sizes: &[usize]) {
     let series = |name: &str| Series { name: name.to_owned(), points: Vec::new() };
     let (mut whole, mut text) = (series("whole configuration, bytes packed"), series("as text, bytes"));
     let mut difference = series("difference of one route, bytes packed");
--- a/crates/node/examples/slopes/fit.rs
+++ b/crates/node/examples/slopes/fit.rs
@@ -1,7 +1,7 @@
 //! Fits of a figure to the size it was measured at: a line and a power, each with its error.
 
 /// A figure at each of some sizes.
-pub struct Series {
+pub(crate) struct Series {
     pub name: String,
     pub points: Vec<(f64, f64)>,
 }
@@ -23,21 +23,21 @@
 
 impl Series {
     /// The line through all points, and the greatest relative distance of a point from it.
-    pub fn line(&self) -> (f64, f64, f64) {
+    pub(crate) fn line(&self) -> (f64, f64, f64) {
         let (intercept, slope) = line(&self.points);
         let off = |(x, y): &(f64, f64)| ((intercept + slope * x) / y - 1.0).abs();
         (intercept, slope, self.points.iter().map(off).fold(0.0, f64::max))
     }
 
     /// The power by which it grows, over all points, and between the last two of them: where they differ, it bends.
-    pub fn powers(&self) -> (f64, f64) {
+    pub(crate) fn powers(&self) -> (f64, f64) {
         let logarithms = logarithms(&self.points);
         let last = &logarithms[logarithms.len().saturating_sub(2)..];
         (line(&logarithms).1, line(last).1)
     }
 
     /// What a line through all points but the last says of the last, beside what was measured there.
-    pub fn foretold(&self) -> Option<(f64, f64, f64)> {
+    pub(crate) fn foretold(&self) -> Option<(f64, f64, f64)> {
         let ((x, measured), before) = self.points.split_last()?;
         if before.len() < 2 {
             return None;
@@ -47,7 +47,7 @@
         Some((foretold, *measured, foretold / measured - 1.0))
     }
 
-    pub fn print(&self) {
+    pub(crate) fn print(&self) {
         let (intercept, slope, off) = self.line();
         let (power, last) = self.powers();
         let values: Vec<String> = self.points.iter().map(|(x, y)| format!("{x}: {y:.4}")).collect();
--- a/crates/node/examples/slopes/plot.rs
+++ b/crates/node/examples/slopes/plot.rs
@@ -7,7 +7,7 @@
 const FOLDER: &str = "docs/capacity";
 
 /// Draws a series with its line to `docs/capacity/NAME.svg`, on two logarithmic axes.
-pub fn draw(name: &str, x_label: &str, series: &Series) {
+pub(crate) fn draw(name: &str, x_label: &str, series: &Series) {
     let file = format!("{FOLDER}/{name}.svg");
     if let Err(why) = std::fs::create_dir_all(FOLDER)
         .map_err(|why| why.to_string())
--- a/crates/node/examples/slopes/processes.rs
+++ b/crates/node/examples/slopes/processes.rs
@@ -142,6 +142,7 @@
     links: f64,
 }
 
+#[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
 async fn calm(gateways: usize) -> Calm {
     let real = std::time::Instant::now();
     let simulation = world(CONTROL_NODES, gateways, None);
@@ -204,7 +205,7 @@
     }
 }
 
-pub fn print_calm(sizes: &[usize]) {
+pub(crate) fn print_calm(sizes: &[usize]) {
     let figures: Vec<(f64, Calm)> = sizes.iter().map(|size| (*size as f64, play(calm(*size)))).collect();
     let series = |name: &str, figure: fn(&Calm) -> f64| {
         let points = figures.iter().map(|(x, calm)| (*x, figure(calm))).collect();
@@ -245,7 +246,7 @@
     [held, messages as f64, bytes as f64, calls as f64]
 }
 
-pub fn print_start(sizes: &[usize]) {
+pub(crate) fn print_start(sizes: &[usize]) {
     let figures: Vec<[f64; 4]> = sizes.iter().map(|size| play(start(*size))).collect();
     let names = [
         "the first configuration is held after, ms",
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -69,7 +69,7 @@
 /// What a target in a configuration may be at the most, in milliseconds: an hour.
 const TIME_MOST: u64 = 3_600_000;
 
-fn time(at: &At) -> Duration {
+fn time(at: &At<'_>) -> Duration {
     Duration::from_millis(at.whole().min(TIME_MOST))
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Names<'_> {
-    fn service(&self, at: &At) -> Rc<str> {
+    fn service(&self, at: &At<'_>) -> Rc<str> {
         let name: Rc<str> = at.text().into();
         if at.is_there() && !self.services.contains_key(&name) {
             at.fault(&format!("there is no service {name:?}"));
@@ -86,7 +86,7 @@
         name
     }
 
-    fn target(&self, at: &At) -> Target {
+    fn target(&self, at: &At<'_>) -> Target {
         let (one, split, all) = (at.get("service"), at.get("split"), at.get("fan-out"));
         if [&one, &split, &all].iter().filter(|at| at.is_there()).count() != 1 {
             at.fault("one of service, split and fan-out is needed here");
@@ -102,7 +102,7 @@
         if !split.is_there() {
             return Target::One(vec![(if one.is_there() { self.service(&one) } else { "".into() }, 1.0)]);
         }
-        let weighted = |at: &At| (self.service(&at.get("service")), at.get("weight").number());
+        let weighted = |at: &At<'_>| (self.service(&at.get("service")), at.get("weight").number());
         let services: Vec<_> = split.list().iter().map(weighted).collect();
         let sound = services.iter().all(|(_, weight)| weight.is_finite() && *weight >= 0.0);
         if !sound || services.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
@@ -111,7 +111,7 @@
         Target::One(services)
     }
 
-    fn route(&self, at: &At) -> Route {
+    fn route(&self, at: &At<'_>) -> Route {
         let (kind, prefix, deadline) = (at.get("kind"), at.get("path-prefix"), at.get("deadline-ms"));
         let path = prefix.text();
         if prefix.is_there() && !(path.starts_with('/') && path.ends_with('/')) {
@@ -148,13 +148,13 @@
     }
 }
 
-fn service(at: &At) -> (Rc<str>, Service) {
+fn service(at: &At<'_>) -> (Rc<str>, Service) {
     let most = at.get("max-conns").or(64, At::whole).clamp(1, 1 << 20) as usize;
     let health_path = at.get("health-path").or("/health".to_owned(), At::name);
     (at.get("name").name().into(), Service { health_path, max_conns: most })
 }
 
-fn limits(at: &At) -> Limits {
+fn limits(at: &At<'_>) -> Limits {
     let otherwise = Limits::default();
     Limits {
         header_bytes: at.get("max-header-bytes").or(otherwise.header_bytes as u64, At::whole) as usize,
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -63,7 +63,7 @@
 
 /// Why a store could not be read or written.
 #[derive(Debug, Display, Error)]
-pub enum StoreError {
+pub(super) enum StoreError {
     /// The disk takes nothing, or gives nothing, for now: what the store holds may be whole.
     #[display("the disk refuses: {why}")]
     Refused { why: io::Error },
@@ -112,7 +112,7 @@
 type Synced = BTreeMap<PathBuf, Listing>;
 
 /// A store; its handle is none while it has to be opened anew.
-pub struct Store {
+pub(super) struct Store {
     dir: PathBuf,
     medium: Arc<dyn Medium>,
     db: Option<sled::Db>,
@@ -144,18 +144,18 @@
 }
 
 impl Store {
-    pub fn new(dir: PathBuf, medium: Arc<dyn Medium>) -> Self {
+    pub(super) fn new(dir: PathBuf, medium: Arc<dyn Medium>) -> Self {
         Store { dir, medium, db: None, synced: Synced::new(), written: None, named: false }
     }
 
     /// The value that it holds.
-    pub fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
+    pub(super) fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
         guarded(|| Ok(self.db()?.get(KEY)?.map(|bytes| bytes.to_vec())))
     }
 
     /// Puts a value in place of the one before; it is safe once this has returned. Whatever the store held may be gone
     /// from the moment this is called.
-    pub fn write(&mut self, value: &[u8]) -> Result<(), StoreError> {
+    pub(super) fn write(&mut self, value: &[u8]) -> Result<(), StoreError> {
         let written = match self.written.and_then(|written| written.with(value)) {
             Some(written) => written,
             None => {
@@ -181,7 +181,7 @@
     }
 
     /// Empties it.
-    pub fn renew(&mut self) -> Result<(), StoreError> {
+    pub(super) fn renew(&mut self) -> Result<(), StoreError> {
         self.let_go();
         (self.written, self.named) = (None, false);
         match std::fs::remove_dir_all(&self.dir) {
@@ -191,7 +191,7 @@
     }
 
     /// Drops the handle: one that has failed once may panic at its end too.
-    pub fn let_go(&mut self) {
+    pub(super) fn let_go(&mut self) {
         let db = self.db.take();
         self.synced.clear();
         let _ = guarded(|| {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,17 @@
 //! The whole search front as one program. [`program`] starts a role; [`agent`] is what each process knows and
 //! does with others; [`plane`] carries queries by the decisions of the `ashvane` module.
 
+#![allow(
+    clippy::wildcard_imports,
+    reason = "not done yet: The control and state code reads as well as it works"
+)]
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not done yet: The control and state code reads as well as it works; The path of a request reads as well as it works"
+)]
+
 pub mod agent;
 pub mod client;
 pub mod config;
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -50,7 +50,7 @@
     type Err = slog::Never;
 
     /// Lines go out as they are: the clock of the machine may jump, so each begins with seconds since start.
-    fn log(&self, record: &slog::Record, values: &slog::OwnedKVList) -> Result<(), slog::Never> {
+    fn log(&self, record: &slog::Record<'_>, values: &slog::OwnedKVList) -> Result<(), slog::Never> {
         use std::io::Write as _;
         let mut line = LogLine(format!("{} {}", record.level().as_short_str(), record.msg()));
         let _ = slog::KV::serialize(&record.kv(), record, &mut line);
@@ -64,7 +64,7 @@
 struct LogLine(String);
 
 impl slog::Serializer for LogLine {
-    fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments) -> slog::Result {
+    fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments<'_>) -> slog::Result {
         use std::fmt::Write as _;
         write!(self.0, " {key}={value}").map_err(slog::Error::from)
     }
@@ -72,7 +72,7 @@
 
 pub fn logger(level: Level) -> Logger {
     let since = std::time::Instant::now();
-    let seconds = slog::PushFnValue(move |_: &slog::Record, to: slog::PushFnValueSerializer| {
+    let seconds = slog::PushFnValue(move |_: &slog::Record<'_>, to: slog::PushFnValueSerializer<'_>| {
         to.emit(format_args!("{:.3}", since.elapsed().as_secs_f64()))
     });
     Logger::root(Plain.filter_level(level).ignore_res(), o!("t" => seconds))
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -33,7 +33,7 @@
     pub retry_slack: f64,
 }
 
-fn address(at: &At) -> Option<SocketAddr> {
+fn address(at: &At<'_>) -> Option<SocketAddr> {
     at.or(None, |at| {
         let read = at.text().parse().ok();
         if read.is_none() {
@@ -43,7 +43,7 @@
     })
 }
 
-fn port(at: Option<&At>) -> u16 {
+fn port(at: Option<&At<'_>>) -> u16 {
     at.map_or(0, |at| {
         u16::try_from(at.whole()).unwrap_or_else(|_| {
             at.fault("a port is needed here");
@@ -53,14 +53,14 @@
 }
 
 impl Settings {
-    fn read(at: &At) -> Settings {
+    fn read(at: &At<'_>) -> Settings {
         let ports = at.get("internal-ports").list();
         if ports.len() != 2 {
             at.get("internal-ports").fault("the first and the last port are needed here");
         }
         let (listen, bounds, limits) = (at.get("listen"), at.get("bounds"), at.get("limits"));
         let zones = at.get("zones");
-        let names = |at: &At| match at.is_there() {
+        let names = |at: &At<'_>| match at.is_there() {
             true => at.map_keys(),
             false => Vec::new(),
         };
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -20,24 +20,24 @@
 
 /// A request or an answer as it stood on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
+pub(crate) struct Message {
     pub first: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    pub fn header(&self, name: &str) -> &str {
+    pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
 /// Reads one message; none where the connection ends before it is whole.
-pub async fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
+pub(crate) async fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -62,9 +62,9 @@
 }
 
 /// What a server does with a request: the bytes that it sends, and whether it then closes.
-pub type Script = Box<dyn FnMut(&Message) -> (Vec<u8>, bool)>;
+pub(crate) type Script = Box<dyn FnMut(&Message) -> (Vec<u8>, bool)>;
 
-pub struct Server {
+pub(crate) struct Server {
     pub id: String,
     pub service: String,
     pub address: SocketAddr,
@@ -72,18 +72,18 @@
 }
 
 /// A whole answer.
-pub fn answer(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn answer(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let id = request.header("attempt-id");
     let head =
         format!("HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-pub fn sealed(request: &Message, seal: &str, body: &[u8]) -> (Vec<u8>, bool) {
+pub(crate) fn sealed(request: &Message, seal: &str, body: &[u8]) -> (Vec<u8>, bool) {
     (answer(request, "200 OK", &format!("Server-Seal: {seal}\r\n"), body), false)
 }
 
-pub async fn server(id: &str, service: &str, script: Script) -> Server {
+pub(crate) async fn server(id: &str, service: &str, script: Script) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let got: Rc<RefCell<Vec<Message>>> = Rc::default();
@@ -106,7 +106,7 @@
     Server { id: id.to_owned(), service: service.to_owned(), address, got }
 }
 
-pub struct Hall {
+pub(crate) struct Hall {
     pub front: SocketAddr,
     pub control: SocketAddr,
     pub readiness: SocketAddr,
@@ -119,24 +119,24 @@
 }
 
 /// One exchange on a connection of its own.
-pub async fn ask(to: SocketAddr, request: &str) -> Option<Message> {
+pub(crate) async fn ask(to: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = BufReader::new(TcpStream::connect(to).await.ok()?);
     stream.write_all(request.as_bytes()).await.ok()?;
     read(&mut stream).await
 }
 
-pub fn put(path: &str, body: &str) -> String {
+pub(crate) fn put(path: &str, body: &str) -> String {
     format!("PUT {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 impl Hall {
     /// A system of one machine, which starts on an empty disk.
-    pub fn start(name: &str) -> Hall {
+    pub(crate) fn start(name: &str) -> Hall {
         Hall::place(name, Role::Control, None)
     }
 
     /// A gateway that takes control calls too, beside the control_node of another one.
-    pub fn gateway(name: &str, beside: &Hall) -> Hall {
+    pub(crate) fn gateway(name: &str, beside: &Hall) -> Hall {
         Hall::place(name, Role::Gateway, Some(beside.control))
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Tries until the answer is this one.
-    pub async fn until(&self, to: SocketAddr, request: &str, status: u16) -> Message {
+    pub(crate) async fn until(&self, to: SocketAddr, request: &str, status: u16) -> Message {
         let began = Instant::now();
         while began.elapsed() < COMES_ABOUT {
             if let Some(answer) = ask(to, request).await
@@ -188,7 +188,7 @@
         panic!("never {status}: {request}");
     }
 
-    pub async fn configure(&self, version: u64, routes: &str, services: &[&str]) {
+    pub(crate) async fn configure(&self, version: u64, routes: &str, services: &[&str]) {
         let services: Vec<String> =
             services.iter().map(|s| format!(r#"{{"name":"{s}","max-conns":64}}"#)).collect();
         let body =
@@ -196,7 +196,7 @@
         self.until(self.control, &put("/api/configuration", &body), 200).await;
     }
 
-    pub async fn beat(&self, server: &Server, state: &str, seq: u64) {
+    pub(crate) async fn beat(&self, server: &Server, state: &str, seq: u64) {
         let body = format!(
             r#"{{"service":"{}","address":"{}","zone":"a","capacity":4,"state":"{state}","call-seq":{seq}}}"#,
             server.service, server.address
@@ -205,11 +205,11 @@
     }
 
     /// Until the front takes clients.
-    pub async fn ready(&self) {
+    pub(crate) async fn ready(&self) {
         self.until(self.readiness, "GET /api/readiness HTTP/1.1\r\nHost: r\r\n\r\n", 200).await;
     }
 
-    pub async fn get(&self, path: &str, id: &str) -> Message {
+    pub(crate) async fn get(&self, path: &str, id: &str) -> Message {
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: 2000\r\n\r\n"
         );
@@ -217,7 +217,7 @@
     }
 }
 
-pub fn route(name: &str, kind: &str, target: &str) -> String {
+pub(crate) fn route(name: &str, kind: &str, target: &str) -> String {
     format!(
         r#"{{"name":"{name}","host":"h.example","path-prefix":"/{name}/","kind":"{kind}","deadline-ms":2000,
             "target-ms":400,{target},"max-tries":2}}"#
@@ -225,7 +225,7 @@
 }
 
 /// Runs a test's tasks on one thread.
-pub fn run<F: Future<Output = ()>>(test: F) {
+pub(crate) fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/node/tests/curves.rs
+++ b/crates/node/tests/curves.rs
@@ -63,6 +63,7 @@
     (times[times.len() / 2], times[times.len() - 1])
 }
 
+#[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
 async fn play_size(size: Size) {
     fastrand::seed(1);
     let losses = if size.control_nodes > 5 { 2 } else { 1 };
--- a/crates/node/tests/days/drawn.rs
+++ b/crates/node/tests/days/drawn.rs
@@ -5,6 +5,7 @@
 
 impl World {
     /// One trouble of the core, or of the others beside it.
+    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
     fn trouble(&mut self) {
         let control_nodes = self.simulation.control_nodes();
         let control_node = control_nodes[self.rng.usize(..control_nodes.len())].clone();
@@ -93,7 +94,7 @@
     }
 }
 
-pub async fn day(seed: u64) {
+pub(crate) async fn day(seed: u64) {
     let mut world = World::new(seed, false);
     sleep(ms(2000)).await;
     world.version = 1;
--- a/crates/node/tests/days/history.rs
+++ b/crates/node/tests/days/history.rs
@@ -6,21 +6,21 @@
 
 /// One text of an operator's configuration: two orders under one version differ in their salt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub(super) struct Order {
     pub version: u64,
     pub salt: u64,
 }
 
 impl Order {
     /// The order that a configuration in force stems from.
-    pub fn of(config: &Config) -> Option<Order> {
+    pub(super) fn of(config: &Config) -> Option<Order> {
         let salt = config.routes().next()?.name.strip_prefix('r')?.parse().ok()?;
         Some(Order { version: config.version, salt })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub(super) enum Answer {
     /// And this version holds.
     Acknowledged {
         held: u64,
@@ -31,7 +31,7 @@
 
 /// All that was said of orders, to whomever, and all that was in force, wherever.
 #[derive(Default)]
-pub struct History {
+pub(super) struct History {
     sent: BTreeSet<Order>,
     acknowledged: BTreeSet<Order>,
     refused: BTreeSet<Order>,
@@ -44,29 +44,29 @@
 
 impl History {
     /// Nothing that must not be has been seen so far.
-    pub fn check(&self) {
+    pub(super) fn check(&self) {
         let first = self.broken.iter().take(2).cloned().collect::<Vec<_>>();
         assert!(first.is_empty(), "{}", first.join("; "));
     }
 
-    pub fn fault(&mut self, what: String) {
+    pub(super) fn fault(&mut self, what: String) {
         self.broken.push(what);
     }
 
-    pub fn sent(&mut self, order: Order) {
+    pub(super) fn sent(&mut self, order: Order) {
         self.sent.insert(order);
     }
 
-    pub fn acknowledged(&self) -> impl Iterator<Item = Order> {
+    pub(super) fn acknowledged(&self) -> impl Iterator<Item = Order> {
         self.acknowledged.iter().copied()
     }
 
-    pub fn refused(&self) -> impl Iterator<Item = Order> {
+    pub(super) fn refused(&self) -> impl Iterator<Item = Order> {
         self.refused.iter().copied()
     }
 
     /// What a read that begins now must at least find.
-    pub fn floor(&self) -> u64 {
+    pub(super) fn floor(&self) -> u64 {
         self.newest
     }
 
@@ -90,7 +90,7 @@
         self.newest = self.newest.max(order.version);
     }
 
-    pub fn answered(&mut self, order: Order, answer: Answer, by: &str) {
+    pub(super) fn answered(&mut self, order: Order, answer: Answer, by: &str) {
         match answer {
             Answer::Unclear => {}
             Answer::Acknowledged { held } => {
@@ -117,7 +117,7 @@
     }
 
     /// A read that began at this floor has found this; zero stands for nothing.
-    pub fn read(&mut self, floor: u64, found: Option<Order>, by: &str) {
+    pub(super) fn read(&mut self, floor: u64, found: Option<Order>, by: &str) {
         let version = found.map_or(0, |order| order.version);
         if version < floor {
             self.fault(format!("{by} answers {version} to a read that began after {floor}"));
@@ -127,7 +127,7 @@
         }
     }
 
-    pub fn in_force(&mut self, order: Order, at: &str) {
+    pub(super) fn in_force(&mut self, order: Order, at: &str) {
         self.stands(order, &format!("in force at {at}"));
     }
 }
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -1,8 +1,8 @@
 //! A day of the simulated system: its callers, what is done to its machines, and what must hold all along.
 
-pub mod drawn;
+pub(crate) mod drawn;
 mod history;
-pub mod worst;
+pub(crate) mod worst;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -192,7 +192,7 @@
 }
 
 /// One day.
-pub struct World {
+pub(crate) struct World {
     rng: fastrand::Rng,
     callers: Callers,
     simulation: Rc<Simulation>,
--- a/crates/node/tests/days/worst.rs
+++ b/crates/node/tests/days/worst.rs
@@ -15,7 +15,7 @@
 /// What a message may take longer than others, in some of these days.
 const JITTER: Duration = ms(12);
 
-pub struct WorstDay {
+pub(crate) struct WorstDay {
     world: World,
     salts: u64,
     /// All orders that were sent.
@@ -235,7 +235,7 @@
     }
 }
 
-pub async fn day(seed: u64) {
+pub(crate) async fn day(seed: u64) {
     let mut day = WorstDay::new(seed);
     sleep(ms(2000)).await;
     day.world.version = 1;
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -12,7 +12,7 @@
 
 use super::{assert_golden, golden};
 
-pub fn gateway() -> Node {
+pub(crate) fn gateway() -> Node {
     Node {
         name: "gateway-7".to_owned(),
         life: u64::MAX - 5,
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn control_node() -> Node {
+pub(crate) fn control_node() -> Node {
     Node {
         name: "control-1".to_owned(),
         life: 17,
@@ -44,7 +44,7 @@
     HearingTerm { epoch: 3, round: 2, holder: "control-1".to_owned() }
 }
 
-pub fn server(state: State, silence: Silence) -> Server {
+pub(crate) fn server(state: State, silence: Silence) -> Server {
     Server {
         id: "i-1".to_owned(),
         service: "lookup".to_owned(),
@@ -119,7 +119,7 @@
 }
 
 /// Each case under a name of its own.
-pub fn cases() -> Vec<(&'static str, Message)> {
+pub(crate) fn cases() -> Vec<(&'static str, Message)> {
     let update = |number, updates| Message::Update { number, updates };
     let (known, base) = (Some((4, ballot(6))), ballot(6));
     let prepare = |known| request(Request::Prepare { epoch: 4, ballot: ballot(7), known });
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -76,6 +76,16 @@
     let new = simulation.add_control_node();
     new.start(&simulation.network, false);
     beats(&simulation, 16, &mut seq).await;
+    faults(&simulation, &machines, &mut seq).await;
+    let states = simulation.all().into_iter().filter_map(|machine| {
+        let agent = machine.agent()?;
+        Some(format!("{}\n{:#}\n", machine.name, agent.state()))
+    });
+    states.collect()
+}
+
+/// A cut, a wiped disk, an orderly restart, a loss of all power, and a control node that goes with its servers.
+async fn faults(simulation: &Simulation, machines: &[Rc<Machine>], seq: &mut u64) {
     // Two that are cut off for a while, and orders at both sides.
     let far = [machines[0].ip.clone(), machines[7].ip.clone()];
     let cut = simulation.network.cut(Direction::Both, far);
@@ -84,33 +94,28 @@
     put(&machines[1], 5, 2).await;
     sleep(ms(6000)).await;
     simulation.network.mend(cut);
-    beats(&simulation, 4, &mut seq).await;
+    beats(simulation, 4, seq).await;
     // One is wiped and back, one is told to end and comes back, a gateway starts anew.
     machines[1].kill(&simulation.network);
     machines[1].wipe();
     machines[1].start(&simulation.network, false);
-    beats(&simulation, 6, &mut seq).await;
+    beats(simulation, 6, seq).await;
     machines[2].terminate(&simulation.network).await;
     sleep(ms(2000)).await;
     machines[2].start(&simulation.network, false);
     machines[6].kill(&simulation.network);
     machines[6].start(&simulation.network, false);
     put(&machines[0], 8, 4).await;
-    beats(&simulation, 5, &mut seq).await;
+    beats(simulation, 5, seq).await;
     // Power fails everywhere.
     let all = simulation.all();
     all.iter().for_each(|machine| machine.kill(&simulation.network));
     all.iter().for_each(|machine| machine.start(&simulation.network, false));
     sleep(ms(500)).await;
-    beats(&simulation, 8, &mut seq).await;
+    beats(simulation, 8, seq).await;
     // A control node goes with the servers that it heard: another process says that those are silent.
     machines[3].kill(&simulation.network);
     sleep(ms(22_000)).await;
-    let states = simulation.all().into_iter().filter_map(|machine| {
-        let agent = machine.agent()?;
-        Some(format!("{}\n{:#}\n", machine.name, agent.state()))
-    });
-    states.collect()
 }
 
 /// What passed, by way: lines, bytes, their digest, and how many of each kind.
--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -179,6 +179,7 @@
 
 /// Loses as many members as may be lost at once, and as soon as `catch-up-s` allows as many others, and again. An order
 /// is acknowledged right before each loss and right after it.
+#[expect(clippy::cognitive_complexity, reason = "not done yet: The rest reads as well")]
 async fn lose(many: usize, losses: usize, loss: Loss) {
     let mut world = World::new(many, losses).await;
     let mut longest = ms(0);
--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -70,7 +70,7 @@
 }
 
 /// Asks one thing after another, on one connection or on several.
-pub async fn client(world: Rc<World>, number: usize, seed: u64, exchanges: usize) {
+pub(crate) async fn client(world: Rc<World>, number: usize, seed: u64, exchanges: usize) {
     let mut rng = fastrand::Rng::with_seed(seed << 8 | number as u64);
     let mut kept: Option<Wire> = None;
     for n in 0..exchanges {
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -1,9 +1,9 @@
 //! A gateway as it serves, between clients and servers that are played: the connections, the ledger of what was asked,
 //! run and answered, and the whole that is put together from them.
 
-pub mod client;
-pub mod server;
-pub mod wire;
+pub(crate) mod client;
+pub(crate) mod server;
+pub(crate) mod wire;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,22 +25,22 @@
 
 use server::{Server, Servers};
 
-pub const fn ms(ms: u64) -> Duration {
+pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// The services, and how many servers each has.
 const SERVICES: [(&str, usize); 5] = [("s", 5), ("lone", 1), ("a", 2), ("b", 2), ("c", 2)];
 /// How many records the gathered answer has.
-pub const TOP: usize = 5;
+pub(crate) const TOP: usize = 5;
 /// Time in which what is left over at the end comes to its end.
 const AFTERMATH: Duration = ms(3000);
 
 /// What was done how often.
-pub type Counts = BTreeMap<&'static str, u32>;
+pub(crate) type Counts = BTreeMap<&'static str, u32>;
 
 /// A request as its client sent it, and what servers made of it.
-pub struct Asked {
+pub(crate) struct Asked {
     pub method: &'static str,
     pub target: String,
     pub body: Vec<u8>,
@@ -58,7 +58,7 @@
 }
 
 /// An answer that a server has given, under its seal.
-pub struct Sealed {
+pub(crate) struct Sealed {
     pub attempt: String,
     pub service: &'static str,
     pub body: Vec<u8>,
@@ -68,7 +68,7 @@
 
 /// All that clients and servers know together, and what was found wrong.
 #[derive(Default)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     pub asked: BTreeMap<String, Asked>,
     pub sealed: BTreeMap<String, Sealed>,
     pub wrongs: Vec<String>,
@@ -76,20 +76,20 @@
 }
 
 impl Ledger {
-    pub fn wrong(&mut self, what: impl Into<String>) {
+    pub(crate) fn wrong(&mut self, what: impl Into<String>) {
         self.wrongs.push(what.into());
     }
 
-    pub fn count(&mut self, what: &'static str) {
+    pub(crate) fn count(&mut self, what: &'static str) {
         *self.counts.entry(what).or_default() += 1;
     }
 
-    pub fn did(&mut self, attempt: &str, deed: &'static str) {
+    pub(crate) fn did(&mut self, attempt: &str, deed: &'static str) {
         self.asked.get_mut(attempt).into_iter().for_each(|asked| asked.deeds.push(deed));
     }
 
     /// A server runs this.
-    pub fn run(&mut self, attempt: &str) {
+    pub(crate) fn run(&mut self, attempt: &str) {
         let Some(asked) = self.asked.get_mut(attempt) else { return };
         asked.runs += 1;
         let (twice, promised) = (asked.once && asked.runs > 1, asked.promised);
@@ -103,7 +103,7 @@
 }
 
 /// The gateway and all around it.
-pub struct World {
+pub(crate) struct World {
     pub agent: Rc<Agent>,
     pub plane: Rc<DataPlane>,
     pub door: Rc<Door>,
@@ -163,7 +163,7 @@
 }
 
 impl World {
-    pub async fn start(seed: u64) -> Rc<World> {
+    pub(crate) async fn start(seed: u64) -> Rc<World> {
         fastrand::seed(seed);
         let (settings, log) = (settings(), Logger::root(Discard, o!()));
         let (ledger, trouble) = (Rc::<RefCell<Ledger>>::default(), Rc::new(Cell::new(true)));
@@ -206,7 +206,7 @@
     }
 
     /// Ends in order while clients go on, as a process does on SIGTERM.
-    pub async fn leave(&self, after: Duration, closes_after: Duration) {
+    pub(crate) async fn leave(&self, after: Duration, closes_after: Duration) {
         sleep(after).await;
         self.agent.leave();
         sleep(closes_after).await;
@@ -214,7 +214,7 @@
     }
 
     /// Nothing is left open or owed, and no promise was broken after all.
-    pub async fn check_at_the_end(&self) {
+    pub(crate) async fn check_at_the_end(&self) {
         self.trouble.set(false);
         sleep(AFTERMATH).await;
         self.servers.close_all();
@@ -234,7 +234,7 @@
 }
 
 /// Plays on one thread, with time that is counted.
-pub fn play<F: Future>(world: F) -> F::Output {
+pub(crate) fn play<F: Future>(world: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), world)
 }
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -15,7 +15,7 @@
 use super::{Ledger, Sealed, ms};
 
 /// All that a server may do with a request or a connection.
-pub const DEEDS: [&str; 36] = [
+pub(crate) const DEEDS: [&str; 36] = [
     "well",
     "well, in chunks",
     "well, and closes",
@@ -138,7 +138,7 @@
     }
 }
 
-pub struct Server {
+pub(crate) struct Server {
     pub id: String,
     pub service: &'static str,
     pub address: String,
@@ -153,7 +153,7 @@
 }
 
 impl Server {
-    pub fn start(
+    pub(crate) fn start(
         service: &'static str, number: usize, rng: fastrand::Rng, ledger: Rc<RefCell<Ledger>>,
         trouble: Rc<Cell<bool>>,
     ) -> Rc<Server> {
@@ -322,6 +322,7 @@
     }
 
     /// What is drawn for this request.
+    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
     fn deed(&self, request: &Message, attempt: &str) -> Deed {
         let well = !self.trouble.get() || self.draw(|rng| rng.u32(..10)) < WELL;
         let name = if well { DEEDS[0] } else { DEEDS[self.draw(|rng| rng.usize(..WITH_REQUEST))] };
@@ -488,16 +489,16 @@
 
 /// All servers, by their addresses.
 #[derive(Default)]
-pub struct Servers(RefCell<BTreeMap<String, Rc<Server>>>);
+pub(crate) struct Servers(RefCell<BTreeMap<String, Rc<Server>>>);
 
 impl Servers {
-    pub fn is_there(&self, server: Rc<Server>) {
+    pub(crate) fn is_there(&self, server: Rc<Server>) {
         let before = self.0.borrow_mut().insert(server.address.clone(), server);
         assert!(before.is_none(), "an address of its own");
     }
 
     /// All of their connections end.
-    pub fn close_all(&self) {
+    pub(crate) fn close_all(&self) {
         for server in self.0.borrow().values() {
             server.closed.send_replace(true);
         }
--- a/crates/node/tests/scripted/wire.rs
+++ b/crates/node/tests/scripted/wire.rs
@@ -19,13 +19,13 @@
 }
 
 /// One end of a connection.
-pub struct Wire {
+pub(crate) struct Wire {
     stream: DuplexStream,
     line: Rc<Line>,
     unread: Vec<u8>,
 }
 
-pub fn wires() -> (Wire, Wire) {
+pub(crate) fn wires() -> (Wire, Wire) {
     let (near, far) = duplex(WINDOW);
     let line = Rc::<Line>::default();
     let end = |stream| Wire { stream, line: line.clone(), unread: Vec::new() };
@@ -34,7 +34,7 @@
 
 impl Wire {
     /// What either side still has to read is lost.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         self.line.reset.set(true);
         self.line.waiting.borrow_mut().drain(..).for_each(Waker::wake);
     }
@@ -77,25 +77,25 @@
 
 /// A request or an answer as it stood on the wire.
 #[derive(Debug, Default)]
-pub struct Message {
+pub(crate) struct Message {
     pub first: String,
     pub headers: BTreeMap<String, Vec<String>>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|values| values.first()).map(String::as_str)
     }
 
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
 /// Why no message came.
 #[derive(Debug, PartialEq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// The connection ended between messages, ...
     Ended,
     /// ... or inside one.
@@ -118,7 +118,7 @@
     }
 
     /// Waits for the first bytes of a message.
-    pub async fn begins(&mut self) -> Result<(), Fault> {
+    pub(crate) async fn begins(&mut self) -> Result<(), Fault> {
         while self.unread.is_empty() {
             self.more(false).await?;
         }
@@ -143,7 +143,7 @@
     }
 
     /// The next message, whole. Its body has a length or comes in chunks, or there is none.
-    pub async fn message(&mut self) -> Result<Message, Fault> {
+    pub(crate) async fn message(&mut self) -> Result<Message, Fault> {
         let mut message = Message { first: self.line(false).await?, ..Message::default() };
         loop {
             let line = self.line(true).await?;
--- a/crates/node/tests/simulation/bounds.rs
+++ b/crates/node/tests/simulation/bounds.rs
@@ -9,21 +9,21 @@
 
 /// Bytes that went from one zone to another, and connections that were called.
 #[derive(Clone, Debug, Default)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     pub bytes: BTreeMap<(String, String), u64>,
     pub calls: u64,
 }
 
 /// What a machine's processor takes for the bytes that come in one piece, sent or received.
 #[derive(Clone, Copy, Debug)]
-pub struct Processor {
+pub(crate) struct Processor {
     pub per_piece: Duration,
     pub per_byte: Duration,
 }
 
 /// The processors and zones of simulated machines, by host. Machines that are not named here are not bounded.
 #[derive(Default)]
-pub struct Bounds {
+pub(crate) struct Bounds {
     zones: RefCell<BTreeMap<String, String>>,
     /// Each bounded processor, and until when it is at work.
     processors: RefCell<BTreeMap<String, Processor>>,
@@ -33,16 +33,16 @@
 }
 
 impl Bounds {
-    pub fn place(&self, host: &str, zone: &str) {
+    pub(crate) fn place(&self, host: &str, zone: &str) {
         self.zones.borrow_mut().insert(host.to_owned(), zone.to_owned());
     }
 
     /// Bounds a machine's processor: it handles one piece after another.
-    pub fn slow(&self, host: &str, processor: Processor) {
+    pub(crate) fn slow(&self, host: &str, processor: Processor) {
         self.processors.borrow_mut().insert(host.to_owned(), processor);
     }
 
-    pub fn traffic(&self) -> Traffic {
+    pub(crate) fn traffic(&self) -> Traffic {
         Traffic { calls: self.calls.get(), ..self.traffic.borrow().clone() }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Bytes pass from one machine to another: waits until both have handled them.
-    pub async fn pass(&self, from: &str, to: &str, bytes: usize) {
+    pub(crate) async fn pass(&self, from: &str, to: &str, bytes: usize) {
         let zone = |host| self.zones.borrow().get(host).cloned();
         if let Some(zones) = zone(from).zip(zone(to)) {
             *self.traffic.borrow_mut().bytes.entry(zones).or_default() += bytes as u64;
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -3,7 +3,7 @@
 
 // Not every test bounds its machines.
 #[allow(dead_code)]
-pub mod bounds;
+pub(crate) mod bounds;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, interval, sleep, timeout};
 
-pub const fn ms(ms: u64) -> Duration {
+pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
@@ -34,12 +34,12 @@
 /// What a sync takes.
 const SYNC: Duration = ms(5);
 /// Time between a process being told to end and its end by force.
-pub const GRACE: Duration = ms(6000);
+pub(crate) const GRACE: Duration = ms(6000);
 /// Bytes that wait in a connection.
 const WINDOW: usize = 64 << 10;
 
 /// A small configuration; `salt` tells two of one version apart.
-pub fn configuration(version: u64, salt: u64) -> String {
+pub(crate) fn configuration(version: u64, salt: u64) -> String {
     format!(
         "{{\"version\":{version},\"routes\":[{{\"name\":\"r{salt}\",\"host\":\"h.example\",\"path-prefix\":\"/r/\",\
          \"kind\":\"idempotent\",\"deadline-ms\":2000,\"target-ms\":200,\"priority\":1,\"service\":\"s\",\
@@ -51,7 +51,7 @@
 
 /// A configuration with so many routes, whose packed text is some fifty bytes for each.
 #[allow(dead_code, reason = "not all tests that share the simulation have large configurations")]
-pub fn wide_configuration(version: u64, routes: usize) -> String {
+pub(crate) fn wide_configuration(version: u64, routes: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(version);
     let mut name = |len: usize| (0..len).map(|_| rng.alphanumeric()).collect::<String>();
     let more: String = (0..routes)
@@ -90,7 +90,7 @@
 
 /// The network: who listens, and which machines are cut off from the others.
 #[derive(Default)]
-pub struct Network {
+pub(crate) struct Network {
     doors: RefCell<BTreeMap<String, mpsc::UnboundedSender<Ways>>>,
     /// By number, each until it is mended.
     cuts: RefCell<BTreeMap<u64, Cut>>,
@@ -114,7 +114,7 @@
 
 /// Which ways a cut stops what is said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Direction {
+pub(crate) enum Direction {
     Both,
     Inward,
     Outward,
@@ -129,13 +129,13 @@
     }
 
     /// What one machine says no longer reaches another; the way back is left as it is.
-    pub fn sever(&self, from: &str, to: &str) {
+    pub(crate) fn sever(&self, from: &str, to: &str) {
         self.severed.borrow_mut().insert((from.to_owned(), to.to_owned()));
     }
 
     /// A machine takes in so many bytes a second, over all its connections.
     #[allow(dead_code, reason = "not all tests that share the simulation have narrow links")]
-    pub fn narrow(&self, machine: &str, bytes_a_second: u64) {
+    pub(crate) fn narrow(&self, machine: &str, bytes_a_second: u64) {
         self.narrow.borrow_mut().insert(machine.to_owned(), (bytes_a_second, Instant::now()));
     }
 
@@ -148,18 +148,18 @@
     }
 
     /// Neither of two machines reaches the other.
-    pub fn part(&self, a: &str, b: &str) {
+    pub(crate) fn part(&self, a: &str, b: &str) {
         self.sever(a, b);
         self.sever(b, a);
     }
 
     /// All reach each other again.
-    pub fn mend_all(&self) {
+    pub(crate) fn mend_all(&self) {
         self.cuts.borrow_mut().clear();
         self.severed.borrow_mut().clear();
     }
 
-    pub fn break_all(&self, machine: &str) {
+    pub(crate) fn break_all(&self, machine: &str) {
         *self.breaks.borrow_mut().entry(machine.to_owned()).or_default() += 1;
     }
 
@@ -168,12 +168,12 @@
         [a, b].iter().filter_map(|m| breaks.get(host(m))).sum()
     }
 
-    pub fn mend(&self, cut: u64) {
+    pub(crate) fn mend(&self, cut: u64) {
         self.cuts.borrow_mut().remove(&cut);
     }
 
     /// Cuts these machines off from all others; the number mends it.
-    pub fn cut(&self, direction: Direction, far: impl IntoIterator<Item = String>) -> u64 {
+    pub(crate) fn cut(&self, direction: Direction, far: impl IntoIterator<Item = String>) -> u64 {
         let number = self.next_cut.get() + 1;
         self.next_cut.set(number);
         let (inward, outward) = (direction != Direction::Outward, direction != Direction::Inward);
@@ -191,14 +191,14 @@
     }
 
     /// Takes the place of the process at an address: whoever calls it from now on comes out here.
-    pub fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Ways> {
+    pub(crate) fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Ways> {
         let (door, callers) = mpsc::unbounded_channel();
         self.doors.borrow_mut().insert(address.to_owned(), door);
         callers
     }
 
     /// Calls the process at an address, with nothing in between.
-    pub fn connect(&self, address: &str) -> Option<DuplexStream> {
+    pub(crate) fn connect(&self, address: &str) -> Option<DuplexStream> {
         let (near, far) = duplex(WINDOW);
         let (read, write) = split(far);
         let door = self.doors.borrow().get(address).cloned()?;
@@ -260,7 +260,7 @@
 
 /// What a machine's disk holds, and how long a sync takes there.
 #[derive(Clone)]
-pub struct Storage {
+pub(crate) struct Storage {
     pub safe: Rc<RefCell<Whole>>,
     pub sync: Rc<Cell<Duration>>,
 }
@@ -287,7 +287,7 @@
 }
 
 #[derive(Default)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub name: String,
     pub ip: String,
     pub zone: String,
@@ -323,42 +323,42 @@
         Machine { name, ip, zone, storage, seeds, losses, well_since, ..Machine::default() }
     }
 
-    pub fn agent(&self) -> Option<Rc<Agent>> {
+    pub(crate) fn agent(&self) -> Option<Rc<Agent>> {
         self.agent.borrow().clone()
     }
 
-    pub fn is_control_node(&self) -> bool {
+    pub(crate) fn is_control_node(&self) -> bool {
         self.storage.is_some() && !self.gone.get()
     }
 
     /// Its settings name these machines from its next start on.
     #[allow(dead_code, reason = "not all tests that share the simulation change settings")]
-    pub fn name_seeds(&self, seeds: &[Rc<Machine>]) {
+    pub(crate) fn name_seeds(&self, seeds: &[Rc<Machine>]) {
         *self.seeds.borrow_mut() = seeds.iter().map(|m| format!("{}:8047", m.ip)).collect();
     }
 
-    pub fn freeze(&self, frozen: bool) {
+    pub(crate) fn freeze(&self, frozen: bool) {
         self.disturbed.set(self.disturbed.get() + 1);
         self.frozen.set(frozen);
         self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
     }
 
-    pub fn is_stalled(&self) -> bool {
+    pub(crate) fn is_stalled(&self) -> bool {
         self.storage.as_ref().is_some_and(|storage| storage.sync.get() > SYNC)
     }
 
     /// Whether nothing is done to it at present.
-    pub fn is_well(&self, network: &Network) -> bool {
+    pub(crate) fn is_well(&self, network: &Network) -> bool {
         self.body.borrow().is_some() && !self.frozen.get() && !self.is_stalled() && !network.is_far(&self.ip)
     }
 
     /// Its disk is empty from now on.
-    pub fn wipe(&self) {
+    pub(crate) fn wipe(&self) {
         self.storage.iter().for_each(|storage| drop(storage.safe.take()));
     }
 
     /// The process ends here and now; what its disk has not synced is lost.
-    pub fn kill(&self, network: &Network) {
+    pub(crate) fn kill(&self, network: &Network) {
         self.body.borrow_mut().take().into_iter().for_each(|body| body.abort());
         (*self.jobs.borrow_mut(), *self.agent.borrow_mut()) = (None, None);
         self.freeze(false);
@@ -367,7 +367,7 @@
 
     /// The process is told to end, and ended if it takes longer than the platform waits. How long it took; none if it
     /// was ended.
-    pub async fn terminate(&self, network: &Network) -> Option<Duration> {
+    pub(crate) async fn terminate(&self, network: &Network) -> Option<Duration> {
         let told = Instant::now();
         self.terminated.borrow().notify_one();
         while !self.ended.get() && told.elapsed() < GRACE {
@@ -379,12 +379,12 @@
     }
 
     /// While this stands as it is and is there, the process runs and was not held up.
-    pub fn undisturbed(&self) -> Option<u32> {
+    pub(crate) fn undisturbed(&self) -> Option<u32> {
         (self.agent().is_some() && !self.frozen.get()).then(|| self.disturbed.get())
     }
 
     /// What the process says to this, unless it takes longer than its caller waits.
-    pub async fn ask<T: 'static, F: Future<Output = T> + 'static>(
+    pub(crate) async fn ask<T: 'static, F: Future<Output = T> + 'static>(
         &self, patience: Duration, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
         let (done, answer) = oneshot::channel();
@@ -396,7 +396,7 @@
         timeout(patience, answer).await.ok()?.ok()
     }
 
-    pub fn start(&self, network: &Rc<Network>, bootstrap: bool) {
+    pub(crate) fn start(&self, network: &Rc<Network>, bootstrap: bool) {
         if self.body.borrow().is_some() {
             return;
         }
@@ -445,10 +445,10 @@
     type Ok = ();
     type Err = slog::Never;
 
-    fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), slog::Never> {
+    fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         struct Words(String);
         impl slog::Serializer for Words {
-            fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments) -> slog::Result {
+            fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments<'_>) -> slog::Result {
                 self.0 += &format!(" {key}={value}");
                 Ok(())
             }
@@ -466,7 +466,7 @@
 
 /// What is recorded of a simulated day: all that processes log, and all bytes that pass between them.
 #[derive(Default)]
-pub struct Recording {
+pub(crate) struct Recording {
     /// Each line with its time, in seconds.
     pub log: String,
     /// By sender and receiver, in the order in which they passed.
@@ -479,12 +479,12 @@
 }
 
 /// Records what follows on this thread, until [`recorded`].
-pub fn record() {
+pub(crate) fn record() {
     RECORDING.replace(Some(Recording::default()));
 }
 
 /// Ends the recording.
-pub fn recorded() -> Recording {
+pub(crate) fn recorded() -> Recording {
     RECORDING.take().unwrap_or_default()
 }
 
@@ -500,7 +500,7 @@
     });
 }
 
-pub fn say(what: &str) {
+pub(crate) fn say(what: &str) {
     let began = BEGAN.get().unwrap_or_else(Instant::now);
     let line = format!("{:8.3} {what}", began.elapsed().as_secs_f64());
     if is_aloud() {
@@ -581,18 +581,18 @@
 }
 
 #[derive(Default)]
-pub struct Simulation {
+pub(crate) struct Simulation {
     pub network: Rc<Network>,
     pub machines: RefCell<Vec<Rc<Machine>>>,
 }
 
 impl Simulation {
-    pub fn new(control_nodes: usize, gateways: usize, losses: usize) -> Rc<Self> {
+    pub(crate) fn new(control_nodes: usize, gateways: usize, losses: usize) -> Rc<Self> {
         Simulation::placed(control_nodes, gateways, losses, |_, machine| machine)
     }
 
     /// As [`Simulation::new`], with each machine, by its number, put into a zone of the caller's before it starts.
-    pub fn placed(
+    pub(crate) fn placed(
         control_nodes: usize, gateways: usize, losses: usize, place: impl Fn(usize, Machine) -> Machine,
     ) -> Rc<Self> {
         let network = Rc::new(Network::default());
@@ -616,7 +616,7 @@
     }
 
     /// A new machine of the core, at an address of its own and with an empty disk.
-    pub fn add_control_node(&self) -> Rc<Machine> {
+    pub(crate) fn add_control_node(&self) -> Rc<Machine> {
         let number = self.machines.borrow().len() + 1;
         let seeds = self.control_nodes().iter().take(3).map(|m| format!("{}:8047", m.ip)).collect();
         let losses = self.machines.borrow()[0].losses;
@@ -625,11 +625,11 @@
         new
     }
 
-    pub fn all(&self) -> Vec<Rc<Machine>> {
+    pub(crate) fn all(&self) -> Vec<Rc<Machine>> {
         self.machines.borrow().iter().filter(|m| !m.gone.get()).cloned().collect()
     }
 
-    pub fn control_nodes(&self) -> Vec<Rc<Machine>> {
+    pub(crate) fn control_nodes(&self) -> Vec<Rc<Machine>> {
         self.all().into_iter().filter(|m| m.is_control_node()).collect()
     }
 }
@@ -652,13 +652,13 @@
 }
 
 /// No task of any process has panicked so far.
-pub fn check_panics() {
+pub(crate) fn check_panics() {
     let panics = PANICS.with_borrow(|panics| panics.join("; "));
     assert!(panics.is_empty(), "a task panicked: {panics}");
 }
 
 /// Plays on one thread, with time that is counted.
-pub fn play<F: Future>(world: F) -> F::Output {
+pub(crate) fn play<F: Future>(world: F) -> F::Output {
     note_panics();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let began = async move {
--- a/crates/quorum/src/duty.rs
+++ b/crates/quorum/src/duty.rs
@@ -157,7 +157,7 @@
     }
 
     /// Looks at which disks are in sight now.
-    pub fn look(&mut self, now: Duration, view: View) {
+    pub fn look(&mut self, now: Duration, view: View<'_>) {
         let note = |since: &mut BTreeMap<DiskId, Duration>, noted: &dyn Fn(&Member) -> bool| {
             since.retain(|disk, _| view.membership.member(disk).is_some_and(noted));
             for member in view.membership.members.iter().filter(|m| noted(m)) {
@@ -171,7 +171,7 @@
     /// Whether the last change is settled: a majority of the members, and each one that is in sight, has said that
     /// its disk holds the state of the epoch. A member that is in sight and does not get there within `catch-up-s`
     /// counts as lost for this: it must not keep the others from being replaced.
-    pub fn is_settled(&self, now: Duration, view: View) -> bool {
+    pub fn is_settled(&self, now: Duration, view: View<'_>) -> bool {
         let holding = view.sighted().filter(|live| view.holds_epoch(live)).count();
         let patient = |live: &LiveDisk| {
             let since = self.behind.get(&live.member.disk);
@@ -193,7 +193,7 @@
 
     /// The members that there should be next, for the process whose disk this is: none if all is well, if the duty
     /// is another's, or while the last change is not settled.
-    pub fn next(&self, now: Duration, me: &str, view: View) -> Option<Vec<Member>> {
+    pub fn next(&self, now: Duration, me: &str, view: View<'_>) -> Option<Vec<Member>> {
         if view.holder().is_none_or(|holder| &*holder.disk != me) || !self.is_settled(now, view) {
             return None;
         }
@@ -220,7 +220,7 @@
 /// It leaves the membership first where that takes nothing from the others: where another disk waits for its place,
 /// or where one member less bears as many losses. Elsewhere it stays a member and just ends, for it may be a restart.
 /// Either way it waits until a majority of the members that remain has said that they hold what it holds.
-pub fn may_end(me: &str, mine: Held, view: View, limits: Limits) -> bool {
+pub fn may_end(me: &str, mine: Held, view: View<'_>, limits: Limits) -> bool {
     let member = view.membership.has(me);
     if !member && mine.epoch == 0 {
         // A disk that never had a place holds nothing.
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -9,8 +9,6 @@
 //!
 //! Nothing here reads a clock, a socket or a file: [`Replica`] is one disk's part, [`Operation`] that of a proposer.
 
-#![warn(missing_docs)]
-
 pub mod duty;
 pub mod membership;
 pub mod message;
--- a/crates/quorum/tests/told/mod.rs
+++ b/crates/quorum/tests/told/mod.rs
@@ -6,10 +6,10 @@
 use ashvane_quorum::{Chosen, Standing};
 
 /// A version and its text.
-pub type Order = (u64, Arc<str>);
+pub(crate) type Order = (u64, Arc<str>);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Told {
+pub(crate) struct Told {
     /// The text of each version that was acknowledged as decided, or read.
     decided: BTreeMap<u64, Arc<str>>,
     /// Acknowledged below a higher version, without a text of its own: it changes nothing.
@@ -37,20 +37,20 @@
     }
 
     /// A caller has been given this, whatever it asked for.
-    pub fn chosen(&mut self, chosen: &Chosen) {
+    pub(crate) fn chosen(&mut self, chosen: &Chosen) {
         if let Some(config) = chosen.config() {
             self.decided((config.version, config.text.clone()));
         }
     }
 
     /// A read that began when this version was known has found something.
-    pub fn read(&mut self, floor: u64, chosen: &Chosen) {
+    pub(crate) fn read(&mut self, floor: u64, chosen: &Chosen) {
         self.is_behind |= chosen.config().map_or(0, |config| config.version) < floor;
         self.chosen(chosen);
     }
 
     /// An order has been answered.
-    pub fn written(&mut self, order: Order, standing: Standing, chosen: &Chosen) {
+    pub(crate) fn written(&mut self, order: Order, standing: Standing, chosen: &Chosen) {
         self.chosen(chosen);
         match standing {
             Standing::Held => self.decided(order),
@@ -69,7 +69,7 @@
     }
 
     /// Nothing has been said that must not be said.
-    pub fn is_sound(&self) -> bool {
+    pub(crate) fn is_sound(&self) -> bool {
         !(self.is_behind || self.has_two_texts || self.says_both)
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,6 +1,8 @@
 //! What all gatherers share, and the part of it that each may use without asking: further tries at a service,
 //! connections to a server. The parts never add up to more than the whole, whoever is cut off from whom.
 
+#![expect(missing_docs, reason = "not done yet: The control and state code reads as well as it works")]
+
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -5,6 +5,8 @@
 //! script's form and the settings' types. Must not know: files, processes, sockets. It is no part of the
 //! gatherer's own process: the evaluator would take more of a small one's memory than all it does.
 
+#![expect(clippy::missing_errors_doc, reason = "not done yet: The rest reads as well")]
+
 mod schema;
 mod script;
 
--- a/crates/script/src/schema.rs
+++ b/crates/script/src/schema.rs
@@ -216,7 +216,7 @@
     }
 }
 
-pub fn decode(file: &str, text: &str, said: &[Said], memory: u64) -> Result<Settings, Vec<Fault>> {
+pub(crate) fn decode(file: &str, text: &str, said: &[Said], memory: u64) -> Result<Settings, Vec<Fault>> {
     let (mut settings, mut faults) = (Settings::default(), Vec::new());
     let text_lines: Vec<&str> = text.lines().collect();
     for (at, one) in said.iter().enumerate() {
--- a/crates/script/src/script.rs
+++ b/crates/script/src/script.rs
@@ -1,5 +1,10 @@
 //! Runs a script within bounds and notes what it says, in order, with lines.
 
+#![allow(
+    unsafe_code,
+    reason = "`ProvidesStaticType` derives an implementation of an unsafe trait; nothing else may"
+)]
+
 use std::cell::RefCell;
 
 use ashvane_config::Fault;
@@ -30,7 +35,7 @@
 
 /// One directive that a script has called.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub(crate) struct Said {
     pub name: &'static str,
     /// The lines of the call, counted from 1.
     pub lines: (usize, usize),
@@ -49,7 +54,7 @@
     let span = eval.call_stack_top_location().map(|at| at.resolve_span());
     let lines = span.map_or((0, 0), |at| (at.begin.line + 1, at.end.line + 1));
     // What has no form in JSON, as a function, is noted as words that no key takes.
-    let json = |value: Value| value.to_json_value().unwrap_or_else(|_| Json::String(value.to_repr()));
+    let json = |value: Value<'_>| value.to_json_value().unwrap_or_else(|_| Json::String(value.to_repr()));
     let unnamed = args.items.iter().map(|v| json(*v)).collect();
     let named = named.into_iter().map(|(key, value)| (key, json(value))).collect();
     let notes = eval.extra.and_then(|extra| extra.downcast_ref::<Notes>());
@@ -118,7 +123,7 @@
     deepest
 }
 
-pub fn run(file: &str, text: &str, memory: u64) -> Result<Vec<Said>, Fault> {
+pub(crate) fn run(file: &str, text: &str, memory: u64) -> Result<Vec<Said>, Fault> {
     let fault = |line, words: String| Fault { file: file.to_owned(), line, key: String::new(), words };
     if text.len() > TEXT_MOST {
         return Err(fault(0, format!("{} bytes long; at most {TEXT_MOST} are read", text.len())));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,8 @@
 //! Reads the settings that a gatherer is given into the project's words, for the simulator's wire and for
 //! sockets alike. Keys that are not named here are skipped.
 
+#![expect(missing_docs, clippy::missing_errors_doc, reason = "not done yet: The rest reads as well")]
+
 use std::time::Duration;
 
 use ashvane::{BudgetSettings, Effect, Settings, VerticalSettings};
@@ -55,7 +57,7 @@
     }
 }
 
-fn effect(class: &At) -> Result<Effect, String> {
+fn effect(class: &At<'_>) -> Result<Effect, String> {
     match class.get("effect")?.text()? {
         "retryable" => Ok(Effect::Repeatable),
         "dedup" => Ok(Effect::Deduplicated(class.get("window_us")?.micros()?)),
@@ -64,7 +66,7 @@
     }
 }
 
-fn vertical(class: &At, index: usize, fan: &At) -> Result<VerticalSettings, String> {
+fn vertical(class: &At<'_>, index: usize, fan: &At<'_>) -> Result<VerticalSettings, String> {
     Ok(VerticalSettings {
         need: fan.get("class_need")?.row(index)?.number()?,
         floor: fan.get("floor_by_class")?.row(index)?.number()?,
@@ -150,8 +152,8 @@
     let root = At(settings, "config".into());
     let (fan, limits) = (root.get("family_info")?, root.get("policy_limits")?);
     let classes = root.get("request_classes")?.rows()?;
-    let name = |row: &At| Ok::<_, String>(row.get("name")?.text()?.to_owned());
-    let names = |rows: Option<Vec<At>>| rows.iter().flatten().map(name).collect::<Result<Vec<_>, _>>();
+    let name = |row: &At<'_>| Ok::<_, String>(row.get("name")?.text()?.to_owned());
+    let names = |rows: Option<Vec<At<'_>>>| rows.iter().flatten().map(name).collect::<Result<Vec<_>, _>>();
     let longest = classes.iter().map(|c| c.get("hard_limit_us")?.micros());
     let longest: Vec<Duration> = longest.collect::<Result<_, String>>()?;
     if fan.get("follow_up")?.rows()?.iter().any(|n| n.count() != Ok(0)) {
@@ -159,8 +161,8 @@
     }
     let tenants = root.maybe("projects").map(|t| t.rows()).transpose()?;
     let zones = root.maybe("zones").map(|z| z.rows()).transpose()?.unwrap_or_default();
-    let at_least_one = |at: At| Ok::<_, String>(at.count()?.max(1));
-    let once = |c: &At| Ok::<_, String>(effect(c)? == Effect::SideEffecting);
+    let at_least_one = |at: At<'_>| Ok::<_, String>(at.count()?.max(1));
+    let once = |c: &At<'_>| Ok::<_, String>(effect(c)? == Effect::SideEffecting);
     Ok(Network {
         runs_once: classes.iter().map(once).collect::<Result<_, _>>()?,
         verticals: names(Some(classes))?,
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -24,7 +24,7 @@
         let near = |s: &Server| s.zone == self.zone && self.zone_pace(s) <= NEAR * self.usual_pace;
         let ready = holders.filter(|(_, s)| s.health == Health::Ready);
         let placed = ready.map(|(id, s)| ((near(s), hash(q.key, id)), self.pace(s, q.vertical), id, s));
-        let mut replicas: Vec<Replica> = placed.collect();
+        let mut replicas: Vec<Replica<'_>> = placed.collect();
         let home = replicas.iter().map(|r| r.0).max()?;
         // Clearly slower than the fleet's well servers and than the others that hold the shard.
         let best = replicas.iter().map(|r| r.1).fold(f64::INFINITY, f64::min).max(self.usual_pace);
@@ -47,7 +47,7 @@
         // A server that has failed this part gets it again only after some usual answers' time.
         let wait = self.expected(q) * f64::from(1 << p.calls.min(8));
         let again = (self.now - p.last_sent).as_secs_f64() >= wait;
-        let rank = |&&(place, pace, id, s): &&Replica| {
+        let rank = |&&(place, pace, id, s): &&Replica<'_>| {
             let slow = if fit(pace) { 0 } else { (pace * 100.0) as u64 };
             (!fresh(id), slow, s.calls.len(), std::cmp::Reverse(place))
         };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,9 @@
 //! The interface between the decisions in [`decide`] and whatever hosts them: the actions that a
 //! gatherer can take ([`Host`]), the settings that it starts from, and how a leaf call can end.
 
+#![allow(clippy::wildcard_imports, reason = "not done yet: The path of a request reads as well as it works")]
+#![expect(missing_docs, reason = "not done yet: The path of a request reads as well as it works")]
+
 use std::time::Duration;
 
 pub mod decide;
--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -10,10 +10,10 @@
 
 /// Long enough that nothing held falls due while it is measured.
 const AIM: Duration = Duration::from_secs(100_000);
-pub const PARTS: u32 = 4;
+pub(crate) const PARTS: u32 = 4;
 
 #[derive(Default)]
-pub struct Noted {
+pub(crate) struct Noted {
     /// Calls of the query that passes, as part and server.
     pub calls: VecDeque<(u64, String)>,
     pub sent: u64,
@@ -21,7 +21,7 @@
     pub ended: u64,
 }
 
-pub struct Hand(pub Rc<RefCell<Noted>>);
+pub(crate) struct Hand(pub Rc<RefCell<Noted>>);
 
 impl Host for Hand {
     fn call(&mut self, part: u64, server: &str, _: Duration) {
@@ -45,7 +45,7 @@
     fn watch_list(&mut self) {}
 }
 
-pub struct Crowd {
+pub(crate) struct Crowd {
     pub gatherer: Gatherer<Hand>,
     pub noted: Rc<RefCell<Noted>>,
     now: Duration,
@@ -56,7 +56,7 @@
 }
 
 impl Crowd {
-    pub fn new(servers: u32) -> Crowd {
+    pub(crate) fn new(servers: u32) -> Crowd {
         let vertical = VerticalSettings {
             need: 1.0,
             floor: 1.0,
@@ -96,7 +96,7 @@
     }
 
     /// All servers are replaced by others of new names.
-    pub fn rename(&mut self) {
+    pub(crate) fn rename(&mut self) {
         self.generation += 1;
         self.gatherer.list_begins(true);
         for s in 0..self.servers {
@@ -106,7 +106,7 @@
     }
 
     /// A query comes, of a new id and key; its parts are sent.
-    pub fn comes(&mut self) {
+    pub(crate) fn comes(&mut self) {
         self.now += Duration::from_micros(100);
         self.gatherer.at(self.now);
         let id = self.next;
@@ -120,7 +120,7 @@
     }
 
     /// Every part that is out is answered.
-    pub fn settles(&mut self) {
+    pub(crate) fn settles(&mut self) {
         self.now += Duration::from_millis(1);
         self.gatherer.at(self.now);
         let calls = std::mem::take(&mut self.noted.borrow_mut().calls);
@@ -130,13 +130,13 @@
     }
 
     /// So many queries are held, their parts out for good.
-    pub fn hold(&mut self, queries: u64) {
+    pub(crate) fn hold(&mut self, queries: u64) {
         (0..queries).for_each(|_| self.comes());
         self.noted.borrow_mut().calls.clear();
     }
 
     /// One more query, from its coming to its answer.
-    pub fn pass(&mut self) {
+    pub(crate) fn pass(&mut self) {
         self.comes();
         self.settles();
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,15 +8,15 @@
 
 use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings, VerticalSettings};
 
-pub const fn ms(ms: u64) -> Duration {
+pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-pub fn number(server: &str) -> usize {
+pub(crate) fn number(server: &str) -> usize {
     server[1..].parse().expect("a number")
 }
 
-pub struct Call {
+pub(crate) struct Call {
     pub part: u64,
     pub number: u32,
     pub server: String,
@@ -25,14 +25,14 @@
     pub ended: Option<Outcome>,
 }
 
-pub struct Part {
+pub(crate) struct Part {
     pub query: u64,
     pub shard: u32,
     pub weight: f64,
     pub step: u32,
 }
 
-pub struct Query {
+pub(crate) struct Query {
     pub vertical: usize,
     pub until: Duration,
     pub step: u32,
@@ -40,13 +40,13 @@
     pub open: bool,
 }
 
-pub struct Server {
+pub(crate) struct Server {
     pub health: Health,
     pub cell: u32,
     pub started: Option<Duration>,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub settings: Settings,
     pub now: Duration,
     pub calls: Vec<Call>,
@@ -58,13 +58,13 @@
     pub log: Vec<String>,
 }
 
-pub struct Seat(pub Rc<RefCell<World>>);
+pub(crate) struct Seat(pub Rc<RefCell<World>>);
 
-pub fn vertical(need: f64, floor: f64, follow_up: u32, effect: Effect) -> VerticalSettings {
+pub(crate) fn vertical(need: f64, floor: f64, follow_up: u32, effect: Effect) -> VerticalSettings {
     VerticalSettings { need, floor, follow_up, slo: ms(1000), late_utility: 0.1, effect }
 }
 
-pub fn settings(verticals: Vec<VerticalSettings>) -> Settings {
+pub(crate) fn settings(verticals: Vec<VerticalSettings>) -> Settings {
     Settings {
         seed: 7,
         gatherers: 3,
@@ -94,22 +94,22 @@
 }
 
 impl World {
-    pub fn holds(&self, server: &str, shard: u32) -> bool {
+    pub(crate) fn holds(&self, server: &str, shard: u32) -> bool {
         let (cells, cell) = (self.settings.cells, self.servers[server].cell);
         (0..self.settings.span).any(|j| (shard + j) % cells == cell)
     }
 
-    pub fn is_in(&self, part: u64) -> bool {
+    pub(crate) fn is_in(&self, part: u64) -> bool {
         self.calls.iter().any(|c| c.part == part && c.ended == Some(Outcome::Completed))
     }
 
-    pub fn got(&self, query: u64) -> f64 {
+    pub(crate) fn got(&self, query: u64) -> f64 {
         let step = self.queries[&query].step;
         let of = self.parts.iter().filter(|(_, p)| p.query == query && p.step == step);
         of.filter(|(id, _)| self.is_in(**id)).map(|(_, p)| p.weight).sum()
     }
 
-    pub fn forbidden(&self, part: u64) -> Option<&'static str> {
+    pub(crate) fn forbidden(&self, part: u64) -> Option<&'static str> {
         let p = &self.parts[&part];
         let q = &self.queries[&p.query];
         let earlier: Vec<&Call> = self.calls.iter().filter(|c| c.part == part).collect();
@@ -208,13 +208,13 @@
     }
 }
 
-pub struct Stage {
+pub(crate) struct Stage {
     pub world: Rc<RefCell<World>>,
     pub gatherer: Gatherer<Seat>,
 }
 
 impl Stage {
-    pub fn new(settings: Settings) -> Stage {
+    pub(crate) fn new(settings: Settings) -> Stage {
         let world = World {
             settings: settings.clone(),
             now: ms(0),
@@ -233,7 +233,7 @@
         stage
     }
 
-    pub fn list(&mut self, id: &str, health: Health, cell: u32, started: Option<Duration>) {
+    pub(crate) fn list(&mut self, id: &str, health: Health, cell: u32, started: Option<Duration>) {
         let server = Server { health, cell, started };
         self.world.borrow_mut().servers.insert(id.into(), server);
         self.gatherer.list_begins(false);
@@ -241,7 +241,7 @@
     }
 
     /// Query `id` with one part for each shard; the parts' ids are `id + 1` and on.
-    pub fn query(&mut self, id: u64, vertical: usize, shards: &[u32]) {
+    pub(crate) fn query(&mut self, id: u64, vertical: usize, shards: &[u32]) {
         let until = self.world.borrow().now + ms(3000);
         let q = Query { vertical, until, step: 0, whole: true, open: true };
         self.world.borrow_mut().queries.insert(id, q);
@@ -250,7 +250,7 @@
         self.parts(id, id + 1, shards);
     }
 
-    pub fn parts(&mut self, query: u64, first: u64, shards: &[u32]) {
+    pub(crate) fn parts(&mut self, query: u64, first: u64, shards: &[u32]) {
         for (id, shard) in (first..).zip(shards) {
             let (weight, step) = (1.0 / shards.len() as f64, self.world.borrow().queries[&query].step);
             let part = Part { query, shard: *shard, weight, step };
@@ -261,7 +261,7 @@
         }
     }
 
-    pub fn settle(&mut self, at: usize, outcome: Outcome) {
+    pub(crate) fn settle(&mut self, at: usize, outcome: Outcome) {
         let (part, number, server) = {
             let call = &mut self.world.borrow_mut().calls[at];
             call.ended = Some(outcome);
@@ -271,7 +271,7 @@
     }
 
     /// Ends the calls that are out, each as it is told; those that are told nothing stay out.
-    pub fn settle_all(&mut self, how: impl Fn(&World, &Call) -> Option<Outcome>) {
+    pub(crate) fn settle_all(&mut self, how: impl Fn(&World, &Call) -> Option<Outcome>) {
         for at in 0..self.calls() {
             let outcome = {
                 let w = self.world.borrow();
@@ -283,7 +283,7 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub(crate) fn pass(&mut self, time: Duration) {
         let until = self.world.borrow().now + time;
         loop {
             let next = self.world.borrow().wakes.iter().min().copied().filter(|w| w.0 <= until);
@@ -296,15 +296,15 @@
         }
     }
 
-    pub fn calls(&self) -> usize {
+    pub(crate) fn calls(&self) -> usize {
         self.world.borrow().calls.len()
     }
 
-    pub fn log(&self) -> Vec<String> {
+    pub(crate) fn log(&self) -> Vec<String> {
         self.world.borrow().log.clone()
     }
 
-    pub fn count(&self, what: &str) -> usize {
+    pub(crate) fn count(&self, what: &str) -> usize {
         self.world.borrow().log.iter().filter(|l| l.starts_with(what)).count()
     }
 }
