--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashvane_node::agent::{Agent, Put};
-use ashvane_quorum::value::DECISIONS_REMEMBERED;
+use ashvane_quorum::DECISIONS_REMEMBERED;
 use simulation::{Direction, Machine, Simulation, check_panics, ms, play, wide_configuration};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -10,17 +10,19 @@
 //! Nothing here reads a clock, a socket or a file: [`Replica`] is one disk's part, [`Operation`] that of a proposer.
 
 pub mod duty;
-pub mod membership;
-pub mod message;
-pub mod operation;
-pub mod pace;
-pub mod replica;
-pub mod value;
+mod membership;
+mod message;
+mod operation;
+mod pace;
+mod proposal;
+mod replica;
+mod value;
 
 pub use duty::Watch;
 pub use membership::{DiskId, Member, Membership};
-pub use message::{Accepted, Ballot, Proposal, Refusal, Request, Response};
+pub use message::{Refusal, Request, Response};
 pub use operation::{Chosen, Operation, Outcome, Step};
 pub use pace::Pace;
+pub use proposal::{Accepted, Ballot, Proposal};
 pub use replica::{Replica, ReplicaState};
-pub use value::{Decided, Standing, StoredConfig, TextDigest, Value};
+pub use value::{DECISIONS_REMEMBERED, Decided, Standing, StoredConfig, TextDigest, Value};
--- a/crates/quorum/src/operation.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -1,107 +1,26 @@
 //! A proposer's part: a write, a read or a change of the membership, from its first request to its outcome. It hands
 //! out what to ask of which replica and is told the answers; whoever carries it bounds its time.
 
+mod outcome;
+mod stage;
+mod step;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use self::stage::{Goal, Proposed, Stage};
 use crate::{
-    Accepted, Ballot, DiskId, Member, Membership, Proposal, Refusal, ReplicaState, Request, Response,
-    Standing, StoredConfig, Value,
+    Accepted, Ballot, DiskId, Member, Membership, Refusal, ReplicaState, Request, Response, Standing,
+    StoredConfig, Value,
 };
 
+pub use outcome::{Chosen, Outcome};
+pub use step::Step;
+
 /// Reads that find different values at a majority before one settles by a ballot what is chosen: a write that is
 /// under way mostly ends by itself, and a ballot would hold it up.
 const MIXED_READS: u32 = 3;
 
-/// What an operation is after.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Goal {
-    Write(StoredConfig),
-    Read,
-    /// To seal the epoch that it begins in.
-    Change(Vec<Member>),
-}
-
-/// What is proposed under the ballot of this operation.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Proposed {
-    base: Ballot,
-    accepted: Accepted,
-    /// The configuration that it adds.
-    added: Option<StoredConfig>,
-}
-
-impl Proposed {
-    /// As a replica is told of it that holds this ballot's value.
-    fn for_holder_of(&self, ballot: Option<&Ballot>) -> Proposal {
-        if ballot.is_some_and(|held| *held != self.base) {
-            return Proposal::Whole(self.accepted.value.clone());
-        }
-        let base = self.base.clone();
-        match &self.added {
-            Some(config) => Proposal::With { base, config: config.clone() },
-            None => Proposal::Same { base },
-        }
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    Reading,
-    Preparing(Ballot),
-    Accepting(Proposed),
-    Installing(Membership, Accepted),
-    Done,
-}
-
-/// A value that a majority of an epoch's members has accepted under one ballot.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Chosen {
-    /// The epoch that it was chosen in.
-    pub epoch: u64,
-    /// The value and its ballot.
-    pub accepted: Accepted,
-}
-
-impl Chosen {
-    /// The configuration that it holds.
-    pub fn config(&self) -> Option<&StoredConfig> {
-        self.accepted.value.config.as_ref()
-    }
-}
-
-/// How an operation ended. Each rests on a round to a majority that began after the operation did.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
-    /// How the order of a write stands to what is chosen; never [`Standing::New`].
-    Written(Standing, Chosen),
-    /// The newest value.
-    Found(Chosen),
-    /// The membership in force after a change: the wanted one, or that of whoever was first.
-    Changed(Membership),
-}
-
-/// What an operation wants next.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Step {
-    /// What to send to whom.
-    pub requests: Vec<(Member, Request)>,
-    /// The end of the operation.
-    pub outcome: Option<Outcome>,
-    /// Others are at work: [`Operation::again`] is to be called after a short pause, drawn anew each time.
-    pub back_off: bool,
-}
-
-impl Step {
-    fn send(requests: Vec<(Member, Request)>) -> Self {
-        Step { requests, ..Step::default() }
-    }
-
-    fn back_off() -> Self {
-        Step { back_off: true, ..Step::default() }
-    }
-}
-
 /// An operation. Its requests may be lost, sent twice and answered in any order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Operation {
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -1,25 +1,14 @@
 //! One disk's part: what it has promised and accepted, and what it answers once that is on disk.
 
-use std::sync::Arc;
+mod replica_state;
 
-use serde::{Deserialize, Serialize};
+use std::sync::Arc;
 
 use crate::{
     Accepted, Ballot, DiskId, Membership, Proposal, Refusal, Request, Response, StoredConfig, Value,
 };
 
-/// All that a replica keeps on its disk.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ReplicaState {
-    /// The disk's own name, drawn when it is empty.
-    pub disk: DiskId,
-    /// The epoch whose state it holds.
-    pub membership: Membership,
-    /// It accepts nothing below this ballot.
-    pub promised: Ballot,
-    /// What it has accepted last in this epoch.
-    pub accepted: Accepted,
-}
+pub use replica_state::ReplicaState;
 
 /// A replica. After [`Replica::handle`] its answer may leave only once what changed is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- /dev/null
+++ b/crates/quorum/src/replica/replica_state.rs
@@ -0,0 +1,18 @@
+//! What a replica keeps on its disk.
+
+use serde::{Deserialize, Serialize};
+
+use crate::{Accepted, Ballot, DiskId, Membership};
+
+/// All that a replica keeps on its disk.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct ReplicaState {
+    /// The disk's own name, drawn when it is empty.
+    pub disk: DiskId,
+    /// The epoch whose state it holds.
+    pub membership: Membership,
+    /// It accepts nothing below this ballot.
+    pub promised: Ballot,
+    /// What it has accepted last in this epoch.
+    pub accepted: Accepted,
+}
