--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -18,8 +18,10 @@
 use ashvane_gossip::{
     Authority, Digest, Directory, HearingTerm, Heartbeat, Node, Server, Silence, State, Update, peers,
 };
-use ashvane_quorum::duty::{self, DiskReport, Limits, LiveDisk, View};
-use ashvane_quorum::{Member, Membership, Outcome, StoredConfig, Watch};
+use ashvane_quorum::membership_manager::{
+    self, LiveReplica, MembershipPlanner, MembershipPolicy, MembershipView, ReplicaReport,
+};
+use ashvane_quorum::{Member, Membership, Outcome, VersionedConfig};
 use serde_json::{Value, json};
 use slog::{Logger, info, warn};
 use tokio::sync::oneshot;
@@ -65,7 +67,7 @@
     directory: RefCell<Directory>,
     links: RefCell<Links>,
     /// The newest configuration that a majority of disks is known to hold.
-    stored: RefCell<Option<StoredConfig>>,
+    stored: RefCell<Option<VersionedConfig>>,
     config: RefCell<Option<Rc<Config>>>,
     in_force_since: Cell<Option<Instant>>,
     register: Option<Rc<Register>>,
@@ -80,9 +82,9 @@
     unreached: RefCell<BTreeMap<String, Instant>>,
     /// Those that were linked, and since when they are not.
     lost: RefCell<BTreeMap<String, Option<Instant>>>,
-    watch: RefCell<Watch>,
+    watch: RefCell<MembershipPlanner>,
     /// What the other control nodes were told last of this process's disk.
-    reported: Cell<DiskReport>,
+    reported: Cell<ReplicaReport>,
     wanted: RefCell<dissemination::Wanted>,
     /// The link over which this gatherer is told what changes.
     feed: Cell<Option<u64>>,
@@ -138,7 +140,7 @@
         let alone = register.is_some();
         let (stored, config, confirmations, dialled, unreached, lost, links, wanted) = Default::default();
         let (verifications, answering, holding, taking) = Default::default();
-        let limits = Limits { catch_up: settings.catch_up, losses: settings.losses };
+        let policy = MembershipPolicy { catch_up: settings.catch_up, max_failures: settings.losses };
         let agent = Agent {
             seeds: settings.seeds.clone().into(),
             settings,
@@ -160,7 +162,7 @@
             calling: RefCell::default(),
             unreached,
             lost,
-            watch: RefCell::new(Watch::new(limits)),
+            watch: RefCell::new(MembershipPlanner::new(policy)),
             reported: Cell::default(),
             wanted,
             feed: Cell::new(None),
--- a/crates/node/src/agent/configuration.rs
+++ b/crates/node/src/agent/configuration.rs
@@ -1,7 +1,7 @@
 //! The register as this process uses it: an operator's order written, the newest version read, requests and
 //! responses carried between operations here and replicas elsewhere.
 
-use ashvane_quorum::{Chosen, Request, Response, Standing, TextDigest};
+use ashvane_quorum::{Chosen, ContentDigest, Request, Response, SubmissionStatus};
 
 use super::*;
 use crate::register::{CALL_TIMEOUT, Outgoing, Via, Work};
@@ -96,7 +96,7 @@
         let reached = |member: &&Member| {
             member.address == directory.me().address || links.at(&member.address).is_some()
         };
-        membership.members.iter().filter(reached).count() >= membership.majority()
+        membership.members.iter().filter(reached).count() >= membership.quorum_size()
     }
 
     /// Carries an operation to its outcome; none if no majority has settled it in time. What ends after that, since
@@ -132,8 +132,8 @@
         let Some(membership) = self.membership().filter(|m| self.reaches_majority(m)) else {
             return Put::Unclear;
         };
-        let (version, digest) = (config.version, TextDigest::of(text));
-        let order = StoredConfig { version, digest, text: packed::pack(text).into() };
+        let (version, digest) = (config.version, ContentDigest::of(text));
+        let order = VersionedConfig { version, digest, compressed_text: packed::pack(text).into() };
         let (work, outcome) = register.write(membership, order);
         self.carry_out(work);
         let Some(Outcome::Written(standing, chosen)) = self.settled(outcome).await else {
@@ -142,19 +142,19 @@
         self.is_chosen(&chosen);
         let held = chosen.config().map_or(0, |config| config.version);
         match standing {
-            Standing::Held | Standing::Superseded => Put::Held(held),
-            Standing::Conflict => Put::Conflict { version, held },
-            Standing::Forgotten | Standing::New => Put::Unclear,
+            SubmissionStatus::Chosen | SubmissionStatus::Superseded => Put::Held(held),
+            SubmissionStatus::Conflict => Put::Conflict { version, held },
+            SubmissionStatus::Forgotten | SubmissionStatus::New => Put::Unclear,
         }
     }
 
     /// The newest configuration that is chosen. None: no majority answers.
-    pub async fn newest(self: &Rc<Self>) -> Option<Option<StoredConfig>> {
+    pub async fn newest(self: &Rc<Self>) -> Option<Option<VersionedConfig>> {
         let register = self.register.as_ref()?;
         let membership = self.membership().filter(|m| self.reaches_majority(m))?;
         let (work, outcome) = register.read(membership);
         self.carry_out(work);
-        let Some(Outcome::Found(chosen)) = self.settled(outcome).await else { return None };
+        let Some(Outcome::Read(chosen)) = self.settled(outcome).await else { return None };
         self.read.set(true);
         self.is_chosen(&chosen);
         Some(chosen.config().cloned())
--- a/crates/node/src/agent/contact.rs
+++ b/crates/node/src/agent/contact.rs
@@ -43,7 +43,7 @@
         let linked =
             |disk| links.iter().any(|(_, l)| l.peer.disk.as_ref() == Some(disk) && l.is_heard() && holds(l));
         let members = membership.members.iter().filter(|m| own == Some(&m.disk) || linked(&m.disk));
-        !membership.members.is_empty() && members.count() >= membership.majority()
+        !membership.members.is_empty() && members.count() >= membership.quorum_size()
     }
 
     /// Whether a gateway can go by what it hears over this link: for a while every control node may yet prove to be in
--- a/crates/node/src/agent/dissemination.rs
+++ b/crates/node/src/agent/dissemination.rs
@@ -103,11 +103,11 @@
     }
 
     /// A configuration that a majority of disks holds: from here on it is in force here.
-    pub(super) fn config_is(self: &Rc<Self>, stored: StoredConfig) {
+    pub(super) fn config_is(self: &Rc<Self>, stored: VersionedConfig) {
         if self.stored.borrow().as_ref().is_some_and(|held| held.version >= stored.version) {
             return;
         }
-        let Some(text) = packed::unpack(&stored.text) else {
+        let Some(text) = packed::unpack(&stored.compressed_text) else {
             warn!(self.log, "a configuration that others hold cannot be unpacked"; "version" => stored.version);
             return;
         };
@@ -159,7 +159,7 @@
         // One at a time: what is missed is mostly known to all others alike, and a start would bring all of it over
         // every link. Members are compared with at once: a majority of them has to be.
         let now = Instant::now();
-        let is_member = link.peer.disk.as_ref().is_some_and(|disk| directory.membership().has(disk));
+        let is_member = link.peer.disk.as_ref().is_some_and(|disk| directory.membership().contains(disk));
         let at_once = new_here && (is_member || !self.is_control_node());
         let free = self.mending.get().is_none_or(|at| at + MEND_AGAIN <= now);
         let mends = new_here || (link.differs >= DIFFERS && begins);
@@ -201,7 +201,7 @@
     }
 
     /// A configuration has come that was asked for. If a newer one was named meanwhile, that is asked for at once.
-    pub(super) fn config_came(self: &Rc<Self>, from: u64, stored: StoredConfig) {
+    pub(super) fn config_came(self: &Rc<Self>, from: u64, stored: VersionedConfig) {
         self.wanted.borrow_mut().asked.remove(&from);
         self.config_is(stored);
         let named = self.wanted.borrow().named.filter(|(version, _)| *version > self.version());
--- a/crates/node/src/agent/membership.rs
+++ b/crates/node/src/agent/membership.rs
@@ -13,15 +13,15 @@
         let directory = self.directory.borrow();
         let control_nodes: Vec<&Node> =
             directory.nodes().filter(|n| n.disk.is_some() && self.lives(n)).collect();
-        let seated = |n: &&&Node| n.disk.as_ref().is_some_and(|d| directory.membership().has(d));
+        let seated = |n: &&&Node| n.disk.as_ref().is_some_and(|d| directory.membership().contains(d));
         let first = control_nodes.iter().map(|n| &n.name).min();
         first == Some(&directory.me().name)
-            && control_nodes.iter().filter(seated).count() >= directory.membership().majority()
+            && control_nodes.iter().filter(seated).count() >= directory.membership().quorum_size()
     }
 
     /// What this process says of its own disk.
-    pub(super) fn disk_report(&self, register: &Register) -> DiskReport {
-        DiskReport { held: register.held(), leaving: self.leaving.get() }
+    pub(super) fn disk_report(&self, register: &Register) -> ReplicaReport {
+        ReplicaReport { progress: register.held(), is_shutting_down: self.leaving.get() }
     }
 
     /// Tells the other control nodes what this disk holds, where that has changed.
@@ -39,14 +39,14 @@
 
     /// The disks in sight: this process's own, and those of the processes that have been heard of just now, each
     /// with what its process says of it over its own connection.
-    pub(super) fn live_disks(&self) -> Vec<LiveDisk> {
-        let live = |node: &Node, report: Option<DiskReport>| {
+    pub(super) fn live_disks(&self) -> Vec<LiveReplica> {
+        let live = |node: &Node, report: Option<ReplicaReport>| {
             let member = Member { disk: node.disk.clone()?, address: node.address.clone() };
-            Some((member.disk.clone(), LiveDisk { member, report }))
+            Some((member.disk.clone(), LiveReplica { member, report }))
         };
         let (directory, links) = (self.directory.borrow(), self.links.borrow());
-        let heard = links.iter().filter(|(_, l)| l.heard.elapsed() < duty::FRESH);
-        let mut disks: BTreeMap<_, LiveDisk> = heard.filter_map(|(_, l)| live(&l.peer, l.disk)).collect();
+        let heard = links.iter().filter(|(_, l)| l.heard.elapsed() < membership_manager::LIVENESS_TIMEOUT);
+        let mut disks: BTreeMap<_, LiveReplica> = heard.filter_map(|(_, l)| live(&l.peer, l.disk)).collect();
         let own = self.register.as_ref().map(|register| self.disk_report(register));
         disks.extend(live(directory.me(), own));
         disks.into_values().collect()
@@ -57,22 +57,22 @@
         let Some(register) = &self.register else { return };
         let (now, live) = (self.now(), self.live_disks());
         let membership = self.membership().unwrap_or_default();
-        let view = View { membership: &membership, live: &live };
+        let view = MembershipView { membership: &membership, live: &live };
         let me = self.directory.borrow().me().disk.clone().unwrap_or_default();
         let next = {
             let mut watch = self.watch.borrow_mut();
-            watch.look(now, view);
-            watch.next(now, &me, view).filter(|_| !self.changing.get())
+            watch.observe(now, view);
+            watch.plan_change(now, &me, view).filter(|_| !self.changing.get())
         };
         let Some(next) = next else { return };
         info!(self.log, "the set of disks is to change"; "epoch" => membership.epoch + 1,
-            "disks" => next.iter().map(|s| &*s.disk).collect::<Vec<_>>().join(" "));
+            "disks" => next.iter().map(|s| s.disk.as_str()).collect::<Vec<_>>().join(" "));
         self.changing.set(true);
         let (work, outcome) = register.change(membership, next);
         self.carry_out(work);
         let agent = self.clone();
         tokio::task::spawn_local(async move {
-            if let Ok(Outcome::Changed(membership)) = outcome.await {
+            if let Ok(Outcome::MembershipChanged(membership)) = outcome.await {
                 info!(agent.log, "the set of disks has changed"; "epoch" => membership.epoch);
                 agent.learn(vec![Update::Membership(membership)], None);
             }
@@ -84,7 +84,7 @@
     /// in force: it has missed a decision, or holds one that may not have been made.
     pub(super) fn is_behind(&self, register: &Register) -> bool {
         let membership = self.membership().unwrap_or_default();
-        let named = self.directory.borrow().me().disk.as_ref().is_some_and(|disk| membership.has(disk));
+        let named = self.directory.borrow().me().disk.as_ref().is_some_and(|disk| membership.contains(disk));
         let version = register.stored().map_or(0, |config| config.version);
         named && (register.held().epoch < membership.epoch || version != self.version())
     }
@@ -94,14 +94,14 @@
         let Some(register) = &self.register else { return true };
         let (membership, live) = (self.membership().unwrap_or_default(), self.live_disks());
         let me = self.directory.borrow().me().disk.clone().unwrap_or_default();
-        let view = View { membership: &membership, live: &live };
-        duty::may_end(&me, register.held(), view, self.watch.borrow().limits())
+        let view = MembershipView { membership: &membership, live: &live };
+        membership_manager::may_shut_down(&me, register.held(), view, self.watch.borrow().policy())
     }
 
     /// Whether the duty over the membership is this process's, as seen from here.
     pub(super) fn holds_membership(&self) -> bool {
         let (directory, live) = (self.directory.borrow(), self.live_disks());
-        let view = View { membership: directory.membership(), live: &live };
-        view.holder().is_some_and(|m| Some(&m.disk) == directory.me().disk.as_ref())
+        let view = MembershipView { membership: directory.membership(), live: &live };
+        view.coordinator().is_some_and(|m| Some(&m.disk) == directory.me().disk.as_ref())
     }
 }
--- a/crates/node/src/agent/report.rs
+++ b/crates/node/src/agent/report.rs
@@ -39,8 +39,8 @@
         let report = |m: &Member| live.iter().find(|l| l.member.disk == m.disk).and_then(|l| l.report);
         let member = |m: &Member| {
             let report = report(m);
-            json!({"disk": m.disk, "address": m.address, "epoch": report.map(|r| r.held.epoch),
-                "version": report.map(|r| r.held.version), "leaving": report.map(|r| r.leaving)})
+            json!({"disk": m.disk, "address": m.address, "epoch": report.map(|r| r.progress.epoch),
+                "version": report.map(|r| r.progress.version), "leaving": report.map(|r| r.is_shutting_down)})
         };
         let membership: Vec<Value> = directory.membership().members.iter().map(member).collect();
         let since = self.in_force_since.get().map(|at| at.elapsed().as_secs());
--- a/crates/node/src/confirmation.rs
+++ b/crates/node/src/confirmation.rs
@@ -41,7 +41,7 @@
 
     /// Of these links, each with the disk that it reaches, those over which it is to be asked now.
     pub fn ask(&mut self, linked: &[(u64, DiskId)]) -> Vec<u64> {
-        let member = |disk: &DiskId| self.memberships.iter().any(|m| m.has(disk));
+        let member = |disk: &DiskId| self.memberships.iter().any(|m| m.contains(disk));
         let asked: Vec<_> = linked
             .iter()
             .filter(|(link, disk)| {
@@ -72,7 +72,7 @@
 
     fn has_majority(&self, membership: &Membership) -> bool {
         let taken = membership.members.iter().filter(|m| self.taken.contains(&m.disk)).count();
-        !membership.members.is_empty() && taken >= membership.majority()
+        !membership.members.is_empty() && taken >= membership.quorum_size()
     }
 
     fn look(&mut self) {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -180,7 +180,7 @@
         Call::State(reply) => drop(reply.send(agent.state())),
         Call::Get(reply) => {
             let newest = agent.newest().await;
-            let _ = reply.send(newest.map(|stored| stored.map(|f| f.text)));
+            let _ = reply.send(newest.map(|stored| stored.map(|f| f.compressed_text)));
         }
         Call::Put(body, reply) => {
             let put = agent.put(&body).await;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Buckets, Digest, Node, Summary, Update};
-use ashvane_quorum::duty::DiskReport;
-use ashvane_quorum::{Request, Response, StoredConfig};
+use ashvane_quorum::membership_manager::ReplicaReport;
+use ashvane_quorum::{Request, Response, VersionedConfig};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt as _, AsyncRead, AsyncWrite, AsyncWriteExt as _, BufReader};
 use tokio::net::TcpStream;
@@ -54,7 +54,7 @@
     Want {
         above: u64,
     },
-    Config(StoredConfig),
+    Config(VersionedConfig),
     /// What an operation asks of this process's replica.
     Request {
         number: u64,
@@ -75,7 +75,7 @@
         digest: Digest,
     },
     /// What a control node says of its own disk to the others: at first and whenever it changes.
-    Disk(DiskReport),
+    Disk(ReplicaReport),
     /// Another line, deflated: where many entries go at once they are much alike.
     Packed(String),
 }
@@ -138,7 +138,7 @@
     /// The version that was in force there when it had compared itself with a majority, after that question.
     pub verified: Option<u64>,
     /// What the process at the other end has said of its disk.
-    pub disk: Option<DiskReport>,
+    pub disk: Option<ReplicaReport>,
     /// Configurations that were asked for here and have not come.
     wanted: u32,
 }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -2,7 +2,6 @@
 
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 
 use ashvane_gossip::Node;
@@ -112,7 +111,7 @@
     Membership::new(1, settings.seeds.iter().filter_map(member).collect())
 }
 
-fn first_name(control: &str) -> Arc<str> {
+fn first_name(control: &str) -> DiskId {
     format!("first:{control}").into()
 }
 
@@ -204,8 +203,8 @@
                 Disk::open(dir).map_err(|why| StartError::Settings { file: dir.clone(), why })?;
             recalled = std::mem::take(&mut found.servers);
             let replica = replica(&settings, &disk, found, &log).await;
-            info!(log, "disk"; "name" => &*replica.state().disk, "epoch" => replica.state().membership.epoch,
-                "version" => replica.stored().map_or(0, |f| f.version));
+            info!(log, "disk"; "name" => replica.state().disk.as_str(), "epoch" => replica.state().membership.epoch,
+                "version" => replica.accepted_config().map_or(0, |f| f.version));
             let name = replica.state().disk.clone();
             Some((Register::new(replica, disk, life), name))
         }
--- a/crates/node/src/register.rs
+++ b/crates/node/src/register.rs
@@ -6,9 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashvane_quorum::duty::Held;
+use ashvane_quorum::membership_manager::ReplicaProgress;
 use ashvane_quorum::{
-    Chosen, Member, Membership, Operation, Outcome, Pace, Replica, Request, Response, Step, StoredConfig,
+    AddressedRequest, Chosen, Handled, Member, Membership, Operation, Outcome, Replica, Request, Response,
+    RetrySchedule, Step, VersionedConfig,
 };
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -38,7 +39,7 @@
 struct Running {
     operation: Operation,
     done: Option<oneshot::Sender<Outcome>>,
-    pace: Pace,
+    pace: RetrySchedule,
     ask_again_at: Instant,
     until: Instant,
 }
@@ -64,9 +65,9 @@
     pub membership: Option<Membership>,
 }
 
-fn held(replica: &Replica) -> Held {
+fn held(replica: &Replica) -> ReplicaProgress {
     let epoch = replica.state().membership.epoch;
-    Held { epoch, version: replica.stored().map_or(0, |config| config.version) }
+    ReplicaProgress { epoch, version: replica.accepted_config().map_or(0, |config| config.version) }
 }
 
 /// The register as one process takes part in it.
@@ -76,7 +77,7 @@
     replica: RefCell<Replica>,
     disk: Disk,
     /// What is synced there.
-    held: Cell<Held>,
+    held: Cell<ReplicaProgress>,
     operations: RefCell<BTreeMap<u64, Running>>,
     pending: RefCell<BTreeMap<u64, Pending>>,
     last_number: Cell<u64>,
@@ -92,8 +93,8 @@
     }
 
     /// The configuration that the own replica has accepted.
-    pub fn stored(&self) -> Option<StoredConfig> {
-        self.replica.borrow().stored().cloned()
+    pub fn stored(&self) -> Option<VersionedConfig> {
+        self.replica.borrow().accepted_config().cloned()
     }
 
     /// The membership whose state the own replica holds.
@@ -102,7 +103,7 @@
     }
 
     /// What this process's own disk holds for certain.
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> ReplicaProgress {
         self.held.get()
     }
 
@@ -113,8 +114,8 @@
 
     /// Asks this process's own replica. The answer comes once all that it rests on is on disk.
     pub fn handle(self: &Rc<Self>, request: &Request) -> impl Future<Output = Option<Response>> + use<> {
-        let (response, changed) = self.replica.borrow_mut().handle(request);
-        let safe = self.disk.keep(changed.then(|| self.replica.borrow().state().clone()));
+        let Handled { response, state_changed } = self.replica.borrow_mut().handle(request);
+        let safe = self.disk.keep(state_changed.then(|| self.replica.borrow().state().clone()));
         let (held, register) = (held(&self.replica.borrow()), self.clone());
         async move {
             safe.await.ok()?;
@@ -133,9 +134,9 @@
         self.last_number.get()
     }
 
-    fn outgoing(&self, operation: u64, requests: Vec<(Member, Request)>) -> Vec<Outgoing> {
+    fn outgoing(&self, operation: u64, requests: Vec<AddressedRequest>) -> Vec<Outgoing> {
         let mut pending = self.pending.borrow_mut();
-        let numbered = requests.into_iter().map(|(member, request)| {
+        let numbered = requests.into_iter().map(|AddressedRequest { member, request }| {
             let number = self.number();
             pending.insert(number, Pending { operation, request: request.clone(), via: None });
             Outgoing { member, number, request }
@@ -149,10 +150,10 @@
         let (done, outcome) = oneshot::channel();
         let (number, now) = (self.number(), Instant::now());
         let name = format!("{}/{number:x}", self.name).into();
-        let mut operation = operation(name).knowing(self.replica.borrow().state());
-        let step = operation.begin();
-        let mut pace = Pace::default();
-        let pause = pace.sent();
+        let mut operation = operation(name).with_local_state(self.replica.borrow().state());
+        let step = operation.start();
+        let mut pace = RetrySchedule::default();
+        let pause = pace.delay_after_first_send();
         let running =
             Running { operation, done: Some(done), pace, ask_again_at: now + pause, until: now + timeout };
         self.operations.borrow_mut().insert(number, running);
@@ -161,7 +162,9 @@
     }
 
     /// Has a configuration decided.
-    pub fn write(&self, membership: Membership, config: StoredConfig) -> (Work, oneshot::Receiver<Outcome>) {
+    pub fn write(
+        &self, membership: Membership, config: VersionedConfig,
+    ) -> (Work, oneshot::Receiver<Outcome>) {
         self.start(CALL_TIMEOUT, |name| Operation::write(name, membership, config))
     }
 
@@ -172,7 +175,7 @@
 
     /// Seals the epoch, for these members in the next one.
     pub fn change(&self, membership: Membership, next: Vec<Member>) -> (Work, oneshot::Receiver<Outcome>) {
-        self.start(CHANGE_TIMEOUT, |name| Operation::change(name, membership, next))
+        self.start(CHANGE_TIMEOUT, |name| Operation::change_membership(name, membership, next))
     }
 
     /// A request has been sent: its answer counts only if it comes back this way.
@@ -197,11 +200,11 @@
         let Some(running) = operations.get_mut(&at).filter(|r| r.until > Instant::now()) else {
             return Work::default();
         };
-        let Step { requests, outcome, back_off } = running.operation.handle(&request, response);
+        let Step { requests, outcome, is_contended } = running.operation.handle(&request, response);
         let membership = Some(running.operation.membership().clone());
-        let look_after = match (back_off, requests.is_empty()) {
-            (true, _) => Some(running.pace.back_off(fastrand::u64(..))),
-            (false, false) => Some(running.pace.sent()),
+        let look_after = match (is_contended, requests.is_empty()) {
+            (true, _) => Some(running.pace.contention_delay(fastrand::u64(..))),
+            (false, false) => Some(running.pace.delay_after_first_send()),
             (false, true) => None,
         };
         running.ask_again_at = look_after.map_or(running.ask_again_at, |pause| Instant::now() + pause);
@@ -221,7 +224,7 @@
     /// all again with each link makes the square of the links at a start.
     pub fn reached(&self, address: &str) -> Work {
         let operations = self.operations.borrow();
-        let unanswered = operations.iter().map(|(number, r)| (*number, r.operation.unanswered(address)));
+        let unanswered = operations.iter().map(|(number, r)| (*number, r.operation.unanswered_at(address)));
         let requests = unanswered.flat_map(|(number, requests)| self.outgoing(number, requests));
         Work { requests: requests.collect(), ..Work::default() }
     }
@@ -234,10 +237,10 @@
         self.forget(&operations);
         let mut work = Work::default();
         for (number, running) in operations.iter_mut().filter(|(_, r)| r.ask_again_at <= now) {
-            let pause = running.pace.sent_again();
+            let pause = running.pace.delay_after_resend();
             running.ask_again_at = now + pause;
             work.look_after = Some(work.look_after.map_or(pause, |other| other.min(pause)));
-            let step = running.operation.again();
+            let step = running.operation.retry();
             work.requests.extend(self.outgoing(*number, step.requests));
         }
         work
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -132,7 +132,7 @@
         let floor = self.told.borrow().history.floor();
         let read = async |agent: Rc<Agent>| agent.newest().await;
         let Some(Some(found)) = self.ask(at, read).await else { return };
-        let text = found.and_then(|found| packed::unpack(&found.text));
+        let text = found.and_then(|found| packed::unpack(&found.compressed_text));
         let order = text.and_then(|text| Order::of(&Config::parse(&text).ok()?));
         self.told.borrow_mut().history.read(floor, order, &at.name);
     }
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -7,7 +7,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use ashvane_node::disk::{Disk, FileSystem, Found, Medium};
-use ashvane_quorum::{Accepted, Ballot, Membership, ReplicaState, StoredConfig, TextDigest, Value};
+use ashvane_quorum::{
+    AcceptedProposal, ContentDigest, Membership, ProposalNumber, RegisterValue, ReplicaState, VersionedConfig,
+};
 use parking_lot::Mutex;
 
 fn folder(name: &str) -> PathBuf {
@@ -16,9 +18,9 @@
     dir
 }
 
-fn stored(version: u64) -> StoredConfig {
+fn stored(version: u64) -> VersionedConfig {
     let text = "x".repeat(2000 * version as usize);
-    StoredConfig { version, digest: TextDigest::of(text.as_bytes()), text: text.into() }
+    VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
 }
 
 /// A replica that holds this version.
@@ -26,19 +28,19 @@
     holding(stored(version))
 }
 
-fn holding(config: StoredConfig) -> ReplicaState {
-    let ballot = Ballot { round: config.version, by: "d/1/1".into() };
-    let value = Value::default().with(&config).into();
+fn holding(config: VersionedConfig) -> ReplicaState {
+    let number = ProposalNumber { round: config.version, operation: "d/1/1".into() };
+    let value = RegisterValue::default().with(&config).into();
     ReplicaState {
         disk: "d".into(),
         membership: Membership::default(),
-        promised: ballot.clone(),
-        accepted: Accepted { ballot, value, next: None },
+        promised: number.clone(),
+        accepted: AcceptedProposal { number, value, next_membership: None },
     }
 }
 
 /// The configuration that was found.
-fn held(found: &Found) -> Option<StoredConfig> {
+fn held(found: &Found) -> Option<VersionedConfig> {
     found.replica.as_ref().and_then(|replica| replica.accepted.value.config.clone())
 }
 
@@ -159,10 +161,10 @@
 
 /// A replica that holds this version of a large configuration: it is stored packed, so nothing makes it shorter.
 fn large(version: u64, bytes: usize) -> ReplicaState {
-    holding(StoredConfig {
+    holding(VersionedConfig {
         version,
-        digest: TextDigest::of(&version.to_le_bytes()),
-        text: "x".repeat(bytes).into(),
+        digest: ContentDigest::of(&version.to_le_bytes()),
+        compressed_text: "x".repeat(bytes).into(),
     })
 }
 
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -39,5 +39,11 @@
         std::fs::create_dir_all(path(name).parent().expect("a folder")).expect("a folder");
         std::fs::write(path(name), now).expect("written");
     }
-    assert_eq!(golden(name), now, "{name}");
+    let before = golden(name);
+    let first = before.lines().zip(now.lines()).position(|(before, now)| before != now);
+    if let Some(first) = first {
+        let line = |text: &str| text.lines().nth(first).unwrap_or_default().to_owned();
+        panic!("{name}, line {}:\n  before {}\n  now    {}", first + 1, line(&before), line(now));
+    }
+    assert_eq!(before.len(), now.len(), "{name} is longer or shorter than before");
 }
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -4,10 +4,10 @@
     Buckets, Digest, HearingTerm, Node, Server, ServerRank, Silence, State, Summary, Update,
 };
 use ashvane_node::links::Message;
-use ashvane_quorum::duty::{DiskReport, Held};
+use ashvane_quorum::membership_manager::{ReplicaProgress, ReplicaReport};
 use ashvane_quorum::{
-    Accepted, Ballot, Member, Membership, Proposal, Refusal, Request, Response, StoredConfig, TextDigest,
-    Value,
+    AcceptedProposal, ContentDigest, KnownValue, Member, Membership, ProposalNumber, ProposedValue,
+    RegisterValue, Rejection, Request, Response, VersionedConfig,
 };
 
 use super::{assert_golden, golden};
@@ -63,37 +63,41 @@
     Membership::new(4, vec![member("d-b", "10.1.0.2:7080"), member("d-a", "10.1.0.1:7080")])
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: format!("d-a/11/{round:x}").into() }
+fn numbered(round: u64) -> ProposalNumber {
+    ProposalNumber { round, operation: format!("d-a/11/{round:x}").into() }
 }
 
-fn config(version: u64) -> StoredConfig {
-    StoredConfig { version, digest: TextDigest::of(b"{}"), text: "q1YqSy0qzszPU7IyqgUA".into() }
+fn config(version: u64) -> VersionedConfig {
+    VersionedConfig {
+        version,
+        digest: ContentDigest::of(b"{}"),
+        compressed_text: "q1YqSy0qzszPU7IyqgUA".into(),
+    }
 }
 
-fn accepted(next: Option<Membership>) -> Accepted {
-    let value = Value::default().with(&config(5)).with(&config(9));
-    Accepted { ballot: ballot(6), value: value.into(), next }
+fn accepted(next: Option<Membership>) -> AcceptedProposal {
+    let value = RegisterValue::default().with(&config(5)).with(&config(9));
+    AcceptedProposal { number: numbered(6), value: value.into(), next_membership: next }
 }
 
 fn request(request: Request) -> Message {
     Message::Request { number: 12, request }
 }
 
-fn accept(proposal: Proposal, next: Option<Membership>) -> Message {
-    request(Request::Accept { epoch: 4, ballot: ballot(7), proposal, next })
+fn accept(value: ProposedValue, next_membership: Option<Membership>) -> Message {
+    request(Request::Accept { epoch: 4, number: numbered(7), value, next_membership })
 }
 
-fn response(refusal: Option<Refusal>) -> Message {
-    let Accepted { ballot: held, value, next } = accepted(Some(membership()));
+fn response(rejection: Option<Rejection>) -> Message {
+    let AcceptedProposal { number, value, next_membership } = accepted(Some(membership()));
     let response = Response {
-        refusal,
+        rejection,
         disk: "d-b".into(),
         membership: membership(),
-        promised: ballot(8),
-        ballot: held,
-        next: next.filter(|_| refusal.is_none()),
-        value: Some(value).filter(|_| refusal.is_none()),
+        promised: numbered(8),
+        accepted_number: number,
+        next_membership: next_membership.filter(|_| rejection.is_none()),
+        value: Some(value).filter(|_| rejection.is_none()),
     };
     Message::Response { number: 12, response }
 }
@@ -121,10 +125,10 @@
 /// Each case under a name of its own.
 pub(crate) fn cases() -> Vec<(&'static str, Message)> {
     let update = |number, updates| Message::Update { number, updates };
-    let (known, base) = (Some((4, ballot(6))), ballot(6));
-    let prepare = |known| request(Request::Prepare { epoch: 4, ballot: ballot(7), known });
+    let (known, base) = (Some(KnownValue { epoch: 4, number: numbered(6) }), numbered(6));
+    let prepare = |known| request(Request::Prepare { epoch: 4, number: numbered(7), known });
     let install = Request::Install { membership: membership(), accepted: accepted(None) };
-    let report = DiskReport { held: Held { epoch: 4, version: 9 }, leaving: true };
+    let report = ReplicaReport { progress: ReplicaProgress { epoch: 4, version: 9 }, is_shutting_down: true };
     vec![
         ("hello-gateway", Message::Hello(gateway())),
         ("hello-control", Message::Hello(control_node())),
@@ -151,18 +155,18 @@
         ("read", request(Request::Read { known: None })),
         ("read-known", request(Request::Read { known })),
         ("prepare", prepare(None)),
-        ("prepare-known", prepare(Some(ballot(6)))),
-        ("accept-whole", accept(Proposal::Whole(accepted(None).value), None)),
-        ("accept-same", accept(Proposal::Same { base: base.clone() }, Some(membership()))),
-        ("accept-with", accept(Proposal::With { base, config: config(10) }, None)),
+        ("prepare-known", prepare(Some(numbered(6)))),
+        ("accept-whole", accept(ProposedValue::Complete(accepted(None).value), None)),
+        ("accept-same", accept(ProposedValue::Unchanged { base: base.clone() }, Some(membership()))),
+        ("accept-with", accept(ProposedValue::Adding { base, config: config(10) }, None)),
         ("install", request(install)),
         ("learn", request(Request::Learn { epoch: 4, accepted: accepted(Some(membership())) })),
         ("response", response(None)),
-        ("response-other-epoch", response(Some(Refusal::OtherEpoch))),
-        ("response-not-a-member", response(Some(Refusal::NotAMember))),
-        ("response-outbid", response(Some(Refusal::Outbid))),
-        ("response-needs-whole", response(Some(Refusal::NeedsWhole))),
-        ("response-malformed", response(Some(Refusal::Malformed))),
+        ("response-other-epoch", response(Some(Rejection::EpochMismatch))),
+        ("response-not-a-member", response(Some(Rejection::NotAMember))),
+        ("response-outbid", response(Some(Rejection::HigherNumberPromised))),
+        ("response-needs-whole", response(Some(Rejection::NeedsCompleteValue))),
+        ("response-malformed", response(Some(Rejection::Malformed))),
         ("verify", Message::Verify { number: 2 }),
         ("verified", Message::Verified { number: 2, digest: digest(false) }),
         ("disk", Message::Disk(report)),
--- a/crates/node/tests/golden/on_disk.rs
+++ b/crates/node/tests/golden/on_disk.rs
@@ -4,25 +4,33 @@
 
 use ashvane_gossip::{Silence, State};
 use ashvane_node::disk::{Disk, Found, Whole};
-use ashvane_quorum::{Accepted, Ballot, Member, Membership, ReplicaState, StoredConfig, TextDigest, Value};
+use ashvane_quorum::{
+    AcceptedProposal, ContentDigest, Member, Membership, ProposalNumber, RegisterValue, ReplicaState,
+    VersionedConfig,
+};
 
 use super::messages::server;
 use super::{is_writing, path};
 
-fn config(version: u64) -> StoredConfig {
+fn config(version: u64) -> VersionedConfig {
     let text = format!("packed text {version}");
-    StoredConfig { version, digest: TextDigest::of(text.as_bytes()), text: text.into() }
+    VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
 }
 
 fn state(versions: &[u64]) -> ReplicaState {
     let member = |n: u32| Member { disk: format!("d-{n}").into(), address: format!("10.1.0.{n}:7080") };
-    let value = versions.iter().fold(Value::default(), |value, version| value.with(&config(*version)));
-    let ballot = Ballot { round: versions.len() as u64, by: "d-1/11/2".into() };
+    let value =
+        versions.iter().fold(RegisterValue::default(), |value, version| value.with(&config(*version)));
+    let number = ProposalNumber { round: versions.len() as u64, operation: "d-1/11/2".into() };
     ReplicaState {
         disk: "d-1".into(),
         membership: Membership::new(4, (1..=3).map(member).collect()),
-        promised: Ballot { round: 9, by: "d-2/12/3".into() },
-        accepted: Accepted { ballot, value: value.into(), next: Some(Membership::new(5, vec![member(7)])) },
+        promised: ProposalNumber { round: 9, operation: "d-2/12/3".into() },
+        accepted: AcceptedProposal {
+            number,
+            value: value.into(),
+            next_membership: Some(Membership::new(5, vec![member(7)])),
+        },
     }
 }
 
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use ashvane_gossip::{Heartbeat, State};
-use ashvane_quorum::TextDigest;
+use ashvane_quorum::ContentDigest;
 use tokio::time::sleep;
 
 use super::assert_golden;
@@ -128,8 +128,9 @@
             let kind = value.as_object().and_then(|o| o.keys().next().cloned());
             *kinds.entry(kind.unwrap_or_else(|| "unread".to_owned())).or_default() += 1;
         }
-        let (len, digest) = (bytes.len(), TextDigest::of(bytes));
-        writeln!(text, "{from} > {to}: {len} bytes, {digest:?}, {kinds:?}").expect("a line");
+        let len = bytes.len();
+        let digest = serde_json::to_string(&ContentDigest::of(bytes)).expect("a number");
+        writeln!(text, "{from} > {to}: {len} bytes, {digest}, {kinds:?}").expect("a line");
     }
     text
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -8,7 +8,9 @@
 use ashvane_node::disk::{Disk, Whole};
 use ashvane_node::links::{self, Dialled, Link, Links, Listener, Message, Net};
 use ashvane_node::register::{Register, Via, Work};
-use ashvane_quorum::{Member, Membership, Outcome, Replica, Standing, StoredConfig, TextDigest};
+use ashvane_quorum::{
+    ContentDigest, Member, Membership, Outcome, Replica, SubmissionStatus, VersionedConfig,
+};
 use tokio::io::{AsyncWriteExt as _, DuplexStream, duplex, split};
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
@@ -76,8 +78,8 @@
     (number.expect("it is linked"), peer)
 }
 
-fn config(version: u64) -> StoredConfig {
-    StoredConfig { version, digest: TextDigest::of(b"text"), text: "text".into() }
+fn config(version: u64) -> VersionedConfig {
+    VersionedConfig { version, digest: ContentDigest::of(b"text"), compressed_text: "text".into() }
 }
 
 fn run<F: Future<Output = ()>>(test: F) {
@@ -171,7 +173,7 @@
                 let at = usize::from(outgoing.member == member(3));
                 let (asked, other) = (Via::Link(10 + at as u64), Via::Link(20 + at as u64));
                 register.sent(number, asked);
-                let (response, _) = others[at].handle(&outgoing.request);
+                let response = others[at].handle(&outgoing.request).response;
                 for wrong in [other, Via::Own] {
                     let work = register.responded(number, wrong, response.clone());
                     assert!(work.requests.is_empty() && work.membership.is_none(), "it came another way");
@@ -182,7 +184,7 @@
                 let again = register.responded(number, asked, response);
                 assert!(again.requests.is_empty() && again.membership.is_none(), "it counts once");
                 if let Ok(outcome) = outcome.try_recv() {
-                    assert!(matches!(outcome, Outcome::Written(Standing::Held, _)) && misled > 0);
+                    assert!(matches!(outcome, Outcome::Written(SubmissionStatus::Chosen, _)) && misled > 0);
                     return;
                 }
             }
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -8,7 +8,7 @@
 
 use ashvane_gossip::{Heartbeat, State};
 use ashvane_node::agent::{Agent, Put};
-use ashvane_quorum::duty::MEMBERS_MOST;
+use ashvane_quorum::membership_manager::MAX_MEMBERS;
 use simulation::bounds::Processor;
 use simulation::{Direction, Simulation, ms, play};
 use tokio::time::sleep;
@@ -149,7 +149,7 @@
         sleep(ms(5000)).await;
         for machine in simulation.control_nodes() {
             let state = machine.agent().expect("runs").state();
-            assert_eq!(state["disks"].as_array().map(Vec::len), Some(MEMBERS_MOST), "at {}", machine.name);
+            assert_eq!(state["disks"].as_array().map(Vec::len), Some(MAX_MEMBERS), "at {}", machine.name);
         }
         let (after, _) = said(&simulation, "register");
         assert_eq!(after, before, "nobody reads without a cause");
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashvane_node::agent::{Agent, Put};
-use ashvane_quorum::DECISIONS_REMEMBERED;
+use ashvane_quorum::MAX_CHOSEN_VERSIONS;
 use simulation::{Direction, Machine, Simulation, check_panics, ms, play, wide_configuration};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -229,7 +229,7 @@
 const MISSED: u64 = 1200;
 /// What the register's state may take, in bytes as it lies on disk: 28 for each decision that it remembers, and a small
 /// configuration with the names of five members.
-const STATE_MOST: u64 = DECISIONS_REMEMBERED as u64 * 28 + 600;
+const STATE_MOST: u64 = MAX_CHOSEN_VERSIONS as u64 * 28 + 600;
 /// How many times its state a member may be sent until it is up to date: by each of the other four that it reads, in each
 /// of its first looks at the register, and with its place where it is named anew.
 const TRANSFERS: u64 = 24;
--- a/crates/quorum/src/duty/report.rs
+++ b/crates/quorum/src/membership_manager/replica_report.rs
@@ -1,4 +1,4 @@
-//! What processes say of their own disks.
+//! What processes report of their own disks.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,33 +7,36 @@
 /// What a replica holds on its own disk. Of two, the greater one has all that was chosen in the lesser one: an epoch
 /// begins with what the one before it chose, and within an epoch versions only rise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct ReplicaProgress {
     /// The epoch whose state it holds.
     pub epoch: u64,
     /// The version of the configuration that it has accepted there, 0 before the first one.
     pub version: u64,
 }
 
-/// What a process says of its own disk.
+/// What a process reports of its own disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct DiskReport {
+pub struct ReplicaReport {
     /// What is synced there.
-    pub held: Held,
-    /// Whether the process was told to end.
-    pub leaving: bool,
+    #[serde(rename = "held")]
+    pub progress: ReplicaProgress,
+    /// Whether the process is shutting down.
+    #[serde(rename = "leaving")]
+    pub is_shutting_down: bool,
 }
 
-/// A disk whose process is in sight, and what that process has said of it, if it has.
+/// A replica whose process is alive, and what that process has reported of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LiveDisk {
+pub struct LiveReplica {
     /// The disk and where its process is reached.
     pub member: Member,
-    /// None: its process has not said anything of it yet.
-    pub report: Option<DiskReport>,
+    /// None: its process has not reported yet.
+    pub report: Option<ReplicaReport>,
 }
 
-impl LiveDisk {
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.report.is_some_and(|report| report.leaving)
+impl LiveReplica {
+    /// Whether its process has reported that it is shutting down.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.report.is_some_and(|report| report.is_shutting_down)
     }
 }
--- a/crates/quorum/src/message/mod.rs
+++ b/crates/quorum/src/message/mod.rs
@@ -1,9 +1,9 @@
 //! Messages between a proposer and the replicas.
 
-mod refusal;
+mod rejection;
 mod request;
 mod response;
 
-pub use refusal::Refusal;
-pub use request::Request;
+pub use rejection::Rejection;
+pub use request::{KnownValue, Request};
 pub use response::Response;
--- a/crates/quorum/src/message/request.rs
+++ b/crates/quorum/src/message/request.rs
@@ -1,49 +1,75 @@
-//! What a proposer asks of a replica.
+//! What a proposer requests of a replica.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Accepted, Ballot, Membership, Proposal};
+use crate::{AcceptedProposal, Membership, ProposalNumber, ProposedValue};
 
-/// What a proposer asks of a replica.
+/// The value that a proposer has already, so that it need not be sent to it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(u64, ProposalNumber)", into = "(u64, ProposalNumber)")]
+pub struct KnownValue {
+    /// The epoch in which it was accepted.
+    pub epoch: u64,
+    /// The number under which it was accepted.
+    pub number: ProposalNumber,
+}
+
+impl From<(u64, ProposalNumber)> for KnownValue {
+    fn from((epoch, number): (u64, ProposalNumber)) -> Self {
+        KnownValue { epoch, number }
+    }
+}
+
+impl From<KnownValue> for (u64, ProposalNumber) {
+    fn from(known: KnownValue) -> Self {
+        (known.epoch, known.number)
+    }
+}
+
+/// What a proposer requests of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// What is accepted, with the value unless it is the one that the proposer has.
+    /// Return what is accepted, with the value unless the proposer has it.
     Read {
-        /// Epoch and ballot of the value that the proposer has.
-        known: Option<(u64, Ballot)>,
+        /// The value that the proposer has.
+        known: Option<KnownValue>,
     },
-    /// Promise to accept nothing below this ballot; the answer brings what was accepted.
+    /// Phase 1: promise to accept nothing below this number; the response brings what was accepted.
     Prepare {
-        /// The epoch that the ballot belongs to.
+        /// The epoch that the number belongs to.
         epoch: u64,
-        /// The ballot to promise.
-        ballot: Ballot,
-        /// Ballot of the value that the proposer has.
-        known: Option<Ballot>,
+        /// The number to promise.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
+        /// Number of the value that the proposer has.
+        known: Option<ProposalNumber>,
     },
-    /// Accept this value.
+    /// Phase 2: accept this value.
     Accept {
-        /// The epoch that the ballot belongs to.
+        /// The epoch that the number belongs to.
         epoch: u64,
-        /// The ballot of the proposal.
-        ballot: Ballot,
+        /// The number of the proposal.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
         /// The value.
-        proposal: Proposal,
-        /// Seals the epoch if this is chosen.
-        next: Option<Membership>,
+        #[serde(rename = "proposal")]
+        value: ProposedValue,
+        /// Seals the epoch if the proposal is chosen: the members of the next epoch.
+        #[serde(rename = "next")]
+        next_membership: Option<Membership>,
     },
     /// Enter an epoch with its state: what a replica of that epoch has accepted, or what the epoch begins with.
     Install {
         /// The epoch's members.
         membership: Membership,
         /// Its state.
-        accepted: Accepted,
+        accepted: AcceptedProposal,
     },
-    /// Take over a value that is known to be chosen in an epoch that the replica is in.
+    /// Take over a proposal that is known to be chosen in an epoch that the replica is in.
     Learn {
         /// The epoch.
         epoch: u64,
-        /// The chosen value.
-        accepted: Accepted,
+        /// The chosen proposal.
+        accepted: AcceptedProposal,
     },
 }
--- a/crates/quorum/src/operation/outcome.rs
+++ b/crates/quorum/src/operation/outcome.rs
@@ -1,30 +1,31 @@
 //! How an operation ends.
 
-use crate::{Accepted, Membership, Standing, StoredConfig};
+use crate::{AcceptedProposal, Membership, SubmissionStatus, VersionedConfig};
 
-/// A value that a majority of an epoch's members has accepted under one ballot.
+/// A proposal that a quorum of an epoch's members has accepted under one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Chosen {
     /// The epoch that it was chosen in.
     pub epoch: u64,
-    /// The value and its ballot.
-    pub accepted: Accepted,
+    /// The value and its number.
+    pub accepted: AcceptedProposal,
 }
 
 impl Chosen {
-    /// The configuration that it holds.
-    pub fn config(&self) -> Option<&StoredConfig> {
+    /// The configuration that the value holds.
+    #[must_use]
+    pub fn config(&self) -> Option<&VersionedConfig> {
         self.accepted.value.config.as_ref()
     }
 }
 
-/// How an operation ended. Each rests on a round to a majority that began after the operation did.
+/// How an operation ended. Each rests on responses of a quorum to requests that were sent after the operation began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// How the order of a write stands to what is chosen; never [`Standing::New`].
-    Written(Standing, Chosen),
-    /// The newest value.
-    Found(Chosen),
-    /// The membership in force after a change: the wanted one, or that of whoever was first.
-    Changed(Membership),
+    /// How the configuration of a write relates to what is chosen; never [`SubmissionStatus::New`].
+    Written(SubmissionStatus, Chosen),
+    /// The newest chosen value.
+    Read(Chosen),
+    /// The membership in force after a change: the requested one, or that of the proposer that was first.
+    MembershipChanged(Membership),
 }
--- a/crates/quorum/src/proposal/proposed_value.rs
+++ b/crates/quorum/src/proposal/proposed_value.rs
@@ -4,23 +4,26 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Ballot, StoredConfig, Value};
+use crate::{ProposalNumber, RegisterValue, VersionedConfig};
 
-/// A proposed value, told by its difference where the replica has what it differs from.
+/// A proposed value, as its difference from what the replica has accepted where that is known to the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Proposal {
-    /// The whole value.
-    Whole(Arc<Value>),
-    /// The value accepted under that ballot, as it is.
-    Same {
-        /// The ballot under which the replica has to hold it.
-        base: Ballot,
+pub enum ProposedValue {
+    /// The complete value.
+    #[serde(rename = "Whole")]
+    Complete(Arc<RegisterValue>),
+    /// The value accepted under that number, unchanged.
+    #[serde(rename = "Same")]
+    Unchanged {
+        /// The number under which the replica has to have accepted it.
+        base: ProposalNumber,
     },
-    /// The value accepted under that ballot, with one more configuration.
-    With {
-        /// The ballot under which the replica has to hold it.
-        base: Ballot,
+    /// The value accepted under that number, with one configuration added.
+    #[serde(rename = "With")]
+    Adding {
+        /// The number under which the replica has to have accepted it.
+        base: ProposalNumber,
         /// The configuration that is new.
-        config: StoredConfig,
+        config: VersionedConfig,
     },
 }
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -1,171 +1,211 @@
-//! One disk's part: what it has promised and accepted, and what it answers once that is on disk.
+//! The acceptor of the protocol: what one disk has promised and accepted.
 
 mod replica_state;
 
 use std::sync::Arc;
 
 use crate::{
-    Accepted, Ballot, DiskId, Membership, Proposal, Refusal, Request, Response, StoredConfig, Value,
+    AcceptedProposal, DiskId, Membership, ProposalNumber, ProposedValue, RegisterValue, Rejection, Request,
+    Response, VersionedConfig,
 };
 
 pub use replica_state::ReplicaState;
 
-/// A replica. After [`Replica::handle`] its answer may leave only once what changed is on disk.
+/// A replica: the acceptor of "Paxos Made Simple", and a learner.
+///
+/// Invariants, each kept by the one function that changes it: within an epoch the promised number only rises
+/// ([`Replica::promise`]) and so does the accepted one ([`Replica::take_over`]); the epoch only rises and comes with its
+/// state ([`Replica::install`]).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Replica {
     state: ReplicaState,
 }
 
+/// The result of a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Handled {
+    /// May be sent only once the state is on disk, if it has changed.
+    pub response: Response,
+    /// Whether the state has changed.
+    pub state_changed: bool,
+}
+
 impl Replica {
-    /// An empty disk under a name of its own. It holds the empty state of the first epoch, or of none.
+    /// An empty disk under an id of its own. It holds the empty state of the first epoch, or of none.
+    #[must_use]
     pub fn empty(disk: DiskId, membership: Membership) -> Self {
-        let (promised, accepted) = Default::default();
+        let promised = ProposalNumber::default();
+        let accepted = AcceptedProposal::default();
         Replica { state: ReplicaState { disk, membership, promised, accepted } }
     }
 
     /// A replica as its disk has it.
+    #[must_use]
     pub fn restored(state: ReplicaState) -> Self {
         Replica { state }
     }
 
     /// What has to be on disk.
+    #[must_use]
     pub fn state(&self) -> &ReplicaState {
         &self.state
     }
 
     /// The configuration that it has accepted; it need not be chosen.
-    pub fn stored(&self) -> Option<&StoredConfig> {
+    #[must_use]
+    pub fn accepted_config(&self) -> Option<&VersionedConfig> {
         self.state.accepted.value.config.as_ref()
     }
 
     /// Whether it votes in the epoch whose state it holds.
-    pub fn votes(&self) -> bool {
-        self.state.membership.has(&self.state.disk)
-    }
-
-    /// Answers a request, and says whether the state has changed.
-    pub fn handle(&mut self, request: &Request) -> (Response, bool) {
-        let before = (self.state.membership.epoch, self.state.promised.clone(), self.ballot().clone());
-        let refusal = match request {
-            Request::Read { .. } => Ok(()),
-            Request::Prepare { epoch, ballot, .. } => self.prepare(*epoch, ballot),
-            Request::Accept { epoch, ballot, proposal, next } => {
-                self.accept(*epoch, ballot, proposal, next.as_ref())
-            }
-            Request::Install { membership, accepted } => self.install(membership, accepted),
-            Request::Learn { epoch, accepted } => self.learn(*epoch, accepted),
-        };
-        let changed = before.0 != self.state.membership.epoch
-            || before.1 != self.state.promised
-            || before.2 != *self.ballot();
+    #[must_use]
+    pub fn is_voter(&self) -> bool {
+        self.state.membership.contains(&self.state.disk)
+    }
+
+    /// Handles a request.
+    pub fn handle(&mut self, request: &Request) -> Handled {
+        let epoch_before = self.state.membership.epoch;
+        let promised_before = self.state.promised.clone();
+        let accepted_before = self.accepted_number().clone();
+        let rejection = self.apply(request).err();
+        let state_changed = epoch_before != self.state.membership.epoch
+            || promised_before != self.state.promised
+            || accepted_before != *self.accepted_number();
         let response = Response {
-            refusal: refusal.err(),
+            rejection,
             disk: self.state.disk.clone(),
             membership: self.state.membership.clone(),
             promised: self.state.promised.clone(),
-            ballot: self.ballot().clone(),
-            next: self.state.accepted.next.clone(),
+            accepted_number: self.accepted_number().clone(),
+            next_membership: self.state.accepted.next_membership.clone(),
             value: self.value_for(request),
         };
-        (response, changed)
+        Handled { response, state_changed }
     }
 
-    fn ballot(&self) -> &Ballot {
-        &self.state.accepted.ballot
+    fn apply(&mut self, request: &Request) -> Result<(), Rejection> {
+        match request {
+            Request::Read { .. } => Ok(()),
+            Request::Prepare { epoch, number, .. } => self.prepare(*epoch, number),
+            Request::Accept { epoch, number, value, next_membership } => {
+                self.accept(*epoch, number, value, next_membership.as_ref())
+            }
+            Request::Install { membership, accepted } => self.install(membership, accepted),
+            Request::Learn { epoch, accepted } => self.learn(*epoch, accepted),
+        }
+    }
+
+    fn accepted_number(&self) -> &ProposalNumber {
+        &self.state.accepted.number
     }
 
-    /// The value, where it is asked for and the proposer does not have it.
-    fn value_for(&self, request: &Request) -> Option<Arc<Value>> {
-        let epoch = self.state.membership.epoch;
-        let has = match request {
-            Request::Read { known } => known.as_ref().is_some_and(|(e, b)| *e == epoch && b == self.ballot()),
-            Request::Prepare { epoch: asked, known, .. } => {
-                *asked != epoch || known.as_ref() == Some(self.ballot())
+    /// The value, where it is requested and the proposer does not have it.
+    fn value_for(&self, request: &Request) -> Option<Arc<RegisterValue>> {
+        let own_epoch = self.state.membership.epoch;
+        let is_known = match request {
+            Request::Read { known } => known
+                .as_ref()
+                .is_some_and(|known| known.epoch == own_epoch && known.number == *self.accepted_number()),
+            Request::Prepare { epoch, known, .. } => {
+                *epoch != own_epoch || known.as_ref() == Some(self.accepted_number())
             }
             _ => true,
         };
-        (!has).then(|| self.state.accepted.value.clone())
+        (!is_known).then(|| self.state.accepted.value.clone())
     }
 
-    /// Its vote counts only in the epoch whose state it holds, and only under the name that it has now.
-    fn may_vote(&self, epoch: u64) -> Result<(), Refusal> {
+    /// Its vote counts only in the epoch whose state it holds, and only under the id that its disk has now.
+    fn check_voter(&self, epoch: u64) -> Result<(), Rejection> {
         if epoch != self.state.membership.epoch {
-            return Err(Refusal::OtherEpoch);
+            return Err(Rejection::EpochMismatch);
         }
-        if self.votes() { Ok(()) } else { Err(Refusal::NotAMember) }
+        if !self.is_voter() {
+            return Err(Rejection::NotAMember);
+        }
+        Ok(())
     }
 
-    fn prepare(&mut self, epoch: u64, ballot: &Ballot) -> Result<(), Refusal> {
-        self.may_vote(epoch)?;
-        self.promise(ballot)
+    fn prepare(&mut self, epoch: u64, number: &ProposalNumber) -> Result<(), Rejection> {
+        self.check_voter(epoch)?;
+        self.promise(number)
     }
 
-    /// The one place where a ballot is promised: the promise only rises.
-    fn promise(&mut self, ballot: &Ballot) -> Result<(), Refusal> {
-        if *ballot < self.state.promised {
-            return Err(Refusal::Outbid);
+    /// The one place where a number is promised: the promise only rises.
+    fn promise(&mut self, number: &ProposalNumber) -> Result<(), Rejection> {
+        if *number < self.state.promised {
+            return Err(Rejection::HigherNumberPromised);
         }
-        self.state.promised = ballot.clone();
+        self.state.promised = number.clone();
         Ok(())
     }
 
     fn accept(
-        &mut self, epoch: u64, ballot: &Ballot, proposal: &Proposal, next: Option<&Membership>,
-    ) -> Result<(), Refusal> {
-        self.may_vote(epoch)?;
-        if next.is_some_and(|next| next.epoch != epoch + 1) {
-            return Err(Refusal::Malformed);
+        &mut self, epoch: u64, number: &ProposalNumber, value: &ProposedValue,
+        next_membership: Option<&Membership>,
+    ) -> Result<(), Rejection> {
+        self.check_voter(epoch)?;
+        if next_membership.is_some_and(|next| next.epoch != epoch + 1) {
+            return Err(Rejection::Malformed);
         }
-        // It came twice.
-        if ballot == self.ballot() {
+        let is_duplicate = number == self.accepted_number();
+        if is_duplicate {
             return Ok(());
         }
-        if *ballot < self.state.promised {
-            return Err(Refusal::Outbid);
+        if *number < self.state.promised {
+            return Err(Rejection::HigherNumberPromised);
         }
-        let value = self.whole(proposal)?;
-        self.promise(ballot)?;
-        self.take_over(Accepted { ballot: ballot.clone(), value, next: next.cloned() });
+        let value = self.complete(value)?;
+        self.promise(number)?;
+        let next_membership = next_membership.cloned();
+        self.take_over(AcceptedProposal { number: number.clone(), value, next_membership });
         Ok(())
     }
 
-    /// A proposal's value, worked out from what is held here.
-    fn whole(&self, proposal: &Proposal) -> Result<Arc<Value>, Refusal> {
-        let held = |base: &Ballot| (base == self.ballot()).then(|| self.state.accepted.value.clone());
-        match proposal {
-            Proposal::Whole(value) => Ok(value.clone()),
-            Proposal::Same { base } => held(base).ok_or(Refusal::NeedsWhole),
-            Proposal::With { base, config } => {
-                let value = held(base).ok_or(Refusal::NeedsWhole)?;
-                Ok(Arc::new(value.with(config)))
+    /// A proposed value, completed with what this replica has accepted.
+    fn complete(&self, proposed: &ProposedValue) -> Result<Arc<RegisterValue>, Rejection> {
+        match proposed {
+            ProposedValue::Complete(value) => Ok(value.clone()),
+            ProposedValue::Unchanged { base } => self.accepted_under(base).cloned(),
+            ProposedValue::Adding { base, config } => {
+                let accepted = self.accepted_under(base)?;
+                Ok(Arc::new(accepted.with(config)))
             }
         }
     }
 
-    /// The one place where the accepted value changes within an epoch: its ballot only rises.
-    fn take_over(&mut self, accepted: Accepted) {
-        debug_assert!(accepted.ballot > *self.ballot(), "the accepted ballot only rises");
+    /// The value that was accepted under a number.
+    fn accepted_under(&self, number: &ProposalNumber) -> Result<&Arc<RegisterValue>, Rejection> {
+        if number != self.accepted_number() {
+            return Err(Rejection::NeedsCompleteValue);
+        }
+        Ok(&self.state.accepted.value)
+    }
+
+    /// The one place where the accepted proposal changes within an epoch: its number only rises.
+    fn take_over(&mut self, accepted: AcceptedProposal) {
+        debug_assert!(accepted.number > *self.accepted_number(), "the accepted number only rises");
         self.state.accepted = accepted;
     }
 
     /// The one place where the epoch changes: it only rises, and comes with its state.
-    fn install(&mut self, membership: &Membership, accepted: &Accepted) -> Result<(), Refusal> {
-        if !membership.has(&self.state.disk) {
-            return Err(Refusal::NotAMember);
+    fn install(&mut self, membership: &Membership, accepted: &AcceptedProposal) -> Result<(), Rejection> {
+        if !membership.contains(&self.state.disk) {
+            return Err(Rejection::NotAMember);
         }
         if membership.epoch > self.state.membership.epoch {
             self.state.membership = membership.clone();
-            self.state.promised = accepted.ballot.clone();
+            self.state.promised = accepted.number.clone();
             self.state.accepted = accepted.clone();
         }
         Ok(())
     }
 
-    /// A chosen value may be taken over whatever was promised: every later proposal follows from it.
-    fn learn(&mut self, epoch: u64, accepted: &Accepted) -> Result<(), Refusal> {
-        self.may_vote(epoch)?;
-        if accepted.ballot > *self.ballot() {
-            let promised = self.state.promised.clone().max(accepted.ballot.clone());
+    /// A chosen proposal may be taken over whatever was promised: every later proposal follows from it.
+    fn learn(&mut self, epoch: u64, accepted: &AcceptedProposal) -> Result<(), Rejection> {
+        self.check_voter(epoch)?;
+        if accepted.number > *self.accepted_number() {
+            let promised = self.state.promised.clone().max(accepted.number.clone());
             self.state.promised = promised;
             self.take_over(accepted.clone());
         }
--- a/crates/quorum/tests/told/mod.rs
+++ b/crates/quorum/tests/acknowledgements/mod.rs
@@ -1,15 +1,15 @@
-//! What callers have been told, and what they may not be told after that.
+//! What callers have been acknowledged, and what they may not be told after that.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use ashvane_quorum::{Chosen, Standing};
+use ashvane_quorum::{Chosen, SubmissionStatus};
 
 /// A version and its text.
 pub(crate) type Order = (u64, Arc<str>);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Told {
+pub(crate) struct Acknowledgements {
     /// The text of each version that was acknowledged as decided, or read.
     decided: BTreeMap<u64, Arc<str>>,
     /// Acknowledged below a higher version, without a text of its own: it changes nothing.
@@ -19,13 +19,13 @@
     pub newest: u64,
     /// A read found less than was known when it began.
     pub is_behind: bool,
-    /// Two texts of one version have been told, one of them as decided.
+    /// Two texts of one version have been acknowledged, one of them as decided.
     pub has_two_texts: bool,
     /// An order was acknowledged, or its text read, and refused.
     pub says_both: bool,
 }
 
-impl Told {
+impl Acknowledgements {
     fn decided(&mut self, order: Order) {
         let (version, text) = &order;
         let others = (*version, Arc::from(""))..(version + 1, Arc::from(""));
@@ -39,7 +39,7 @@
     /// A caller has been given this, whatever it asked for.
     pub(crate) fn chosen(&mut self, chosen: &Chosen) {
         if let Some(config) = chosen.config() {
-            self.decided((config.version, config.text.clone()));
+            self.decided((config.version, config.compressed_text.clone()));
         }
     }
 
@@ -50,21 +50,23 @@
     }
 
     /// An order has been answered.
-    pub(crate) fn written(&mut self, order: Order, standing: Standing, chosen: &Chosen) {
+    pub(crate) fn written(&mut self, order: Order, standing: SubmissionStatus, chosen: &Chosen) {
         self.chosen(chosen);
         match standing {
-            Standing::Held => self.decided(order),
-            Standing::Superseded => {
+            SubmissionStatus::Chosen => self.decided(order),
+            SubmissionStatus::Superseded => {
                 self.has_two_texts |= self.decided.get(&order.0).is_some_and(|held| *held != order.1);
                 self.says_both |= self.refused.contains(&order);
                 self.superseded.insert(order);
             }
-            Standing::Conflict => {
+            SubmissionStatus::Conflict => {
                 let decided = self.decided.get(&order.0).is_some_and(|held| *held == order.1);
                 self.says_both |= decided || self.superseded.contains(&order);
                 self.refused.insert(order);
             }
-            Standing::New | Standing::Forgotten => unreachable!("an order of so few is settled"),
+            SubmissionStatus::New | SubmissionStatus::Forgotten => {
+                unreachable!("an order of so few is settled")
+            }
         }
     }
 
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -7,16 +7,16 @@
 //! (an answer leaves after the sync), clocks, and anything beyond the events and the depth of each run.
 
 #[allow(dead_code, reason = "each test uses its part")]
-mod told;
+mod acknowledgements;
 
 use std::sync::Arc;
 
+use acknowledgements::Acknowledgements;
 use ashvane_quorum::{
-    Accepted, Ballot, Chosen, Decided, Member, Membership, Operation, Outcome, Replica, ReplicaState,
-    Request, Response, Step, StoredConfig, TextDigest, Value,
+    AcceptedProposal, AddressedRequest, Chosen, ChosenVersions, ContentDigest, Member, Membership, Operation,
+    Outcome, ProposalNumber, RegisterValue, Replica, ReplicaState, Request, Response, Step, VersionedConfig,
 };
 use stateright::{Checker as _, HasDiscoveries, Model, Property};
-use told::Told;
 
 /// The guard that is taken out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,11 +65,11 @@
     wipes: u8,
     repeats: u8,
     tries: u8,
-    told: Told,
+    acknowledged: Acknowledgements,
     /// The newest version that callers knew when each operation began.
     floors: Vec<u64>,
     /// What each read has met with the highest ballot; only where the guard on mixed reads is taken out.
-    met: Vec<Option<Accepted>>,
+    met: Vec<Option<AcceptedProposal>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -113,8 +113,8 @@
     Member { disk: disk.into(), address: disk[1..2].to_owned() }
 }
 
-fn config(version: u64, text: &str) -> StoredConfig {
-    StoredConfig { version, digest: TextDigest::of(text.as_bytes()), text: text.into() }
+fn config(version: u64, text: &str) -> VersionedConfig {
+    VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
 }
 
 /// A replica whose state was tampered with.
@@ -138,7 +138,7 @@
             Plan::Write(version, text) => Operation::write(name, membership, config(version, text)),
             Plan::Read => Operation::read(name, membership),
             Plan::Change(disks) => {
-                Operation::change(name, membership, disks.iter().map(|d| member(d)).collect())
+                Operation::change_membership(name, membership, disks.iter().map(|d| member(d)).collect())
             }
         }
     }
@@ -153,52 +153,56 @@
         let newest = state.newest_membership();
         let replica = &mut state.replicas[at];
         match (self.without, request) {
-            (Without::BallotCheck, Request::Accept { ballot, .. }) => {
+            (Without::BallotCheck, Request::Accept { number, .. }) => {
                 // What it has accepted stands below all others, under a ballot that nobody names.
-                let lowest = Ballot { round: 0, by: "-".into() };
+                let lowest = ProposalNumber { round: 0, operation: "-".into() };
                 *replica = tampered(replica, |state| {
-                    state.promised = Ballot::default();
-                    if state.accepted.ballot > *ballot {
-                        state.accepted.ballot = lowest;
+                    state.promised = ProposalNumber::default();
+                    if state.accepted.number > *number {
+                        state.accepted.number = lowest;
                     }
                 });
-                replica.handle(request).0
+                replica.handle(request).response
             }
             (Without::PromiseRises, Request::Prepare { .. }) => {
                 // Below what it has accepted, its own assertion finds it first.
-                *replica = tampered(replica, |state| state.promised = state.accepted.ballot.clone());
-                replica.handle(request).0
+                *replica = tampered(replica, |state| state.promised = state.accepted.number.clone());
+                replica.handle(request).response
             }
             (Without::Adopt, Request::Prepare { .. }) => {
-                let mut response = replica.handle(request).0;
-                (response.ballot, response.value) = (Ballot::default(), Some(Arc::default()));
+                let mut response = replica.handle(request).response;
+                (response.accepted_number, response.value) =
+                    (ProposalNumber::default(), Some(Arc::default()));
                 response
             }
             (Without::HandOver, Request::Install { membership, .. }) => {
-                let accepted = Accepted::default();
-                replica.handle(&Request::Install { membership: membership.clone(), accepted }).0
+                let accepted = AcceptedProposal::default();
+                replica.handle(&Request::Install { membership: membership.clone(), accepted }).response
             }
             (Without::VoteWithState, _) if newest.epoch > replica.state().membership.epoch => {
                 *replica = tampered(replica, |state| {
                     state.membership = newest;
-                    (state.promised, state.accepted.ballot) = Default::default();
-                    state.accepted.next = None;
+                    (state.promised, state.accepted.number) = Default::default();
+                    state.accepted.next_membership = None;
                 });
-                replica.handle(request).0
+                replica.handle(request).response
             }
             (Without::Seal, _) => {
-                let mut response = replica.handle(request).0;
-                response.next = None;
+                let mut response = replica.handle(request).response;
+                response.next_membership = None;
                 response
             }
             (Without::DecidedDigests, _) => {
-                let mut response = replica.handle(request).0;
-                response.value = response
-                    .value
-                    .map(|v| Arc::new(Value { config: v.config.clone(), decided: Decided::default() }));
+                let mut response = replica.handle(request).response;
+                response.value = response.value.map(|v| {
+                    Arc::new(RegisterValue {
+                        config: v.config.clone(),
+                        chosen_versions: ChosenVersions::default(),
+                    })
+                });
                 response
             }
-            _ => replica.handle(request).0,
+            _ => replica.handle(request).response,
         }
     }
 
@@ -208,15 +212,15 @@
             return;
         }
         match self.without {
-            Without::SealInRead => response.next = None,
+            Without::SealInRead => response.next_membership = None,
             Without::WriteBack => {
                 let met = &mut state.met[operation];
-                let newer = met.as_ref().is_none_or(|met| met.ballot <= response.ballot);
+                let newer = met.as_ref().is_none_or(|met| met.number <= response.accepted_number);
                 match response.accepted().filter(|_| newer) {
                     Some(accepted) => *met = Some(accepted),
                     None => {
                         let Some(met) = met.clone() else { return };
-                        (response.ballot, response.value) = (met.ballot, Some(met.value));
+                        (response.accepted_number, response.value) = (met.number, Some(met.value));
                     }
                 }
             }
@@ -226,9 +230,13 @@
 
     fn post(&self, state: &mut State, operation: usize, step: Step) {
         let requests = step.requests.into_iter();
-        let messages = requests.map(|(member, request)| Message::Request { operation, member, request });
+        let messages = requests.map(|AddressedRequest { member, request }| Message::Request {
+            operation,
+            member,
+            request,
+        });
         state.messages.extend(messages);
-        state.waiting[operation] |= step.back_off;
+        state.waiting[operation] |= step.is_contended;
         if let Some(outcome) = step.outcome {
             self.ended(state, operation, outcome);
         }
@@ -241,12 +249,12 @@
 
     fn ended(&self, state: &mut State, operation: usize, outcome: Outcome) {
         let chosen = match (outcome, self.plans[operation]) {
-            (Outcome::Found(chosen), _) => {
-                state.told.read(state.floors[operation], &chosen);
+            (Outcome::Read(chosen), _) => {
+                state.acknowledged.read(state.floors[operation], &chosen);
                 chosen
             }
             (Outcome::Written(standing, chosen), Plan::Write(version, text)) => {
-                state.told.written((version, text.into()), standing, &chosen);
+                state.acknowledged.written((version, text.into()), standing, &chosen);
                 chosen
             }
             _ => return,
@@ -263,9 +271,9 @@
 
     /// The next members are installed as soon as one replica has accepted the seal.
     fn install_at_once(state: &mut State, at: usize, operation: usize, request: &Request) {
-        let Request::Accept { next: Some(next), .. } = request else { return };
+        let Request::Accept { next_membership: Some(next), .. } = request else { return };
         let (membership, value) = (next.clone(), state.replicas[at].state().accepted.value.clone());
-        let accepted = Accepted { value, ..Accepted::default() };
+        let accepted = AcceptedProposal { value, ..AcceptedProposal::default() };
         let request = Request::Install { membership, accepted };
         let installs = next.members.iter().cloned();
         let messages =
@@ -278,7 +286,7 @@
             Message::Request { operation, member, request } => {
                 let at: usize = member.address.parse().ok()?;
                 let response = self.handle(state, at, &request);
-                if self.without == Without::SealBeforeInstall && response.refusal.is_none() {
+                if self.without == Without::SealBeforeInstall && response.rejection.is_none() {
                     Self::install_at_once(state, at, operation, &request);
                 }
                 state.messages.push(Message::Response { operation, request, response });
@@ -315,10 +323,12 @@
         let states = || self.replicas.iter().map(Replica::state);
         states().map(|s| &s.membership).all(|membership| {
             let decides = |s: &&ReplicaState| {
-                s.membership == *membership && membership.has(&s.disk) && s.accepted.next.is_none()
+                s.membership == *membership
+                    && membership.contains(&s.disk)
+                    && s.accepted.next_membership.is_none()
             };
             let knows = |s: &ReplicaState| s.accepted.value.version().unwrap_or(0) >= version;
-            states().filter(decides).filter(|s| !knows(s)).count() < membership.majority()
+            states().filter(decides).filter(|s| !knows(s)).count() < membership.quorum_size()
         })
     }
 }
@@ -342,7 +352,7 @@
             wipes: self.wipes,
             repeats: self.repeats,
             tries: self.tries,
-            told: Told::default(),
+            acknowledged: Acknowledgements::default(),
             floors: vec![0; many],
             met: vec![None; many],
         }]
@@ -378,16 +388,16 @@
                 let own = state.replicas[self.home(n)].state();
                 state.operations[n] = match self.without {
                     Without::SealInRead => self.operation(n, membership),
-                    _ => self.operation(n, membership).knowing(own),
+                    _ => self.operation(n, membership).with_local_state(own),
                 };
                 state.begun += 1;
-                state.floors[n] = state.told.newest;
-                let step = state.operations[n].begin();
+                state.floors[n] = state.acknowledged.newest;
+                let step = state.operations[n].start();
                 self.post(&mut state, n, step);
             }
             Action::Again(n) => {
                 (state.waiting[n], state.tries) = (false, state.tries - 1);
-                let step = state.operations[n].again();
+                let step = state.operations[n].retry();
                 self.post(&mut state, n, step);
             }
             Action::Wipe(n) => {
@@ -415,14 +425,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("a majority holds what was told", |_, state: &State| {
-                state.is_held(state.told.newest)
+                state.is_held(state.acknowledged.newest)
             }),
             Property::always("a read finds what was told before it began", |_, state: &State| {
-                !state.told.is_behind
+                !state.acknowledged.is_behind
             }),
-            Property::always("a version has one text", |_, state: &State| !state.told.has_two_texts),
+            Property::always("a version has one text", |_, state: &State| !state.acknowledged.has_two_texts),
             Property::always("nothing is both acknowledged and refused", |_, state: &State| {
-                !state.told.says_both
+                !state.acknowledged.says_both
             }),
             Property::always("an epoch has one membership", |_, state: &State| {
                 let all = || state.replicas.iter().map(|r| &r.state().membership);
--- a/crates/quorum/tests/schedule.rs
+++ b/crates/quorum/tests/schedule.rs
@@ -4,18 +4,20 @@
 //! race under one number and send old orders again, and messages come twice: each version has one text for all.
 
 #[allow(dead_code, reason = "each test uses its part")]
-mod told;
+mod acknowledgements;
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashvane_quorum::duty::{DiskReport, Held, LiveDisk, View};
+use acknowledgements::{Acknowledgements, Order};
+use ashvane_quorum::membership_manager::{
+    LiveReplica, MembershipPlanner, MembershipView, ReplicaProgress, ReplicaReport,
+};
 use ashvane_quorum::{
-    Member, Membership, Operation, Outcome, Pace, Replica, ReplicaState, Request, Response, Step,
-    StoredConfig, TextDigest, Watch,
+    AddressedRequest, ContentDigest, DiskId, Handled, Member, Membership, Operation, Outcome, Replica,
+    ReplicaState, Request, Response, RetrySchedule, Step, VersionedConfig,
 };
-use told::{Order, Told};
 
 /// Milliseconds.
 type Time = u64;
@@ -38,7 +40,7 @@
     /// What a loss of power leaves.
     disk: Replica,
     known: Membership,
-    watch: Watch,
+    planner: MembershipPlanner,
     changing: bool,
 }
 
@@ -49,7 +51,7 @@
     aim: Aim,
     until: Time,
     in_calm: bool,
-    pace: Pace,
+    retries: RetrySchedule,
     ask_again_at: Time,
 }
 
@@ -105,7 +107,7 @@
     next: u64,
     events: BinaryHeap<std::cmp::Reverse<(Time, u64, Event)>>,
     sent: u64,
-    told: Told,
+    acknowledged: Acknowledgements,
     version: u64,
     /// All that was sent, where rivals send it again; none where there are no rivals.
     orders: Option<Vec<Order>>,
@@ -122,11 +124,12 @@
 }
 
 /// A machine's disk as the others see it, with what is synced there.
-fn live_disk(machine: &Machine) -> LiveDisk {
+fn live_disk(machine: &Machine) -> LiveReplica {
     let member = Member { disk: machine.replica.state().disk.clone(), address: machine.address.clone() };
     let epoch = machine.disk.state().membership.epoch;
-    let held = Held { epoch, version: machine.disk.stored().map_or(0, |config| config.version) };
-    LiveDisk { member, report: Some(DiskReport { held, leaving: false }) }
+    let progress =
+        ReplicaProgress { epoch, version: machine.disk.accepted_config().map_or(0, |config| config.version) };
+    LiveReplica { member, report: Some(ReplicaReport { progress, is_shutting_down: false }) }
 }
 
 impl World {
@@ -136,10 +139,10 @@
             (0..3).map(|n| Member { disk: format!("first{n}").into(), address: format!("m{n}") }).collect(),
         );
         let machine = |n: usize| {
-            let name: Arc<str> = if n < 3 { format!("first{n}") } else { format!("d{n}") }.into();
+            let name: DiskId = if n < 3 { format!("first{n}") } else { format!("d{n}") }.into();
             let replica = Replica::empty(name, first.clone());
             let disk = replica.clone();
-            let (known, watch) = (first.clone(), Watch::default());
+            let (known, planner) = (first.clone(), MembershipPlanner::default());
             Machine {
                 address: format!("m{n}"),
                 up: true,
@@ -147,7 +150,7 @@
                 replica,
                 disk,
                 known,
-                watch,
+                planner,
                 changing: false,
             }
         };
@@ -160,7 +163,7 @@
             next: 0,
             events: BinaryHeap::new(),
             sent: 0,
-            told: Told::default(),
+            acknowledged: Acknowledgements::default(),
             version: 0,
             orders: rivals.then(Vec::new),
             sets: BTreeMap::new(),
@@ -194,20 +197,20 @@
     fn post(&mut self, operation: u64, step: &Step, again: bool) {
         let draw = self.rng.u64(..);
         if let Some(running) = self.operations.get_mut(&operation) {
-            let pause = match (step.back_off, again) {
-                (true, _) => running.pace.back_off(draw),
-                (false, true) => running.pace.sent_again(),
-                (false, false) => running.pace.sent(),
+            let pause = match (step.is_contended, again) {
+                (true, _) => running.retries.contention_delay(draw),
+                (false, true) => running.retries.delay_after_resend(),
+                (false, false) => running.retries.delay_after_first_send(),
             };
             let wait = pause.as_millis() as Time;
-            if step.back_off || again || !step.requests.is_empty() {
+            if step.is_contended || again || !step.requests.is_empty() {
                 running.ask_again_at = self.now + wait;
                 self.after(wait, Event::Again(operation));
             }
         }
         let asks = step.requests.clone();
         let Some(from) = self.operations.get(&operation).map(|q| q.machine) else { return };
-        for (member, request) in asks {
+        for AddressedRequest { member, request } in asks {
             if self.orders.is_some() && self.rng.u32(0..TWICE) == 0 {
                 // It comes twice, the second time perhaps much later.
                 let (wait, to) = (self.rng.u64(1..2000), member.address.clone());
@@ -222,7 +225,7 @@
 
     fn begin(&mut self, machine: usize, mut operation: Operation, aim: Aim) {
         self.next += 1;
-        let step = operation.begin();
+        let step = operation.start();
         let (life, now) = (self.machines[machine].life, self.now);
         let in_calm = self.is_calm();
         let until = now + OPERATION_TIMEOUT;
@@ -233,7 +236,7 @@
             aim,
             until,
             in_calm,
-            pace: Pace::default(),
+            retries: RetrySchedule::default(),
             ask_again_at: now,
         };
         self.operations.insert(self.next, running);
@@ -260,20 +263,23 @@
             let membership = self.machines[other].known.clone();
             self.learn(n, &membership);
         }
-        let live: Vec<LiveDisk> = (0..self.machines.len())
+        let live: Vec<LiveReplica> = (0..self.machines.len())
             .filter(|m| self.machines[*m].up && self.reach(n, *m))
             .map(|m| live_disk(&self.machines[m]))
             .collect();
         let now = Duration::from_millis(self.now);
         let m = &mut self.machines[n];
-        let view = View { membership: &m.known, live: &live };
-        m.watch.look(now, view);
+        let view = MembershipView { membership: &m.known, live: &live };
+        m.planner.observe(now, view);
         let me = m.replica.state().disk.clone();
-        let next = m.watch.next(now, &me, view).filter(|_| !m.changing);
+        let next = m.planner.plan_change(now, &me, view).filter(|_| !m.changing);
         if let Some(next) = next {
             m.changing = true;
-            let operation =
-                Operation::change(format!("{me}/{}/{}", m.life, self.next).into(), m.known.clone(), next);
+            let operation = Operation::change_membership(
+                format!("{me}/{}/{}", m.life, self.next).into(),
+                m.known.clone(),
+                next,
+            );
             self.begin(n, operation, Aim::Change);
         }
     }
@@ -290,7 +296,7 @@
             return;
         }
         if running.ask_again_at <= self.now {
-            let step = running.operation.again();
+            let step = running.operation.retry();
             self.post(number, &step, true);
         }
     }
@@ -303,16 +309,16 @@
             return;
         }
         let m = &self.machines[at];
-        let by: Arc<str> = format!("{}/{}/{}", m.replica.state().disk, m.life, self.next).into();
+        let id: Arc<str> = format!("{}/{}/{}", m.replica.state().disk, m.life, self.next).into();
         let membership = m.known.clone();
         if self.rng.bool() {
             self.puts_in_calm.0 += u64::from(self.is_calm());
             let (version, text) = self.order();
-            let digest = TextDigest::of(text.as_bytes());
-            let stored = StoredConfig { version, digest, text: text.clone() };
-            self.begin(at, Operation::write(by, membership, stored), Aim::Put((version, text)));
+            let digest = ContentDigest::of(text.as_bytes());
+            let stored = VersionedConfig { version, digest, compressed_text: text.clone() };
+            self.begin(at, Operation::write(id, membership, stored), Aim::Put((version, text)));
         } else {
-            self.begin(at, Operation::read(by, membership), Aim::Get { floor: self.told.newest });
+            self.begin(at, Operation::read(id, membership), Aim::Get { floor: self.acknowledged.newest });
         }
     }
 
@@ -341,7 +347,7 @@
     }
 
     fn back(&mut self, n: usize, wiped: bool) {
-        let name: Arc<str> = format!("new{}", self.rng.u64(..)).into();
+        let name: DiskId = format!("new{}", self.rng.u64(..)).into();
         let keeps = self.keeps_name;
         let m = &mut self.machines[n];
         if wiped {
@@ -350,7 +356,8 @@
                 if keeps { (state.disk, state.membership) } else { (name, Membership::default()) };
             m.disk = Replica::empty(name, membership);
         }
-        (m.replica, m.up, m.changing, m.watch) = (m.disk.clone(), true, false, Watch::default());
+        (m.replica, m.up, m.changing, m.planner) =
+            (m.disk.clone(), true, false, MembershipPlanner::default());
         m.known = m.replica.state().membership.clone();
         self.check();
     }
@@ -360,10 +367,10 @@
     fn check(&mut self) {
         let states = || self.machines.iter().map(|m| m.disk.state());
         let Some(newest) = states().map(|s| &s.membership).max_by_key(|m| m.epoch) else { return };
-        let votes = |s: &&ReplicaState| s.membership.epoch == newest.epoch && newest.has(&s.disk);
-        let knows = |s: &ReplicaState| s.accepted.value.version().unwrap_or(0) >= self.told.newest;
+        let votes = |s: &&ReplicaState| s.membership.epoch == newest.epoch && newest.contains(&s.disk);
+        let knows = |s: &ReplicaState| s.accepted.value.version().unwrap_or(0) >= self.acknowledged.newest;
         let without = states().filter(votes).filter(|s| !knows(s)).count();
-        self.broken |= !newest.members.is_empty() && without >= newest.majority();
+        self.broken |= !newest.members.is_empty() && without >= newest.quorum_size();
     }
 
     fn fault(&mut self) {
@@ -404,17 +411,17 @@
         self.check();
         match (running.aim, outcome) {
             (Aim::Put(order), Outcome::Written(standing, chosen)) => {
-                self.told.written(order, standing, &chosen);
+                self.acknowledged.written(order, standing, &chosen);
                 self.puts_in_calm.1 += u64::from(running.in_calm);
             }
-            (Aim::Get { floor }, Outcome::Found(chosen)) => self.told.read(floor, &chosen),
-            (Aim::Change, Outcome::Changed(membership)) => {
+            (Aim::Get { floor }, Outcome::Read(chosen)) => self.acknowledged.read(floor, &chosen),
+            (Aim::Change, Outcome::MembershipChanged(membership)) => {
                 self.learn(running.machine, &membership);
                 self.machines[running.machine].changing = false;
             }
             _ => {}
         }
-        self.broken |= !self.told.is_sound();
+        self.broken |= !self.acknowledged.is_sound();
     }
 
     fn happen(&mut self, event: Event) {
@@ -428,9 +435,9 @@
             Event::Request { operation, from, to, request } => {
                 let at = self.machines.iter().position(|m| m.address == to && m.up);
                 let Some(at) = at.filter(|at| self.reach(from, *at)) else { return };
-                let (response, changed) = self.machines[at].replica.handle(&request);
+                let Handled { response, state_changed } = self.machines[at].replica.handle(&request);
                 let life = self.machines[at].life;
-                let wait = if !changed { 1 } else { self.rng.u64(5..40) };
+                let wait = if !state_changed { 1 } else { self.rng.u64(5..40) };
                 self.after(wait, Event::Safe { operation, from, machine: at, life, request, response });
             }
             Event::Safe { operation, from, machine, life, request, response } => {
@@ -485,9 +492,13 @@
         assert!(
             !world.broken,
             "seed {seed}: what was told does not hold; {:?}; {:?}",
-            world.told, world.faults
+            world.acknowledged, world.faults
+        );
+        assert!(
+            world.acknowledged.newest > 0,
+            "seed {seed}: nothing was ever acknowledged; {:?}",
+            world.faults
         );
-        assert!(world.told.newest > 0, "seed {seed}: nothing was ever acknowledged; {:?}", world.faults);
     }
     // A put that was begun in calm times may meet the next fault, and some seeds lose every third message.
     assert!(puts > 100 && held * 100 >= puts * 85, "{held} of {puts} writes in calm times were acknowledged");
