--- /dev/null
+++ b/crates/gossip/src/directory/orphans.rs
@@ -0,0 +1,52 @@
+//! Servers whose control node is gone: nobody receives their heartbeats.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use ashvane_identifiers::NodeName;
+
+use super::heartbeat_monitor::MAX_MISSED_HEARTBEATS;
+use super::node_table::NodeTable;
+use super::server_table::ServerTable;
+use crate::Server;
+
+/// Time after which the servers of a control node that is gone are expected to send their heartbeats elsewhere.
+const ADOPTION_TIME: Duration = Duration::from_secs(10);
+
+/// Finds servers whose control node is gone.
+pub(super) struct Orphans {
+    /// Time that an orphan has to turn to another control node, and to miss its heartbeats.
+    timeout: Duration,
+    /// Since when servers are known of a control node that is not.
+    unknown_monitors: BTreeMap<NodeName, Duration>,
+}
+
+impl Orphans {
+    pub(super) fn new(heartbeat_interval: Duration) -> Self {
+        let timeout = ADOPTION_TIME + heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        Orphans { timeout, unknown_monitors: BTreeMap::new() }
+    }
+
+    /// Whether a server has missed its heartbeats at a control node that is gone.
+    pub(super) fn is_overdue(&self, server: &Server, nodes: &NodeTable, now: Duration) -> bool {
+        let gone_since =
+            nodes.down_since(&server.monitor).or_else(|| self.unknown_monitors.get(&server.monitor).copied());
+        let is_overdue = gone_since.is_some_and(|since| since + self.timeout < now);
+        is_overdue && !server.is_terminated() && !server.has_timed_out()
+    }
+
+    /// Records which control nodes servers name that are not known themselves.
+    pub(super) fn track_unknown_monitors(&mut self, servers: &ServerTable, nodes: &NodeTable, now: Duration) {
+        let running = servers.iter().filter(|server| !server.is_terminated());
+        let monitors: BTreeSet<&NodeName> = running.map(|server| &server.monitor).collect();
+        self.unknown_monitors.retain(|monitor, _| monitors.contains(monitor));
+        for monitor in monitors.into_iter().filter(|monitor| nodes.get(monitor).is_none()) {
+            self.unknown_monitors.entry(monitor.clone()).or_insert(now);
+        }
+    }
+
+    /// A process has become known.
+    pub(super) fn monitor_is_known(&mut self, name: &NodeName) {
+        self.unknown_monitors.remove(name);
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/directory/server_table.rs
@@ -0,0 +1,133 @@
+//! The entries of servers.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use ashvane_identifiers::{Address, ServerId};
+
+use super::DEPARTED_ENTRY_RETENTION;
+use crate::digest::EntryDigests;
+use crate::tombstones::Tombstones;
+use crate::{Heartbeat, OrphanMonitorTerm, Server, ServerRank, ServerState};
+
+/// Time after which a server that has timed out is taken for ended: longer than any partition lasts. One that was cut off
+/// for so long and still runs counts again after [`DEPARTED_ENTRY_RETENTION`]: it gets no tombstone.
+const MAX_TIMED_OUT: Duration = Duration::from_secs(24 * 3600);
+
+/// The entries of servers, the server that has each address, and since when servers have been gone.
+#[derive(Default)]
+pub(super) struct ServerTable {
+    servers: BTreeMap<ServerId, Server>,
+    by_address: BTreeMap<Address, ServerId>,
+    terminated_since: BTreeMap<ServerId, Duration>,
+    timed_out_since: BTreeMap<ServerId, Duration>,
+    tombstones: Tombstones<ServerId, ServerState>,
+}
+
+impl ServerTable {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Server> {
+        self.servers.values()
+    }
+
+    pub(super) fn get(&self, id: &ServerId) -> Option<&Server> {
+        self.servers.get(id)
+    }
+
+    /// The server that has an address.
+    pub(super) fn at(&self, address: &Address) -> Option<&Server> {
+        self.servers.get(self.by_address.get(address)?)
+    }
+
+    pub(super) fn tombstone_count(&self) -> usize {
+        self.tombstones.len()
+    }
+
+    pub(super) fn has_tombstone(&self, id: &ServerId) -> bool {
+        self.tombstones.contains(id)
+    }
+
+    /// Whether a server that is remembered as gone had a state as high as this heartbeat says.
+    pub(super) fn is_tombstone_above(&self, heartbeat: &Heartbeat) -> bool {
+        self.tombstones.covers(&heartbeat.id, &heartbeat.state)
+    }
+
+    /// Whether an entry, or a newer one, is known or was.
+    pub(super) fn has_seen(&self, server: &Server) -> bool {
+        self.servers.get(&server.id).is_some_and(|known| known.rank() >= server.rank())
+            || self.tombstones.covers(&server.id, &server.state)
+    }
+
+    /// Whether a rank is above all that is known of a server, and it is not remembered as gone.
+    pub(super) fn is_news(&self, id: &ServerId, rank: &ServerRank) -> bool {
+        match self.servers.get(id) {
+            Some(known) => known.rank() < *rank,
+            None => !self.tombstones.contains(id),
+        }
+    }
+
+    /// The one place where the entry of a server changes. `term` is the highest one of the orphan monitor.
+    pub(super) fn insert(
+        &mut self, server: Server, term: &OrphanMonitorTerm, digests: &mut EntryDigests, now: Duration,
+    ) {
+        self.update_address(&server);
+        self.update_times(&server, now);
+        digests.toggle(server.id.as_str(), server.digest());
+        let (is_valid, rank) = (server.liveness.is_valid_in(term), server.rank());
+        debug_assert!(is_valid, "what was declared under an earlier term is void");
+        if let Some(previous) = self.servers.insert(server.id.clone(), server) {
+            let was_valid = previous.liveness.is_valid_in(term);
+            debug_assert!(!was_valid || previous.rank() <= rank, "an entry's rank only rises");
+            digests.toggle(previous.id.as_str(), previous.digest());
+        }
+    }
+
+    fn update_address(&mut self, server: &Server) {
+        if !server.is_terminated() {
+            if !server.has_timed_out() || !self.has_available_server_at(&server.address) {
+                self.by_address.insert(server.address.clone(), server.id.clone());
+            }
+        } else if self.by_address.get(&server.address) == Some(&server.id) {
+            self.by_address.remove(&server.address);
+        }
+    }
+
+    fn update_times(&mut self, server: &Server, now: Duration) {
+        if server.is_terminated() {
+            self.terminated_since.entry(server.id.clone()).or_insert(now);
+        }
+        if server.has_timed_out() && !server.is_terminated() {
+            self.timed_out_since.entry(server.id.clone()).or_insert(now);
+        } else {
+            self.timed_out_since.remove(&server.id);
+        }
+    }
+
+    fn has_available_server_at(&self, address: &Address) -> bool {
+        self.at(address).is_some_and(Server::is_available)
+    }
+
+    /// Servers that timed out and have ended for certain: another one is alive at their address, which is not the server
+    /// itself for that has timed out, or they have been timed out for longer than any partition lasts.
+    pub(super) fn certainly_ended(&self, now: Duration) -> impl Iterator<Item = &Server> {
+        let is_overdue = move |since: &Duration| *since + MAX_TIMED_OUT <= now;
+        self.timed_out_since.iter().filter_map(move |(id, since)| {
+            let server = self.servers.get(id)?;
+            (is_overdue(since) || self.has_available_server_at(&server.address)).then_some(server)
+        })
+    }
+
+    /// Puts tombstones in place of entries that terminated long ago, and removes old tombstones. A server that was only
+    /// taken for ended gets none: it may still run, and counts again from its next heartbeat on.
+    pub(super) fn expire(&mut self, now: Duration) {
+        let is_expired = |(_, since): &(&ServerId, &Duration)| **since + DEPARTED_ENTRY_RETENTION <= now;
+        let expired: Vec<ServerId> =
+            self.terminated_since.iter().filter(is_expired).map(|(id, _)| id.clone()).collect();
+        for id in expired {
+            self.terminated_since.remove(&id);
+            if self.servers.remove(&id).is_some_and(|server| !server.has_timed_out()) {
+                self.tombstones.insert(id, ServerState::Terminated, now);
+            }
+        }
+        self.tombstones.expire(now);
+    }
+}
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -1,50 +1,72 @@
-//! Who talks to whom: each process has a few peers, named by rendezvous hashing over those that it knows,
-//! so that a change of one moves few of them.
+//! Who connects to whom: each process has a few peers, selected by rendezvous hashing (Thaler and Ravishankar, 1998) over
+//! those that it knows, so that a change of one process moves few connections.
 
-use crate::{Node, hash};
+use std::cmp::Reverse;
+
+use crate::Node;
+use crate::stable_hash::stable_hash;
 
 /// What a process is to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes clients' requests.
-    Front,
-    /// Keeps state on a disk.
+    /// Takes clients' requests and gathers their answers.
+    Gateway,
+    /// Keeps the configuration on its disk, and receives the calls of servers and operators.
     Control,
 }
 
-/// Gatherers that a gatherer talks to beside those with disks.
-const FRONT_PARTNERS: usize = 2;
+/// Gateways that a gateway connects to beside control nodes.
+const GATEWAY_PEERS: usize = 2;
 
-fn role(node: &Node) -> Role {
-    if node.disk.is_some() { Role::Control } else { Role::Front }
+/// A process that one may connect to, with what decides in which order.
+struct Candidate<'a> {
+    node: &'a Node,
+    is_in_own_zone: bool,
+    weight: u64,
 }
 
-/// The peers that a process calls by itself; others may call it. Those with disks all talk to each other,
-/// for they vote together. A gatherer calls one more of them than may be lost at once, its own zone's first,
-/// and a few other gatherers. `reached` leaves out those that it has called in vain of late.
-pub fn peers<'a>(
-    me: &Node, nodes: impl Iterator<Item = &'a Node>, losses: usize, reached: impl Fn(&Node) -> bool,
+/// The peers that a process connects to by itself; others may connect to it.
+///
+/// Control nodes all connect to each other, for they vote together. A gateway connects to one control node more than may
+/// fail at once (`max_failures`), those of its own zone first, and to a few gateways. `is_reachable` leaves out those that
+/// it could not connect to of late.
+pub fn select_peers<'a>(
+    own: &Node, nodes: impl Iterator<Item = &'a Node>, max_failures: usize,
+    is_reachable: impl Fn(&Node) -> bool,
 ) -> Vec<&'a Node> {
-    let others = nodes.filter(|n| n.name != me.name && !n.down && reached(n));
-    let mut ranked: Vec<(bool, u64, &Node)> =
-        others.map(|n| (n.zone == me.zone, hash(&[me.name.as_bytes(), n.name.as_bytes()]), n)).collect();
-    ranked.sort_by_key(|(near, rank, _)| std::cmp::Reverse((*near, *rank)));
-    let control_nodes = ranked.iter().filter(|(_, _, n)| role(n) == Role::Control).map(|(_, _, n)| *n);
-    if role(me) == Role::Control {
+    let others = nodes.filter(|node| node.name != own.name && !node.is_down && is_reachable(node));
+    let candidate = |node: &'a Node| Candidate {
+        node,
+        is_in_own_zone: node.zone == own.zone,
+        weight: stable_hash(&[own.name.as_str().as_bytes(), node.name.as_str().as_bytes()]),
+    };
+    let (mut control_nodes, mut gateways): (Vec<Candidate<'_>>, Vec<Candidate<'_>>) =
+        others.map(candidate).partition(|candidate| candidate.node.role() == Role::Control);
+    control_nodes.sort_by_key(|candidate| Reverse((candidate.is_in_own_zone, candidate.weight)));
+    let control_nodes = control_nodes.into_iter().map(|candidate| candidate.node);
+    if own.role() == Role::Control {
         return control_nodes.collect();
     }
-    let mut fronts: Vec<_> = ranked.iter().filter(|(_, _, n)| role(n) == Role::Front).collect();
-    fronts.sort_by_key(|(_, rank, _)| std::cmp::Reverse(*rank));
-    let fronts = fronts.into_iter().take(FRONT_PARTNERS).map(|(_, _, n)| *n);
-    // Not all from one zone: it may be the one that is cut off.
-    let mut chosen: Vec<&Node> = Vec::new();
-    let mut rest = Vec::new();
-    for control_node in control_nodes {
-        let fresh_zone = !chosen.iter().any(|c| c.zone == control_node.zone);
-        if chosen.len() <= losses && fresh_zone { chosen.push(control_node) } else { rest.push(control_node) }
+    gateways.sort_by_key(|candidate| Reverse(candidate.weight));
+    let gateways = gateways.into_iter().map(|candidate| candidate.node).take(GATEWAY_PEERS);
+    let mut peers = spread_over_zones(control_nodes, max_failures + 1);
+    peers.extend(gateways);
+    peers
+}
+
+/// So many of these nodes, the first of each zone before others of the same zone: one zone may be partitioned off.
+fn spread_over_zones<'a>(nodes: impl Iterator<Item = &'a Node>, count: usize) -> Vec<&'a Node> {
+    let mut selected: Vec<&Node> = Vec::new();
+    let mut others = Vec::new();
+    for node in nodes {
+        let is_new_zone = !selected.iter().any(|other| other.zone == node.zone);
+        if selected.len() < count && is_new_zone {
+            selected.push(node);
+        } else {
+            others.push(node);
+        }
     }
-    let missing = (losses + 1).saturating_sub(chosen.len());
-    chosen.extend(rest.into_iter().take(missing));
-    chosen.extend(fronts);
-    chosen
+    let missing = count.saturating_sub(selected.len());
+    selected.extend(others.into_iter().take(missing));
+    selected
 }
--- a/crates/gossip/tests/departed.rs
+++ b/crates/gossip/tests/tombstones.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use ashvane_gossip::{Authority, Directory, HearingTerm, Heartbeat, Node, Server, State, Update};
+use ashvane_gossip::{
+    BucketSet, Directory, Heartbeat, LivenessAuthority, Node, OrphanMonitorTerm, Server, ServerState, Update,
+};
 
 const BEAT: Duration = Duration::from_millis(1000);
 const SECOND: Duration = Duration::from_secs(1);
@@ -10,16 +12,16 @@
 /// Longer than entries of what is gone are told to others.
 const A_WHILE: Duration = Duration::from_secs(700);
 
-fn node(name: &str, life: u64, disk: bool) -> Node {
+fn node(name: &str, incarnation: u64, disk: bool) -> Node {
     Node {
-        name: name.to_owned(),
-        life,
-        age: 1,
-        down: false,
-        address: format!("{name}:7000"),
-        control: None,
-        zone: "z0".to_owned(),
-        front: !disk,
+        name: name.into(),
+        incarnation,
+        generation: 1,
+        is_down: false,
+        address: format!("{name}:7000").into(),
+        control_address: None,
+        zone: "z0".into(),
+        is_gateway: !disk,
         disk: disk.then(|| format!("disk of {name}").into()),
     }
 }
@@ -28,19 +30,19 @@
     Directory::new(node(name, 1, true), BEAT, now)
 }
 
-fn beat(id: &str, address: &str, state: State, seq: u64) -> Heartbeat {
-    let (service, zone) = ("v".to_owned(), "z0".to_owned());
-    Heartbeat { id: id.to_owned(), service, address: address.to_owned(), zone, capacity: 2, state, seq }
+fn heartbeat(id: &str, address: &str, state: ServerState, sequence: u64) -> Heartbeat {
+    let (service, zone) = ("v".into(), "z0".into());
+    Heartbeat { id: id.into(), service, address: address.into(), zone, capacity: 2, state, sequence }
 }
 
 fn learn(directory: &mut Directory, updates: Vec<Update>, now: Duration) {
-    updates.into_iter().for_each(|update| drop(directory.learn(update, now)));
+    updates.into_iter().for_each(|update| drop(directory.apply(update, now)));
 }
 
 /// One tells another what that one's summary lacks, and is told what is said against it.
 fn tell(from: &mut Directory, to: &mut Directory, now: Duration) {
-    let told = from.newer_than(&to.summary(u32::MAX));
-    let against: Vec<Update> = told.iter().filter_map(|update| to.against(update)).collect();
+    let told = from.newer_than(&to.summary(BucketSet::ALL));
+    let against: Vec<Update> = told.iter().filter_map(|update| to.refutation_of(update)).collect();
     learn(to, told, now);
     learn(from, against, now);
 }
@@ -59,6 +61,21 @@
     at: usize,
 }
 
+/// Each server says that it is there; both directories hear of it.
+fn send_heartbeats(directories: &mut [Directory; 2], servers: &mut [Played], now: Duration) {
+    for server in servers {
+        server.seq += 1;
+        let heartbeat = heartbeat(
+            &format!("s{}", server.id),
+            &format!("x{}:1", server.address),
+            ServerState::Ready,
+            server.seq,
+        );
+        let told = directories[server.at].record_heartbeat(heartbeat, now);
+        learn(&mut directories[1 - server.at], told, now);
+    }
+}
+
 /// Forty thousand restarts a day, some of them of servers that crash and come back at their address, 230 machines a day
 /// lost for good: what both directories hold does not grow from one hour to the next.
 #[test]
@@ -78,7 +95,7 @@
             let (old, in_order) = (&servers[at], rng.bool());
             let id = format!("s{}", old.id);
             if in_order {
-                let told = directories[old.at].left(&id, now);
+                let told = directories[old.at].deregister(&id.into(), now);
                 learn(&mut directories[1 - old.at], told, now);
             }
             born += 1;
@@ -92,31 +109,27 @@
         if second % 375 == 0 {
             nodes += 1;
             for directory in &mut directories {
-                directory.learn(Update::Node(node(&format!("gateway-{nodes}"), nodes, false)), now);
-                directory.node_lost(&format!("gateway-{}", nodes - 1), now);
+                directory.apply(Update::Node(node(&format!("gateway-{nodes}"), nodes, false)), now);
+                directory.mark_down(&format!("gateway-{}", nodes - 1).into(), now);
             }
         }
-        for server in &mut servers {
-            server.seq += 1;
-            let heartbeat =
-                beat(&format!("s{}", server.id), &format!("x{}:1", server.address), State::Ready, server.seq);
-            let told = directories[server.at].beat(heartbeat, now);
-            learn(&mut directories[1 - server.at], told, now);
-        }
+        send_heartbeats(&mut directories, &mut servers, now);
         for n in 0..2 {
-            let told = directories[n].tick(&Authority::Own, now);
+            let told = directories[n].tick(&LivenessAuthority::Monitored, now);
             learn(&mut directories[1 - n], told, now);
         }
         let hour = (second / 3600) as usize;
         for directory in &directories {
             let (entries, names) = &mut most[hour];
             *entries = (directory.servers().count() + directory.nodes().count()).max(*entries);
-            *names = directory.remembered().max(*names);
+            *names = directory.tombstone_count().max(*names);
         }
     }
     let [a, b] = &mut directories;
     compare(a, b, now);
-    let live = |d: &Directory| d.servers().filter(|s| s.state < State::Gone && !s.is_silent()).count();
+    let live = |d: &Directory| {
+        d.servers().filter(|s| s.state < ServerState::Terminated && !s.has_timed_out()).count()
+    };
     assert_eq!(directories.each_ref().map(live), [LIVE as usize; 2]);
     assert_eq!(directories[0].digest(1), directories[1].digest(1));
     println!("entries and names at most in each hour: {most:?}");
@@ -131,25 +144,25 @@
 #[test]
 fn no_late_message_brings_a_server_back() {
     let (mut here, mut away) = (directory("a", Duration::ZERO), directory("b", Duration::ZERO));
-    let told = here.beat(beat("s", "x:1", State::Ready, 5), SECOND);
+    let told = here.record_heartbeat(heartbeat("s", "x:1", ServerState::Ready, 5), SECOND);
     learn(&mut away, told, SECOND);
-    here.beat(beat("s", "x:1", State::Draining, 6), SECOND * 2);
-    here.left("s", SECOND * 3);
+    here.record_heartbeat(heartbeat("s", "x:1", ServerState::Draining, 6), SECOND * 2);
+    here.deregister(&"s".into(), SECOND * 3);
     let mut now = A_WHILE;
-    here.tick(&Authority::Own, now);
-    assert!(here.server("s").is_none() && here.remembered() == 1, "only its name is left");
+    here.tick(&LivenessAuthority::Monitored, now);
+    assert!(here.server(&"s".into()).is_none() && here.tombstone_count() == 1, "only its name is left");
     // The other one was cut off all the while, and compares first.
     now += SECOND;
-    let late: Server = away.server("s").cloned().expect("known there");
-    assert!(here.learn(Update::Server(late.clone()), now).is_empty());
-    let later = Server { seq: 900, ..late };
-    assert!(here.learn(Update::Server(later), now).is_empty());
-    assert!(here.beat(beat("s", "x:1", State::Ready, 7), now).is_empty());
-    assert!(here.left("s", now).is_empty());
-    assert!(here.server("s").is_none());
+    let late: Server = away.server(&"s".into()).cloned().expect("known there");
+    assert!(here.apply(Update::Server(late.clone()), now).is_empty());
+    let later = Server { heartbeat_sequence: 900, ..late };
+    assert!(here.apply(Update::Server(later), now).is_empty());
+    assert!(here.record_heartbeat(heartbeat("s", "x:1", ServerState::Ready, 7), now).is_empty());
+    assert!(here.deregister(&"s".into(), now).is_empty());
+    assert!(here.server(&"s".into()).is_none());
     compare(&mut away, &mut here, now);
-    assert_eq!(away.server("s").map(|s| s.state), Some(State::Gone));
-    assert!(here.server("s").is_none_or(|s| s.state == State::Gone));
+    assert_eq!(away.server(&"s".into()).map(|s| s.state), Some(ServerState::Terminated));
+    assert!(here.server(&"s".into()).is_none_or(|s| s.state == ServerState::Terminated));
 }
 
 /// A process that is down for a while is forgotten but for its name and life. What is told of that life later is refused;
@@ -159,16 +172,16 @@
     for life in [3, 9] {
         let mut here = directory("a", Duration::ZERO);
         let before = node("gateway", 5, false);
-        here.learn(Update::Node(before.clone()), SECOND);
-        here.node_lost("gateway", SECOND);
-        here.tick(&Authority::Own, A_WHILE);
-        assert!(here.node("gateway").is_none() && here.remembered() == 1);
-        assert!(here.learn(Update::Node(before.clone()), A_WHILE).is_empty(), "a late message");
-        assert!(here.node("gateway").is_none());
+        here.apply(Update::Node(before.clone()), SECOND);
+        here.mark_down(&"gateway".into(), SECOND);
+        here.tick(&LivenessAuthority::Monitored, A_WHILE);
+        assert!(here.node(&"gateway".into()).is_none() && here.tombstone_count() == 1);
+        assert!(here.apply(Update::Node(before.clone()), A_WHILE).is_empty(), "a late message");
+        assert!(here.node(&"gateway".into()).is_none());
         let mut back = Directory::new(node("gateway", life, false), BEAT, A_WHILE);
         compare(&mut back, &mut here, A_WHILE);
         compare(&mut here, &mut back, A_WHILE);
-        assert_eq!(here.node("gateway").map(|n| (n.life, n.down)), Some((life, false)));
+        assert_eq!(here.node(&"gateway".into()).map(|n| (n.incarnation, n.is_down)), Some((life, false)));
         assert_eq!(here.digest(1), back.digest(1));
     }
 }
@@ -177,12 +190,12 @@
 #[test]
 fn a_control_node_that_is_down_is_kept_for_a_day() {
     let mut here = directory("a", Duration::ZERO);
-    here.learn(Update::Node(node("b", 2, true)), SECOND);
-    here.node_lost("b", SECOND);
-    here.tick(&Authority::Own, HOUR * 23);
-    assert!(here.node("b").is_some_and(|n| n.down));
-    here.tick(&Authority::Own, HOUR * 25);
-    assert!(here.node("b").is_none());
+    here.apply(Update::Node(node("b", 2, true)), SECOND);
+    here.mark_down(&"b".into(), SECOND);
+    here.tick(&LivenessAuthority::Monitored, HOUR * 23);
+    assert!(here.node(&"b".into()).is_some_and(|n| n.is_down));
+    here.tick(&LivenessAuthority::Monitored, HOUR * 25);
+    assert!(here.node(&"b".into()).is_none());
 }
 
 /// A server that crashed is ended once another is heard at its address, or after a day; by its keeper, or by the holder of
@@ -191,54 +204,55 @@
 fn a_silent_server_ends_with_its_address_or_after_a_day() {
     let silent = |here: &mut Directory| {
         let mut now = SECOND;
-        here.beat(beat("s", "x:1", State::Ready, 1), now);
-        while !here.server("s").is_some_and(Server::is_silent) {
+        here.record_heartbeat(heartbeat("s", "x:1", ServerState::Ready, 1), now);
+        while !here.server(&"s".into()).is_some_and(Server::has_timed_out) {
             now += SECOND;
             assert!(now < SECOND * 20);
-            here.tick(&Authority::Own, now);
+            here.tick(&LivenessAuthority::Monitored, now);
         }
         now
     };
-    let state = |here: &Directory| here.server("s").map(|s| s.state);
+    let state = |here: &Directory| here.server(&"s".into()).map(|s| s.state);
     let mut here = directory("a", Duration::ZERO);
     let now = silent(&mut here);
-    here.tick(&Authority::Own, now + HOUR * 23);
-    assert_eq!(state(&here), Some(State::Ready));
-    here.tick(&Authority::Own, now + HOUR * 25);
-    assert_eq!(state(&here), Some(State::Gone));
+    here.tick(&LivenessAuthority::Monitored, now + HOUR * 23);
+    assert_eq!(state(&here), Some(ServerState::Ready));
+    here.tick(&LivenessAuthority::Monitored, now + HOUR * 25);
+    assert_eq!(state(&here), Some(ServerState::Terminated));
     // It was cut off, and runs: it counts again after a while.
     let back = now + HOUR * 25 + A_WHILE;
-    here.tick(&Authority::Own, back);
-    here.beat(beat("s", "x:1", State::Ready, 90_000), back);
-    assert_eq!(state(&here), Some(State::Ready));
+    here.tick(&LivenessAuthority::Monitored, back);
+    here.record_heartbeat(heartbeat("s", "x:1", ServerState::Ready, 90_000), back);
+    assert_eq!(state(&here), Some(ServerState::Ready));
     // Another at its address was heard elsewhere before this one was missed.
     let mut here = directory("a", Duration::ZERO);
-    here.beat(beat("s", "x:1", State::Ready, 1), SECOND);
-    let other = directory("b", Duration::ZERO).beat(beat("t", "x:1", State::Ready, 1), SECOND);
+    here.record_heartbeat(heartbeat("s", "x:1", ServerState::Ready, 1), SECOND);
+    let other =
+        directory("b", Duration::ZERO).record_heartbeat(heartbeat("t", "x:1", ServerState::Ready, 1), SECOND);
     learn(&mut here, other, SECOND);
-    assert_eq!(state(&here), Some(State::Ready), "which one is the later is not known yet");
+    assert_eq!(state(&here), Some(ServerState::Ready), "which one is the later is not known yet");
     let now = silent(&mut here);
-    here.tick(&Authority::Own, now + SECOND);
-    assert_eq!(state(&here), Some(State::Gone));
+    here.tick(&LivenessAuthority::Monitored, now + SECOND);
+    assert_eq!(state(&here), Some(ServerState::Terminated));
     // One that another heard is left to that one, or to the holder of the duty.
     let mut there = directory("b", Duration::ZERO);
-    let told = Server { keeper: "c".to_owned(), ..here.server("t").cloned().expect("t") };
-    let claimed = Server { silence: ashvane_gossip::Silence::Missed, ..told };
-    there.learn(Update::Server(claimed), SECOND);
-    there.tick(&Authority::Own, HOUR * 25);
-    assert_eq!(there.server("t").map(|s| s.state), Some(State::Ready));
-    let term = HearingTerm::default();
-    there.tick(&Authority::Holder(term), HOUR * 25 + SECOND);
-    assert_eq!(there.server("t").map(|s| s.state), Some(State::Gone));
+    let told = Server { monitor: "c".into(), ..here.server(&"t".into()).cloned().expect("t") };
+    let claimed = Server { liveness: ashvane_gossip::Liveness::TimedOut, ..told };
+    there.apply(Update::Server(claimed), SECOND);
+    there.tick(&LivenessAuthority::Monitored, HOUR * 25);
+    assert_eq!(there.server(&"t".into()).map(|s| s.state), Some(ServerState::Ready));
+    let term = OrphanMonitorTerm::default();
+    there.tick(&LivenessAuthority::MonitoredAndOrphans(term), HOUR * 25 + SECOND);
+    assert_eq!(there.server(&"t".into()).map(|s| s.state), Some(ServerState::Terminated));
 }
 
 /// Names are forgotten after a day, and the oldest ones before that where there are too many.
 #[test]
 fn names_are_bounded_in_time_and_number() {
     let mut here = directory("a", Duration::ZERO);
-    (0..61_000).for_each(|n| drop(here.left(&format!("s{n}"), SECOND)));
-    here.tick(&Authority::Own, A_WHILE);
-    assert_eq!((here.servers().count(), here.remembered()), (0, 60_000));
-    here.tick(&Authority::Own, A_WHILE + HOUR * 25);
-    assert_eq!(here.remembered(), 0);
+    (0..61_000).for_each(|n| drop(here.deregister(&format!("s{n}").into(), SECOND)));
+    here.tick(&LivenessAuthority::Monitored, A_WHILE);
+    assert_eq!((here.servers().count(), here.tombstone_count()), (0, 60_000));
+    here.tick(&LivenessAuthority::Monitored, A_WHILE + HOUR * 25);
+    assert_eq!(here.tombstone_count(), 0);
 }
--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -4,7 +4,9 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use ashvane_gossip::{Authority, Directory, Node, Server, Silence, State, Update, peers};
+use ashvane_gossip::{
+    BucketSet, Directory, Liveness, LivenessAuthority, Node, Server, ServerState, Update, select_peers,
+};
 use ashvane_node::packed::pack;
 
 use crate::fit::Series;
@@ -15,29 +17,29 @@
 
 fn node(n: usize) -> Node {
     Node {
-        name: format!("gateway-{n}"),
-        life: n as u64 * 0x9e37_79b9,
-        age: 1,
-        down: false,
-        address: format!("10.{}.{}.{}:7080", 1 + n / 62_500, n / 250 % 250, n % 250),
-        control: None,
-        zone: format!("zone-{}", n % 16),
-        front: true,
+        name: format!("gateway-{n}").into(),
+        incarnation: n as u64 * 0x9e37_79b9,
+        generation: 1,
+        is_down: false,
+        address: format!("10.{}.{}.{}:7080", 1 + n / 62_500, n / 250 % 250, n % 250).into(),
+        control_address: None,
+        zone: format!("zone-{}", n % 16).into(),
+        is_gateway: true,
         disk: n.is_multiple_of(226).then(|| format!("disk-{n}").into()),
     }
 }
 
 fn server(n: usize) -> Server {
     Server {
-        id: format!("i-{n:06x}"),
-        service: format!("service-{}", n % 550),
-        address: format!("10.{}.{}.{}:8080", 64 + n / 62_500, n / 250 % 250, n % 250),
-        zone: format!("zone-{}", n % 16),
+        id: format!("i-{n:06x}").into(),
+        service: format!("service-{}", n % 550).into(),
+        address: format!("10.{}.{}.{}:8080", 64 + n / 62_500, n / 250 % 250, n % 250).into(),
+        zone: format!("zone-{}", n % 16).into(),
         capacity: 3,
-        state: State::Ready,
-        seq: n as u64 * 7919 % 86_400,
-        silence: Silence::Heard,
-        keeper: format!("control-{}", n % 38),
+        state: ServerState::Ready,
+        heartbeat_sequence: n as u64 * 7919 % 86_400,
+        liveness: Liveness::Alive,
+        monitor: format!("control-{}", n % 38).into(),
     }
 }
 
@@ -81,21 +83,21 @@
         for n in 0..size {
             let server = server(n);
             updates.push(Update::Server(server.clone()));
-            directory.learn(Update::Server(server), Duration::ZERO);
+            directory.apply(Update::Server(server), Duration::ZERO);
         }
         let learnt = began.elapsed();
         let text = serde_json::to_vec(&updates).unwrap_or_default();
         drop(updates);
         let memory = held() - before;
-        let summary = directory.summary(1);
+        let summary = directory.summary(BucketSet::from_bits(1));
         let ranks = pack(&serde_json::to_vec(&summary).unwrap_or_default()).len();
         let now = Duration::from_secs(2);
         let figures = [
             memory / size as f64,
             learnt.as_secs_f64() * 1e6 / size as f64,
-            time(|| directory.tick(&Authority::Own, now).len()),
+            time(|| directory.tick(&LivenessAuthority::Monitored, now).len()),
             time(|| directory.digest(1)),
-            time(|| directory.summary(1)),
+            time(|| directory.summary(BucketSet::from_bits(1))),
             ranks as f64,
             time(|| (directory.newer_than(&summary), directory.is_behind(&summary))),
             pack(&text).len() as f64,
@@ -114,11 +116,11 @@
     let before = held();
     let mut directory = Directory::new(node(0), Duration::from_secs(1), Duration::ZERO);
     for n in 0..GATEWAYS * 10 {
-        directory.learn(Update::Node(node(n)), Duration::ZERO);
+        directory.apply(Update::Node(node(n)), Duration::ZERO);
     }
     let memory = (held() - before) / (GATEWAYS * 10) as f64;
     let nodes: Vec<Node> = (0..GATEWAYS).map(node).collect();
-    let rank = time(|| peers(&nodes[1], nodes.iter(), 2, |_| true).len());
+    let rank = time(|| select_peers(&nodes[1], nodes.iter(), 2, |_| true).len());
     println!("  rank of {GATEWAYS} processes: {rank:.3} ms; a process's entry: {memory:.0} bytes of memory");
     black_box(directory);
 }
--- a/crates/node/examples/slopes/processes.rs
+++ b/crates/node/examples/slopes/processes.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, Put};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -82,15 +82,15 @@
     simulation
 }
 
-fn beat(n: usize, seq: u64, state: State) -> Heartbeat {
+fn beat(n: usize, seq: u64, state: ServerState) -> Heartbeat {
     Heartbeat {
-        id: format!("i-{n}"),
-        service: format!("s{}", n % 40),
-        address: format!("10.9.{}.{}:8080", n / 250, n % 250),
-        zone: place(n),
+        id: format!("i-{n}").into(),
+        service: format!("s{}", n % 40).into(),
+        address: format!("10.9.{}.{}:8080", n / 250, n % 250).into(),
+        zone: place(n).into(),
         capacity: 3,
         state,
-        seq,
+        sequence: seq,
     }
 }
 
@@ -105,7 +105,7 @@
             let asked = async {
                 simulation.network.bounds.pass("server", &machine.ip, 400).await;
                 let heard =
-                    move |agent: Rc<Agent>| async move { agent.beat(beat(n, seq, State::Ready)).await };
+                    move |agent: Rc<Agent>| async move { agent.beat(beat(n, seq, ServerState::Ready)).await };
                 machine.ask(PATIENCE, heard).await
             };
             if let Ok(Some(true)) = timeout(PATIENCE, asked).await {
@@ -172,9 +172,9 @@
     }
     assert!(put(&simulation, 7).await, "the configuration is held");
     let configuration_ms = known(&gateways, |a| a.config().is_some_and(|c| c.version == 7)).await;
-    let drains = |agent: Rc<Agent>| async move { agent.beat(beat(0, 1 << 40, State::Draining)).await };
+    let drains = |agent: Rc<Agent>| async move { agent.beat(beat(0, 1 << 40, ServerState::Draining)).await };
     assert_eq!(control_nodes[0].ask(PATIENCE, drains).await, Some(true), "the drain is acknowledged");
-    let drain_ms = known(&gateways, |a| !a.offers_work_to("i-0")).await;
+    let drain_ms = known(&gateways, |a| !a.offers_work_to(&"i-0".into())).await;
     let each = |said: &Said, n: usize| text(&since(&Said::new(), said, n, 1.0));
     println!(
         "  {} gateways, {CONTROL_NODES} control nodes, {servers} servers ({:.0} s to play)",
--- a/crates/node/src/agent.rs
+++ b/crates/node/src/agent.rs
@@ -16,8 +16,10 @@
 use std::time::Duration;
 
 use ashvane_gossip::{
-    Authority, Digest, Directory, HearingTerm, Heartbeat, Node, Server, Silence, State, Update, peers,
+    Digest, Directory, Heartbeat, Liveness, LivenessAuthority, Node, OrphanMonitorTerm, Server, ServerState,
+    Update, select_peers,
 };
+use ashvane_identifiers::{Address, NodeName, ServerId};
 use ashvane_quorum::membership_manager::{
     self, LiveReplica, MembershipPlanner, MembershipPolicy, MembershipView, ReplicaReport,
 };
@@ -76,12 +78,12 @@
     confirmations: RefCell<BTreeMap<u64, Confirmation>>,
     outbox: RefCell<Outbox>,
     numbers: Cell<u64>,
-    dialled: RefCell<BTreeMap<String, Instant>>,
+    dialled: RefCell<BTreeMap<Address, Instant>>,
     /// Addresses to which a call of this process's is under way or holds a link.
-    calling: RefCell<BTreeSet<String>>,
-    unreached: RefCell<BTreeMap<String, Instant>>,
+    calling: RefCell<BTreeSet<Address>>,
+    unreached: RefCell<BTreeMap<Address, Instant>>,
     /// Those that were linked, and since when they are not.
-    lost: RefCell<BTreeMap<String, Option<Instant>>>,
+    lost: RefCell<BTreeMap<NodeName, Option<Instant>>>,
     watch: RefCell<MembershipPlanner>,
     /// What the other control nodes were told last of this process's disk.
     reported: Cell<ReplicaReport>,
@@ -103,7 +105,7 @@
     verifications: RefCell<BTreeMap<u64, u64>>,
     answering: Cell<bool>,
     /// The term under which this process holds the duty of hearing, once a majority of the members has taken it in.
-    holding: RefCell<Option<HearingTerm>>,
+    holding: RefCell<Option<OrphanMonitorTerm>>,
     taking: Cell<bool>,
     /// Whether what a majority of the disks holds has been read since the start.
     read: Cell<bool>,
@@ -134,7 +136,7 @@
         let started = Instant::now();
         let mut directory = Directory::new(me, settings.beat_every, Duration::ZERO);
         if let Some(register) = &register {
-            directory.learn(Update::Membership(register.membership()), Duration::ZERO);
+            directory.apply(Update::Membership(register.membership()), Duration::ZERO);
         }
         // One with a disk knows what it knows: gatherers compare with it, not it with them.
         let alone = register.is_some();
@@ -251,6 +253,6 @@
     }
 
     fn digest_over(&self, links: &Links) -> Digest {
-        Digest { alone: self.is_alone(links), ..self.directory.borrow().digest(self.version()) }
+        Digest { lacks_quorum: self.is_alone(links), ..self.directory.borrow().digest(self.version()) }
     }
 }
--- a/crates/node/src/agent/configuration.rs
+++ b/crates/node/src/agent/configuration.rs
@@ -11,7 +11,11 @@
     pub fn settled_at(&self) -> Option<String> {
         let links = self.links.borrow();
         let mut control_nodes = links.iter().filter(|(_, l)| l.peer.disk.is_some());
-        if self.is_control_node() { None } else { control_nodes.find_map(|(_, l)| l.peer.control.clone()) }
+        if self.is_control_node() {
+            None
+        } else {
+            control_nodes.find_map(|(_, l)| l.peer.control_address.as_ref().map(|a| a.as_str().to_owned()))
+        }
     }
 
     /// Sends what operations ask for, and sees to it that they go on after a pause.
@@ -36,7 +40,7 @@
     }
 
     /// A replica can be reached from now on: it is asked what is open for it.
-    pub(super) fn carry_out_at(self: &Rc<Self>, address: &str) {
+    pub(super) fn carry_out_at(self: &Rc<Self>, address: &Address) {
         if let Some(register) = &self.register {
             self.carry_out(register.reached(address));
         }
@@ -45,7 +49,7 @@
     fn send_request(self: &Rc<Self>, outgoing: Outgoing) {
         let Some(register) = &self.register else { return };
         let Outgoing { member, number, request } = outgoing;
-        if member.address == self.directory.borrow().me().address {
+        if member.address == self.directory.borrow().own().address {
             register.sent(number, Via::Own);
             let (agent, own) = (self.clone(), register.handle(&request));
             tokio::task::spawn_local(async move {
@@ -94,7 +98,7 @@
     fn reaches_majority(&self, membership: &Membership) -> bool {
         let (directory, links) = (self.directory.borrow(), self.links.borrow());
         let reached = |member: &&Member| {
-            member.address == directory.me().address || links.at(&member.address).is_some()
+            member.address == directory.own().address || links.at(&member.address).is_some()
         };
         membership.members.iter().filter(reached).count() >= membership.quorum_size()
     }
--- a/crates/node/src/agent/connections.rs
+++ b/crates/node/src/agent/connections.rs
@@ -4,7 +4,7 @@
 use crate::register::Via;
 
 impl Agent {
-    pub(super) fn call(self: &Rc<Self>, address: String) {
+    pub(super) fn call(self: &Rc<Self>, address: Address) {
         let now = Instant::now();
         let mut dialled = self.dialled.borrow_mut();
         if dialled.get(&address).is_some_and(|at| *at + DIAL_AGAIN > now) {
@@ -29,20 +29,20 @@
         let now = Instant::now();
         self.unreached.borrow_mut().retain(|_, until| *until > now);
         self.dialled.borrow_mut().retain(|_, at| *at + DIAL_AGAIN > now);
-        let wanted: Vec<String> = {
+        let wanted: Vec<Address> = {
             let (directory, unreached, links) =
                 (self.directory.borrow(), self.unreached.borrow(), self.links.borrow());
             let reached = |n: &Node| self.is_control_node() || !unreached.contains_key(&n.address);
-            let chosen = peers(directory.me(), directory.nodes(), self.settings.losses, reached);
+            let chosen = select_peers(directory.own(), directory.nodes(), self.settings.losses, reached);
             let missing = chosen.iter().filter(|n| links.to(&n.name).is_none());
-            let mut wanted: Vec<String> = missing.map(|n| n.address.clone()).collect();
+            let mut wanted: Vec<Address> = missing.map(|n| n.address.clone()).collect();
             // One with a disk that is down may be back with nothing but seeds that are gone: the others look for it.
-            let down = directory.nodes().filter(|n| self.is_control_node() && n.down && n.disk.is_some());
+            let down = directory.nodes().filter(|n| self.is_control_node() && n.is_down && n.disk.is_some());
             let down = down.filter(|n| !unreached.contains_key(&n.address) && links.to(&n.name).is_none());
             wanted.extend(down.map(|n| n.address.clone()));
             let useful = links.iter().filter(|(_, l)| self.is_useful(l)).count();
             if useful == 0 || (self.is_control_node() && directory.membership().epoch == 0) {
-                let own = &directory.me().address;
+                let own = &directory.own().address;
                 wanted
                     .extend(self.seed_addresses().into_iter().filter(|a| a != own && links.at(a).is_none()));
                 // None of those that one would choose answers: any other may.
@@ -53,7 +53,7 @@
         };
         wanted.into_iter().for_each(|address| self.call(address));
         self.look_at_feed();
-        let lost: Vec<String> = {
+        let lost: Vec<NodeName> = {
             // One that is cut off can't tell others that are down from those that it merely can't hear.
             let watches = self.in_contact();
             let links = self.links.borrow();
@@ -71,9 +71,9 @@
             names
         };
         for name in lost {
-            let told = self.directory.borrow_mut().node_lost(&name, self.now());
+            let told = self.directory.borrow_mut().mark_down(&name, self.now());
             if !told.is_empty() {
-                info!(self.log, "does not answer"; "node" => &name);
+                info!(self.log, "does not answer"; "node" => name.as_str());
             }
             self.spread(told, None);
         }
@@ -87,7 +87,7 @@
         }
         let directory = self.directory.borrow();
         let mut links = self.links.borrow_mut();
-        let chosen = peers(directory.me(), directory.nodes(), self.settings.losses, |_| true);
+        let chosen = select_peers(directory.own(), directory.nodes(), self.settings.losses, |_| true);
         let chosen = chosen.iter().filter(|n| n.disk.is_some()).filter_map(|n| links.to(&n.name));
         let any = links.iter().filter(|(_, l)| l.peer.disk.is_some()).map(|(n, _)| n);
         let ordered: Vec<u64> = chosen.chain(any).collect();
@@ -100,7 +100,7 @@
             }
             if let Some(feed) = feed {
                 links.send(feed, &Message::Feed(true));
-                links.send(feed, &Message::Buckets(directory.buckets()));
+                links.send(feed, &Message::Buckets(directory.bucket_digests()));
                 self.mending.set(Some(Instant::now()));
             }
         }
@@ -115,16 +115,16 @@
     }
 
     /// The addresses at which the machines of the settings file reach each other.
-    pub fn seed_addresses(&self) -> Vec<String> {
+    pub fn seed_addresses(&self) -> Vec<Address> {
         let ip = |seed: &String| seed.rsplit_once(':').map(|(ip, _)| ip.to_owned());
         let port = self.settings.ports.0;
-        self.seeds.borrow().iter().filter_map(ip).map(|ip| format!("{ip}:{port}")).collect()
+        self.seeds.borrow().iter().filter_map(ip).map(|ip| format!("{ip}:{port}").into()).collect()
     }
 }
 
 impl Listener for Agent {
     fn me(&self) -> Node {
-        self.directory.borrow().me().clone()
+        self.directory.borrow().own().clone()
     }
 
     fn net(&self) -> &dyn Net {
@@ -141,11 +141,13 @@
             let Some(link) = links.get_mut(number) else { return };
             let (peer, ours) = (link.peer.clone(), link.ours);
             // Of two connections to one process, both sides keep the one that the lower address called.
-            let we_call = self.directory.borrow().me().address < peer.address;
+            let we_call = self.directory.borrow().own().address < peer.address;
             let others: Vec<(u64, bool)> = links
                 .iter()
                 .filter(|(other, l)| *other != number && l.peer.name == peer.name)
-                .map(|(other, l)| (other, l.peer.life == peer.life && l.ours == we_call && ours != we_call))
+                .map(|(other, l)| {
+                    (other, l.peer.incarnation == peer.incarnation && l.ours == we_call && ours != we_call)
+                })
                 .collect();
             for (other, keep) in others {
                 links.close(if keep { number } else { other });
@@ -174,7 +176,7 @@
                 self.learn(updates, Some(number));
                 if let Some(updates) = wanted {
                     let directory = self.directory.borrow();
-                    let taken = updates.iter().all(|update| directory.knows(update));
+                    let taken = updates.iter().all(|update| directory.has_applied(update));
                     let got = Message::Got { number: asked, taken, epoch: directory.membership().epoch };
                     self.links.borrow_mut().send(number, &got);
                 }
@@ -191,8 +193,8 @@
             Message::Buckets(buckets) => {
                 let summary = {
                     let directory = self.directory.borrow();
-                    let parts = directory.differing(&buckets);
-                    (parts != 0 || buckets.epoch != directory.membership().epoch)
+                    let parts = directory.differing_buckets(&buckets);
+                    (!parts.is_empty() || buckets.epoch != directory.membership().epoch)
                         .then(|| directory.summary(parts))
                 };
                 if let Some(summary) = summary {
@@ -203,7 +205,11 @@
                 let (updates, behind, mine) = {
                     let directory = self.directory.borrow();
                     let behind = directory.is_behind(&summary);
-                    (directory.newer_than(&summary), behind, behind.then(|| directory.summary(summary.parts)))
+                    (
+                        directory.newer_than(&summary),
+                        behind,
+                        behind.then(|| directory.summary(summary.buckets)),
+                    )
                 };
                 let mut links = self.links.borrow_mut();
                 if !updates.is_empty() {
--- a/crates/node/src/agent/contact.rs
+++ b/crates/node/src/agent/contact.rs
@@ -39,7 +39,7 @@
     fn counts_majority(&self, links: &Links, holds: impl Fn(&Link) -> bool) -> bool {
         let directory = self.directory.borrow();
         let membership = directory.membership();
-        let own = directory.me().disk.as_ref();
+        let own = directory.own().disk.as_ref();
         let linked =
             |disk| links.iter().any(|(_, l)| l.peer.disk.as_ref() == Some(disk) && l.is_heard() && holds(l));
         let members = membership.members.iter().filter(|m| own == Some(&m.disk) || linked(&m.disk));
--- a/crates/node/src/agent/dissemination.rs
+++ b/crates/node/src/agent/dissemination.rs
@@ -21,7 +21,7 @@
             return;
         }
         self.follow(&updates);
-        if updates.iter().any(|n| matches!(n, Update::Server(s) if s.state > State::Ready)) {
+        if updates.iter().any(|n| matches!(n, Update::Server(s) if s.state > ServerState::Ready)) {
             self.left.set(true);
         }
         let links = self.links.borrow();
@@ -69,13 +69,14 @@
         let Some(plane) = &self.plane else { return };
         let directory = self.directory.borrow();
         plane.servers_changed(&directory, updates);
-        plane.gatherers_are(directory.fronts(self.now()));
+        plane.gatherers_are(directory.gateways_sharing_budgets(self.now()));
     }
 
     /// Whoever tells of what is down or has ended as if it ran is told so.
     fn say_against(&self, link: u64, updates: &[Update]) {
         let directory = self.directory.borrow();
-        let against: Vec<Update> = updates.iter().filter_map(|update| directory.against(update)).collect();
+        let against: Vec<Update> =
+            updates.iter().filter_map(|update| directory.refutation_of(update)).collect();
         if !against.is_empty() {
             self.links.borrow_mut().send(link, &Message::Update { number: 0, updates: against });
         }
@@ -89,7 +90,7 @@
         }
         let told: Vec<Update> = {
             let mut directory = self.directory.borrow_mut();
-            updates.into_iter().flat_map(|n| directory.learn(n, now)).collect()
+            updates.into_iter().flat_map(|n| directory.apply(n, now)).collect()
         };
         let moved = told.iter().any(|update| matches!(update, Update::Membership(_)));
         self.spread(told, from);
@@ -128,7 +129,7 @@
         }
         {
             let mut links = self.links.borrow_mut();
-            let peers = links.peers();
+            let peers = links.select_peers();
             self.compare(&mut links, &peers);
         }
         self.look_at_readiness();
@@ -142,16 +143,16 @@
         let mine = directory.digest(self.version());
         let mut links = self.links.borrow_mut();
         let Some(link) = links.get_mut(number) else { return };
-        link.alone = digest.alone;
+        link.alone = digest.lacks_quorum;
         let control_node = link.peer.disk.is_some();
-        if (mine.entries, mine.epoch) == (digest.entries, digest.epoch) {
+        if mine.has_same_entries(&digest) {
             link.differs = 0;
             drop((directory, links));
             self.has_compared(number);
             return;
         }
         link.differs += 1;
-        let begins = directory.me().name < link.peer.name;
+        let begins = directory.own().name < link.peer.name;
         let new_here = match self.is_control_node() {
             true => control_node && !link.compared && begins,
             false => control_node && !self.synced.get(),
@@ -168,7 +169,7 @@
                 self.mending.set(Some(now));
             }
             link.differs = 0;
-            links.send(number, &Message::Buckets(directory.buckets()));
+            links.send(number, &Message::Buckets(directory.bucket_digests()));
         }
     }
 
--- a/crates/node/src/agent/hearing.rs
+++ b/crates/node/src/agent/hearing.rs
@@ -5,17 +5,17 @@
 
 impl Agent {
     /// What this process may say of servers' silence.
-    pub(super) fn authority(&self) -> Authority {
+    pub(super) fn authority(&self) -> LivenessAuthority {
         match self.holding.borrow().clone() {
-            _ if !self.is_control_node() || !self.in_contact() => Authority::None,
-            Some(term) => Authority::Holder(term),
-            None => Authority::Own,
+            _ if !self.is_control_node() || !self.in_contact() => LivenessAuthority::None,
+            Some(term) => LivenessAuthority::MonitoredAndOrphans(term),
+            None => LivenessAuthority::Monitored,
         }
     }
 
     pub(super) fn holds_hearing(&self) -> bool {
         let term = self.holding.borrow();
-        term.as_ref().is_some_and(|term| term == self.directory.borrow().hearing())
+        term.as_ref().is_some_and(|term| term == self.directory.borrow().orphan_monitor_term())
     }
 
     /// Takes the duty where there is something to do and this process is the first that may; gives it up where it is
@@ -29,14 +29,14 @@
         let term = {
             let directory = self.directory.borrow();
             let wanted = first && !self.taking.get() && directory.has_orphans(self.now());
-            directory.next_hearing().filter(|_| wanted)
+            directory.next_orphan_monitor_term().filter(|_| wanted)
         };
         let Some(term) = term else { return };
         self.taking.set(true);
-        self.learn(vec![Update::Hearing(term.clone())], None);
+        self.learn(vec![Update::OrphanMonitor(term.clone())], None);
         let agent = self.clone();
         tokio::task::spawn_local(async move {
-            if agent.confirm(Update::Hearing(term.clone())).await {
+            if agent.confirm(Update::OrphanMonitor(term.clone())).await {
                 info!(agent.log, "holds the duty of hearing"; "epoch" => term.epoch, "round" => term.round);
                 *agent.holding.borrow_mut() = Some(term);
             }
--- a/crates/node/src/agent/membership.rs
+++ b/crates/node/src/agent/membership.rs
@@ -4,8 +4,8 @@
 
 impl Agent {
     pub(super) fn lives(&self, node: &Node) -> bool {
-        let here = node.name == self.directory.borrow().me().name;
-        here || (!node.down && self.links.borrow().to(&node.name).is_some())
+        let here = node.name == self.directory.borrow().own().name;
+        here || (!node.is_down && self.links.borrow().to(&node.name).is_some())
     }
 
     /// Whether this process is the first live one with a disk, by name, and sees a majority of the disks.
@@ -15,7 +15,7 @@
             directory.nodes().filter(|n| n.disk.is_some() && self.lives(n)).collect();
         let seated = |n: &&&Node| n.disk.as_ref().is_some_and(|d| directory.membership().contains(d));
         let first = control_nodes.iter().map(|n| &n.name).min();
-        first == Some(&directory.me().name)
+        first == Some(&directory.own().name)
             && control_nodes.iter().filter(seated).count() >= directory.membership().quorum_size()
     }
 
@@ -48,7 +48,7 @@
         let heard = links.iter().filter(|(_, l)| l.heard.elapsed() < membership_manager::LIVENESS_TIMEOUT);
         let mut disks: BTreeMap<_, LiveReplica> = heard.filter_map(|(_, l)| live(&l.peer, l.disk)).collect();
         let own = self.register.as_ref().map(|register| self.disk_report(register));
-        disks.extend(live(directory.me(), own));
+        disks.extend(live(directory.own(), own));
         disks.into_values().collect()
     }
 
@@ -58,7 +58,7 @@
         let (now, live) = (self.now(), self.live_disks());
         let membership = self.membership().unwrap_or_default();
         let view = MembershipView { membership: &membership, live: &live };
-        let me = self.directory.borrow().me().disk.clone().unwrap_or_default();
+        let me = self.directory.borrow().own().disk.clone().unwrap_or_default();
         let next = {
             let mut watch = self.watch.borrow_mut();
             watch.observe(now, view);
@@ -84,7 +84,7 @@
     /// in force: it has missed a decision, or holds one that may not have been made.
     pub(super) fn is_behind(&self, register: &Register) -> bool {
         let membership = self.membership().unwrap_or_default();
-        let named = self.directory.borrow().me().disk.as_ref().is_some_and(|disk| membership.contains(disk));
+        let named = self.directory.borrow().own().disk.as_ref().is_some_and(|disk| membership.contains(disk));
         let version = register.stored().map_or(0, |config| config.version);
         named && (register.held().epoch < membership.epoch || version != self.version())
     }
@@ -93,7 +93,7 @@
     pub fn may_end(&self) -> bool {
         let Some(register) = &self.register else { return true };
         let (membership, live) = (self.membership().unwrap_or_default(), self.live_disks());
-        let me = self.directory.borrow().me().disk.clone().unwrap_or_default();
+        let me = self.directory.borrow().own().disk.clone().unwrap_or_default();
         let view = MembershipView { membership: &membership, live: &live };
         membership_manager::may_shut_down(&me, register.held(), view, self.watch.borrow().policy())
     }
@@ -102,6 +102,6 @@
     pub(super) fn holds_membership(&self) -> bool {
         let (directory, live) = (self.directory.borrow(), self.live_disks());
         let view = MembershipView { membership: directory.membership(), live: &live };
-        view.coordinator().is_some_and(|m| Some(&m.disk) == directory.me().disk.as_ref())
+        view.coordinator().is_some_and(|m| Some(&m.disk) == directory.own().disk.as_ref())
     }
 }
--- a/crates/node/src/agent/servers.rs
+++ b/crates/node/src/agent/servers.rs
@@ -8,20 +8,20 @@
     /// A server has said something. One that leaves is acknowledged only once a majority of the members knows it, so
     /// that it does not depend on this process.
     pub async fn beat(self: &Rc<Self>, beat: Heartbeat) -> bool {
-        let leaves = beat.state > State::Ready;
+        let leaves = beat.state > ServerState::Ready;
         let id = beat.id.clone();
-        let told = self.directory.borrow_mut().beat(beat, self.now());
+        let told = self.directory.borrow_mut().record_heartbeat(beat, self.now());
         self.spread(told, None);
         !leaves || self.confirm_server(&id).await
     }
 
-    pub async fn left(self: &Rc<Self>, id: &str) -> bool {
-        let told = self.directory.borrow_mut().left(id, self.now());
+    pub async fn left(self: &Rc<Self>, id: &ServerId) -> bool {
+        let told = self.directory.borrow_mut().deregister(id, self.now());
         self.spread(told, None);
         self.confirm_server(id).await
     }
 
-    async fn confirm_server(self: &Rc<Self>, id: &str) -> bool {
+    async fn confirm_server(self: &Rc<Self>, id: &ServerId) -> bool {
         let server = self.directory.borrow().server(id).cloned();
         let Some(server) = server else { return false };
         self.confirm(Update::Server(server)).await
@@ -37,7 +37,7 @@
         let (done, confirmed) = oneshot::channel();
         let confirmation = {
             let directory = self.directory.borrow();
-            Confirmation::new(update, directory.membership().clone(), directory.me().disk.clone(), done)
+            Confirmation::new(update, directory.membership().clone(), directory.own().disk.clone(), done)
         };
         self.confirmations.borrow_mut().insert(number, confirmation);
         self.confirm_again();
@@ -79,14 +79,18 @@
     }
 
     /// Whether a server is known here as one that is ready and has been heard of late.
-    pub fn offers_work_to(&self, id: &str) -> bool {
-        self.directory.borrow().server(id).is_some_and(|s| s.state == State::Ready && !s.is_silent())
+    pub fn offers_work_to(&self, id: &ServerId) -> bool {
+        self.directory
+            .borrow()
+            .server(id)
+            .is_some_and(|s| s.state == ServerState::Ready && !s.has_timed_out())
     }
 
     /// Servers that were known before a restart: until they beat, better than none. Some may have left since, so they
     /// count as silent here, and whatever others know of them stands above it.
     pub fn recall(self: &Rc<Self>, servers: Vec<Server>) {
-        let recalled = |s| Update::Server(Server { seq: 0, silence: Silence::Missed, ..s });
+        let recalled =
+            |s| Update::Server(Server { heartbeat_sequence: 0, liveness: Liveness::TimedOut, ..s });
         self.learn(servers.into_iter().map(recalled).collect(), None);
     }
 
@@ -95,9 +99,9 @@
         let (now, directory) = (Instant::now(), self.directory.borrow());
         let (at, changes) = self.hinted.get();
         // One that left is struck out at once, lest a restart bring it back.
-        if (at + HINT <= now || self.left.take()) && changes != directory.changes() {
-            self.hinted.set((now, directory.changes()));
-            let known = directory.servers().filter(|s| s.state < State::Gone);
+        if (at + HINT <= now || self.left.take()) && changes != directory.revision() {
+            self.hinted.set((now, directory.revision()));
+            let known = directory.servers().filter(|s| s.state < ServerState::Terminated);
             register.disk().hint(known.cloned().collect());
         }
     }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State as ServerState};
+use ashvane_gossip::{Heartbeat, ServerState};
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, Request, State};
@@ -101,10 +101,10 @@
     let at = At::root(&value);
     let state = at.get("state");
     let beat = Heartbeat {
-        id,
-        service: at.get("service").name(),
-        address: at.get("address").name(),
-        zone: at.get("zone").or(String::new(), At::name),
+        id: id.into(),
+        service: at.get("service").name().into(),
+        address: at.get("address").name().into(),
+        zone: at.get("zone").or(String::new(), At::name).into(),
         capacity: at.get("capacity").or(1, At::whole).min(u64::from(u32::MAX)) as u32,
         state: match state.or("ready", |at| at.text()) {
             "draining" => ServerState::Draining,
@@ -114,9 +114,9 @@
                 ServerState::Ready
             }
         },
-        seq: at.get("call-seq").or(0, At::whole),
+        sequence: at.get("call-seq").or(0, At::whole),
     };
-    if beat.address.parse::<std::net::SocketAddr>().is_err() {
+    if beat.address.as_str().parse::<std::net::SocketAddr>().is_err() {
         at.get("address").fault("an address and a port are needed here");
     }
     let faults = at.faults();
@@ -175,7 +175,7 @@
 async fn settle(agent: Rc<Agent>, call: Call) {
     match call {
         Call::Heartbeat(beat, reply) => drop(reply.send(agent.beat(beat).await)),
-        Call::Left(id, reply) => drop(reply.send(agent.left(&id).await)),
+        Call::Left(id, reply) => drop(reply.send(agent.left(&id.into()).await)),
         Call::Where(reply) => drop(reply.send(agent.settled_at())),
         Call::State(reply) => drop(reply.send(agent.state())),
         Call::Get(reply) => {
--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings as Start, VerticalSettings};
-use ashvane_gossip::{Directory, Server, State, Update};
-use ashvane_quota::{Limit, Sharers, Tries, connections};
+use ashvane_gossip::{Directory, Server, ServerState, Update};
+use ashvane_quota::{GatewayCount, RetryAllowance, RetryBudget, RetryUsage, connections_per_gateway};
 use axum::http::HeaderValue;
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -54,9 +54,9 @@
 
 /// The limits that all gatherers share, as this one sees them.
 struct Shares {
-    limit: Limit,
-    tries: BTreeMap<u32, Tries>,
-    sharers: Sharers,
+    budget: RetryBudget,
+    retries: BTreeMap<u32, RetryAllowance>,
+    gateways: GatewayCount,
     now: Duration,
 }
 
@@ -86,8 +86,8 @@
     fn watch_list(&mut self) {}
     fn may_call_again(&self, shard: u32) -> bool {
         let shares = self.shares.borrow();
-        let gatherers = shares.sharers.count();
-        shares.tries.get(&shard).is_none_or(|t| t.may(shares.now, &shares.limit, gatherers))
+        let gateways = shares.gateways.current();
+        shares.retries.get(&shard).is_none_or(|r| r.allows_retry(shares.now, &shares.budget, gateways))
     }
 }
 
@@ -185,14 +185,14 @@
             overload_factor: 1.0,
             fall_time: Duration::from_secs(1),
         };
-        let limit = Limit {
+        let budget = RetryBudget {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
             window: settings.retry_window,
-            restarted: !settings.bootstrap,
+            is_restarted: !settings.bootstrap,
         };
-        let (tries, sharers, now) = Default::default();
-        let shares = Rc::new(RefCell::new(Shares { limit, tries, sharers, now }));
+        let (retries, gateways, now) = Default::default();
+        let shares = Rc::new(RefCell::new(Shares { budget, retries, gateways, now }));
         let acts = Rc::default();
         let hands = Hands { acts: Rc::clone(&acts), shares: shares.clone() };
         let gatherer = Gatherer::new(hands, &start, Duration::ZERO).into();
@@ -312,7 +312,7 @@
 
     pub fn gatherers_are(self: &Rc<Self>, count: usize) {
         let now = self.started.elapsed();
-        self.shares.borrow_mut().sharers.are(now, count);
+        self.shares.borrow_mut().gateways.observe(now, count);
         self.tell(|g| g.fleet_is(u32::try_from(count).ok()));
     }
 
@@ -334,39 +334,42 @@
     /// Lists servers to the module, those of whole services at once.
     fn list(self: &Rc<Self>, listed: &[&Server]) {
         let mut silent: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for s in listed.iter().filter(|s| s.state == State::Ready) {
-            let (all, quiet) = silent.entry(&s.service).or_default();
-            (*all, *quiet) = (*all + 1, *quiet + usize::from(s.is_silent()));
+        for s in listed.iter().filter(|s| s.state == ServerState::Ready) {
+            let (all, quiet) = silent.entry(s.service.as_str()).or_default();
+            (*all, *quiet) = (*all + 1, *quiet + usize::from(s.has_timed_out()));
         }
         let health = |s: &Server| match s.state {
-            State::Gone => Health::Gone,
-            State::Draining => Health::Draining,
+            ServerState::Terminated => Health::Gone,
+            ServerState::Draining => Health::Draining,
             // Most of a service is not silent at once: those who hear it are cut off from it.
-            State::Ready
-                if s.is_silent() && silent.get(&*s.service).is_some_and(|(all, quiet)| quiet * 2 <= *all) =>
+            ServerState::Ready
+                if s.has_timed_out()
+                    && silent.get(s.service.as_str()).is_some_and(|(all, quiet)| quiet * 2 <= *all) =>
             {
                 Health::Draining
             }
-            State::Ready => Health::Ready,
+            ServerState::Ready => Health::Ready,
         };
         let mut changed = Vec::new();
         for s in listed {
             let health = health(s);
             let mut known = self.known.borrow_mut();
-            let before = known.get(&s.id).map(|(_, health)| *health);
+            let before = known.get(s.id.as_str()).map(|(_, health)| *health);
             // Of one that has ended nothing is kept.
-            if s.state == State::Gone {
-                known.remove(&s.id);
+            if s.state == ServerState::Terminated {
+                known.remove(s.id.as_str());
                 changed.extend(before.map(|_| (*s, health)));
             } else if before != Some(health) {
-                known.insert(s.id.clone(), ((*s).clone(), health));
+                known.insert(s.id.to_string(), ((*s).clone(), health));
                 changed.push((*s, health));
             }
         }
         for (s, health) in &changed {
             match health {
-                Health::Ready => self.pool.is_there(&s.id, &s.address, self.most(&s.service)),
-                _ if s.state > State::Ready => self.pool.is_gone(&s.id),
+                Health::Ready => {
+                    self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()))
+                }
+                _ if s.state > ServerState::Ready => self.pool.is_gone(s.id.as_str()),
                 _ => {}
             }
         }
@@ -377,15 +380,15 @@
             g.list_begins(false);
             for (s, health) in changed {
                 let cell = self.cell(&s.service.as_str().into());
-                let zone = self.zones.iter().position(|z| *z == s.zone).map(|z| z as u32);
-                g.server_listed(&s.id, health, cell, zone, None);
+                let zone = self.zones.iter().position(|z| s.zone == z.as_str()).map(|z| z as u32);
+                g.server_listed(s.id.as_str(), health, cell, zone, None);
             }
         });
     }
 
     fn most(&self, service: &str) -> usize {
         let most = self.config.borrow().as_ref().and_then(|c| c.services.get(service).map(|s| s.max_conns));
-        connections(most.unwrap_or(1), self.shares.borrow().sharers.count())
+        connections_per_gateway(most.unwrap_or(1), self.shares.borrow().gateways.current())
     }
 
     /// Another server has this one's address, as the server there says.
@@ -408,8 +411,8 @@
     pub fn configured(self: &Rc<Self>, config: Rc<Config>) {
         *self.config.borrow_mut() = Some(config.clone());
         let known: Vec<Server> = self.known.borrow().values().map(|(s, _)| s.clone()).collect();
-        for s in known.iter().filter(|s| s.state == State::Ready) {
-            self.pool.is_there(&s.id, &s.address, self.most(&s.service));
+        for s in known.iter().filter(|s| s.state == ServerState::Ready) {
+            self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()));
         }
         for route in config.routes() {
             match &route.target {
@@ -467,8 +470,8 @@
         let cells: Vec<u32> = services.iter().map(|s| self.cell(s)).collect();
         {
             let mut shares = self.shares.borrow_mut();
-            let limit = shares.limit;
-            cells.iter().for_each(|c| shares.tries.entry(*c).or_default().asked(now, &limit));
+            let budget = shares.budget;
+            cells.iter().for_each(|c| shares.retries.entry(*c).or_default().record_request(now, &budget));
         }
         let part = |cell: &u32| Part { cell: *cell, calls: 0, arrived: 0, out: 0, answer: None };
         let parts: Vec<Part> = cells.iter().map(part).collect();
@@ -507,7 +510,7 @@
             (part.calls, part.arrived, part.out) = (part.calls + 1, part.arrived + 1, part.out + 1);
             if let Some(cell) = again {
                 let now = self.started.elapsed();
-                self.shares.borrow_mut().tries.entry(cell).or_default().sent_again(now);
+                self.shares.borrow_mut().retries.entry(cell).or_default().record_retry(now);
                 bump(&self.counters.again);
             }
             (q.asked.clone(), call, again)
@@ -519,7 +522,7 @@
             if let (Err(e), Some(cell)) = (&sent, again)
                 && !e.arrived()
             {
-                plane.shares.borrow_mut().tries.entry(cell).or_default().did_not_arrive();
+                plane.shares.borrow_mut().retries.entry(cell).or_default().cancel_retry();
             }
             plane.settled(part, call, &server, sent);
         });
@@ -603,11 +606,11 @@
         let shares = self.shares.borrow();
         let services: BTreeMap<u32, Rc<str>> =
             self.cells.borrow().iter().map(|(name, cell)| (*cell, name.clone())).collect();
-        let rows = shares.tries.iter().map(|(cell, tries)| {
-            let (requests, again) = tries.used();
+        let rows = shares.retries.iter().map(|(cell, retries)| {
+            let RetryUsage { requests, retries: again } = retries.usage();
             let service = services.get(cell).map_or("", |s| s);
             json!({"service": service, "requests": requests, "again": again,
-                "among gatherers": shares.sharers.count(), "connections a server": self.most(service)})
+                "among gatherers": shares.gateways.current(), "connections a server": self.most(service)})
         });
         rows.collect()
     }
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Buckets, Digest, Node, Summary, Update};
+use ashvane_gossip::{BucketDigests, Digest, Node, RankSummary, Update};
+use ashvane_identifiers::{Address, NodeName};
 use ashvane_quorum::membership_manager::ReplicaReport;
 use ashvane_quorum::{Request, Response, VersionedConfig};
 use serde::{Deserialize, Serialize};
@@ -46,10 +47,10 @@
     },
     Digest(Digest),
     /// Where digests differ: those of each part.
-    Buckets(Buckets),
+    Buckets(BucketDigests),
     /// Whether this side is to be told what changes, as it changes.
     Feed(bool),
-    Summary(Summary),
+    Summary(RankSummary),
     /// The configuration is wanted if its version is above this.
     Want {
         above: u64,
@@ -198,16 +199,16 @@
         self.links.get_mut(&number)
     }
 
-    pub fn to(&self, name: &str) -> Option<u64> {
-        self.links.iter().find(|(_, l)| l.peer.name == name).map(|(number, _)| *number)
+    pub fn to(&self, name: &NodeName) -> Option<u64> {
+        self.links.iter().find(|(_, l)| l.peer.name == *name).map(|(number, _)| *number)
     }
 
-    pub fn at(&self, address: &str) -> Option<u64> {
-        self.links.iter().find(|(_, l)| l.peer.address == address).map(|(number, _)| *number)
+    pub fn at(&self, address: &Address) -> Option<u64> {
+        self.links.iter().find(|(_, l)| l.peer.address == *address).map(|(number, _)| *number)
     }
 
     /// One number for each process that is connected.
-    pub fn peers(&self) -> Vec<u64> {
+    pub fn select_peers(&self) -> Vec<u64> {
         let mut seen = std::collections::BTreeSet::new();
         self.links.iter().filter(|(_, l)| seen.insert(&l.peer.name)).map(|(number, _)| *number).collect()
     }
@@ -253,16 +254,16 @@
 
 /// What lies between processes.
 pub trait Net {
-    fn dial(&self, address: String) -> Dialled;
+    fn dial(&self, address: Address) -> Dialled;
 }
 
 /// The network that the system's own machines are on.
 pub struct Sockets;
 
 impl Net for Sockets {
-    fn dial(&self, address: String) -> Dialled {
+    fn dial(&self, address: Address) -> Dialled {
         Box::pin(async move {
-            let (read, write) = ways(TcpStream::connect(&address).await.ok()?);
+            let (read, write) = ways(TcpStream::connect(address.as_str()).await.ok()?);
             Some((Box::new(read) as _, Box::new(write) as _))
         })
     }
@@ -379,7 +380,7 @@
 }
 
 /// Calls another process and carries the connection to its end; says whether it was ever linked by it.
-pub async fn dial<L: Listener>(address: String, listener: Rc<L>) -> bool {
+pub async fn dial<L: Listener>(address: Address, listener: Rc<L>) -> bool {
     let dialled = listener.net().dial(address);
     let Ok(Some((read, write))) = timeout(DIAL, dialled).await else { return false };
     run(read, write, true, listener).await
@@ -387,16 +388,20 @@
 
 #[cfg(test)]
 mod tests {
-    use ashvane_gossip::{ServerRank, Silence, State};
+    use ashvane_gossip::{Liveness, ServerRank, ServerState};
 
     use super::*;
 
     #[test]
     fn long_lines_are_packed_and_read_as_they_were() {
-        let rank = |seq| ServerRank { state: State::Ready, seq, silence: Silence::Heard };
-        let summary = Summary {
-            servers: (0..100).map(|n| (format!("i-{n}"), rank(n))).collect(),
-            ..Summary::default()
+        let rank = |seq| ServerRank {
+            state: ServerState::Ready,
+            heartbeat_sequence: seq,
+            liveness: Liveness::Alive,
+        };
+        let summary = RankSummary {
+            servers: (0..100).map(|n| (format!("i-{n}").into(), rank(n))).collect(),
+            ..RankSummary::default()
         };
         for (line, packed) in [(Message::Summary(summary), true), (Message::Feed(true), false)] {
             let text = written(&line).expect("written");
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -106,7 +106,7 @@
     let member = |seed: &String| {
         let (ip, _) = seed.rsplit_once(':')?;
         let address = format!("{ip}:{}", settings.ports.0);
-        Some(Member { disk: first_name(seed), address })
+        Some(Member { disk: first_name(seed), address: address.into() })
     };
     Membership::new(1, settings.seeds.iter().filter_map(member).collect())
 }
@@ -137,14 +137,14 @@
 /// This process, as others know it.
 pub fn node(settings: &Settings, life: u64, address: String, disk: Option<DiskId>) -> Node {
     Node {
-        name: settings.node.clone(),
-        life,
-        age: 1,
-        down: false,
-        address,
-        control: settings.control.map(|c| c.to_string()),
-        zone: settings.zone.clone(),
-        front: settings.front.is_some(),
+        name: settings.node.clone().into(),
+        incarnation: life,
+        generation: 1,
+        is_down: false,
+        address: address.into(),
+        control_address: settings.control.map(|c| c.to_string().into()),
+        zone: settings.zone.clone().into(),
+        is_gateway: settings.front.is_some(),
         disk,
     }
 }
--- a/crates/node/src/register.rs
+++ b/crates/node/src/register.rs
@@ -6,6 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use ashvane_identifiers::Address;
 use ashvane_quorum::membership_manager::ReplicaProgress;
 use ashvane_quorum::{
     AddressedRequest, Chosen, Handled, Member, Membership, Operation, Outcome, Replica, Request, Response,
@@ -222,7 +223,7 @@
 
     /// What runs here and is still to be asked of a replica that can be reached from now on. Only of that one: asking
     /// all again with each link makes the square of the links at a start.
-    pub fn reached(&self, address: &str) -> Work {
+    pub fn reached(&self, address: &Address) -> Work {
         let operations = self.operations.borrow();
         let unanswered = operations.iter().map(|(number, r)| (*number, r.operation.unanswered_at(address)));
         let requests = unanswered.flat_map(|(number, requests)| self.outgoing(number, requests));
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Directory, Heartbeat, Node, State};
+use ashvane_gossip::{Directory, Heartbeat, Node, ServerState};
 use ashvane_node::data_plane::DataPlane;
 use ashvane_node::pool::Tcp;
 use ashvane_node::settings::Settings;
@@ -15,14 +15,14 @@
 
 fn me() -> Node {
     Node {
-        name: "g".to_owned(),
-        life: 1,
-        age: 1,
-        down: false,
-        address: "10.0.0.1:7080".to_owned(),
-        control: None,
-        zone: "z".to_owned(),
-        front: true,
+        name: "g".to_owned().into(),
+        incarnation: 1,
+        generation: 1,
+        is_down: false,
+        address: "10.0.0.1:7080".to_owned().into(),
+        control_address: None,
+        zone: "z".to_owned().into(),
+        is_gateway: true,
         disk: None,
     }
 }
@@ -37,17 +37,17 @@
         let mut directory = Directory::new(me(), second, Duration::ZERO);
         for n in 0..500u32 {
             let heartbeat = Heartbeat {
-                id: format!("s{n}"),
-                service: "v".to_owned(),
-                address: format!("x{}:1", n % 10),
-                zone: "z".to_owned(),
+                id: format!("s{n}").into(),
+                service: "v".to_owned().into(),
+                address: format!("x{}:1", n % 10).into(),
+                zone: "z".to_owned().into(),
                 capacity: 2,
-                state: State::Ready,
-                seq: 1,
+                state: ServerState::Ready,
+                sequence: 1,
             };
-            let mut updates = directory.beat(heartbeat, second * n);
+            let mut updates = directory.record_heartbeat(heartbeat, second * n);
             if n >= 10 {
-                updates.extend(directory.left(&format!("s{}", n - 10), second * n));
+                updates.extend(directory.deregister(&format!("s{}", n - 10).into(), second * n));
             }
             plane.servers_changed(&directory, &updates);
             assert!(plane.servers_kept() <= 11, "{} kept after {n}", plane.servers_kept());
--- a/crates/node/tests/confirmation.rs
+++ b/crates/node/tests/confirmation.rs
@@ -1,12 +1,12 @@
 //! Which answers make up the majority that an acknowledgement waits for.
 
-use ashvane_gossip::{HearingTerm, Update};
+use ashvane_gossip::{OrphanMonitorTerm, Update};
 use ashvane_node::confirmation::Confirmation;
 use ashvane_quorum::{DiskId, Member, Membership};
 use tokio::sync::oneshot::{self, Receiver};
 
 fn membership(epoch: u64, disks: &str) -> Membership {
-    let member = |disk: char| Member { disk: disk.to_string().into(), address: disk.to_string() };
+    let member = |disk: char| Member { disk: disk.to_string().into(), address: disk.to_string().into() };
     Membership::new(epoch, disks.chars().map(member).collect())
 }
 
@@ -21,7 +21,7 @@
 
 fn begin(membership: Membership, own: Option<DiskId>) -> (Confirmation, Receiver<()>) {
     let (done, confirmed) = oneshot::channel();
-    (Confirmation::new(Update::Hearing(HearingTerm::default()), membership, own, done), confirmed)
+    (Confirmation::new(Update::OrphanMonitor(OrphanMonitorTerm::default()), membership, own, done), confirmed)
 }
 
 fn is_done(confirmed: &mut Receiver<()>) -> bool {
--- a/crates/node/tests/curves.rs
+++ b/crates/node/tests/curves.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::Put;
 use simulation::{Machine, Simulation, configuration, ms, play};
 use tokio::time::{Instant, sleep};
@@ -23,15 +23,15 @@
     servers: usize,
 }
 
-fn beat(n: usize, state: State, seq: u64) -> Heartbeat {
+fn beat(n: usize, state: ServerState, seq: u64) -> Heartbeat {
     Heartbeat {
-        id: format!("i-{n}"),
-        service: format!("s{}", n % 40),
-        address: format!("10.9.{}.{}:8080", n / 250, n % 250),
-        zone: "z0".to_owned(),
+        id: format!("i-{n}").into(),
+        service: format!("s{}", n % 40).into(),
+        address: format!("10.9.{}.{}:8080", n / 250, n % 250).into(),
+        zone: "z0".to_owned().into(),
         capacity: 3,
         state,
-        seq,
+        sequence: seq,
     }
 }
 
@@ -77,7 +77,7 @@
         let hears = move |agent: Rc<ashvane_node::agent::Agent>| async move {
             for seq in 1.. {
                 for n in (at..servers).step_by(step) {
-                    agent.beat(beat(n, State::Ready, seq)).await;
+                    agent.beat(beat(n, ServerState::Ready, seq)).await;
                 }
                 sleep(ms(1000)).await;
             }
@@ -88,7 +88,8 @@
         });
     }
     let last = format!("i-{}", size.servers - 1);
-    let (all_servers, _) = known(&gateways, |m| m.agent().is_some_and(|h| h.offers_work_to(&last))).await;
+    let (all_servers, _) =
+        known(&gateways, |m| m.agent().is_some_and(|h| h.offers_work_to(&last.as_str().into()))).await;
     sleep(ms(10_000)).await;
     let before = (said(&simulation, true), said(&simulation, false));
     sleep(ms(10_000)).await;
@@ -102,10 +103,12 @@
     for n in 0..5 {
         let (control_node, id) = (&control_nodes[n % control_nodes.len()], format!("i-{n}"));
         let leaves = move |agent: Rc<ashvane_node::agent::Agent>| async move {
-            agent.beat(beat(n, State::Draining, 1_000_000)).await
+            agent.beat(beat(n, ServerState::Draining, 1_000_000)).await
         };
         assert_eq!(control_node.ask(PATIENCE, leaves).await, Some(true), "acknowledged");
-        drains.push(known(&gateways, |m| m.agent().is_some_and(|h| !h.offers_work_to(&id))).await);
+        drains.push(
+            known(&gateways, |m| m.agent().is_some_and(|h| !h.offers_work_to(&id.as_str().into()))).await,
+        );
     }
     let drain = (drains.iter().map(|d| d.0).max(), drains.iter().map(|d| d.1).max());
     println!(
--- a/crates/node/tests/cut_off.rs
+++ b/crates/node/tests/cut_off.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, Put};
 use serde_json::Value;
 use simulation::{Direction, Machine, Simulation, configuration, ms, play};
@@ -27,15 +27,15 @@
     matches!(at.ask(PATIENCE, put).await, Some(Put::Held(held)) if held >= version)
 }
 
-async fn beat(at: &Machine, id: &str, state: State, seq: u64) -> bool {
+async fn beat(at: &Machine, id: &str, state: ServerState, seq: u64) -> bool {
     let beat = Heartbeat {
-        id: id.to_owned(),
-        service: "s".to_owned(),
-        address: format!("10.1.0.{}:8080", id.len()),
-        zone: "z0".to_owned(),
+        id: id.to_owned().into(),
+        service: "s".to_owned().into(),
+        address: format!("10.1.0.{}:8080", id.len()).into(),
+        zone: "z0".to_owned().into(),
         capacity: 3,
         state,
-        seq,
+        sequence: seq,
     };
     at.ask(PATIENCE, async move |agent| agent.beat(beat).await).await == Some(true)
 }
@@ -49,7 +49,7 @@
 }
 
 fn offers(at: &Machine, id: &str) -> bool {
-    at.agent().is_some_and(|agent| agent.offers_work_to(id))
+    at.agent().is_some_and(|agent| agent.offers_work_to(&id.into()))
 }
 
 /// What a process says of itself: the entries of one part that have this value under this key.
@@ -125,7 +125,7 @@
             control_nodes[1..].iter().for_each(|other| isolate(&simulation, &control_nodes[0], other));
             sleep(before).await;
             assert!(put(&simulation.all()[1], 2).await);
-            assert!(beat(&simulation.all()[1], "i-1", State::Ready, 1).await);
+            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, 1).await);
             let gateways = simulation.all().split_off(5);
             gateways.iter().for_each(|gateway| restart(&simulation, gateway));
             let began = Instant::now();
@@ -182,14 +182,14 @@
             let (back, gateway) = (&all[0], &all[5]);
             let beyond: Vec<_> =
                 all.iter().filter(|m| m.name != back.name && m.name != gateway.name).collect();
-            assert!(beat(&all[1], "i-1", State::Ready, 1).await);
+            assert!(beat(&all[1], "i-1", ServerState::Ready, 1).await);
             sleep(ms(1000)).await;
             for other in &beyond {
                 isolate(&simulation, back, other);
                 isolate(&simulation, gateway, other);
             }
             sleep(ms(3000)).await;
-            assert!(beat(&all[1], "i-1", State::Draining, 2).await);
+            assert!(beat(&all[1], "i-1", ServerState::Draining, 2).await);
             restart(&simulation, gateway);
             sleep(ms(2000 + moment)).await;
             assert!(offers(gateway, "i-1"), "it knows what the one that is cut off knows");
@@ -214,17 +214,17 @@
             let others: Vec<_> = control_nodes.iter().filter(|m| m.name != alone.name).collect();
             let id = format!("i-{}", "1".repeat(n + 1));
             for seq in 1..4 {
-                assert!(beat(others[0], &id, State::Ready, seq).await);
+                assert!(beat(others[0], &id, ServerState::Ready, seq).await);
                 sleep(ms(1000)).await;
             }
             others.iter().for_each(|other| isolate(&simulation, alone, other));
             // It learns that it is alone, and says so in its next digest.
             for seq in 4..9 {
-                assert!(beat(others[0], &id, State::Ready, seq).await);
+                assert!(beat(others[0], &id, ServerState::Ready, seq).await);
                 sleep(ms(1000)).await;
             }
             assert!(all[5..].iter().all(|m| offers(m, &id)));
-            assert!(beat(others[0], &id, State::Draining, 9).await);
+            assert!(beat(others[0], &id, ServerState::Draining, 9).await);
             sleep(ms(100)).await;
             let late = all[5..].iter().filter(|m| offers(m, &id)).count();
             assert_eq!(late, 0, "{} is cut off and feeds", alone.name);
@@ -301,15 +301,15 @@
     play(async {
         let simulation = started().await;
         let alone = simulation.all()[0].clone();
-        assert!(beat(&alone, "i-1", State::Ready, 1).await);
+        assert!(beat(&alone, "i-1", ServerState::Ready, 1).await);
         sleep(ms(2000)).await;
         simulation.network.cut(Direction::Both, [alone.ip.clone()]);
         let began = Instant::now();
-        assert!(!beat(&alone, "i-333", State::Draining, 1).await, "it can't know yet that it is alone");
+        assert!(!beat(&alone, "i-333", ServerState::Draining, 1).await, "it can't know yet that it is alone");
         let mut seq = 2;
         while began.elapsed() < CUT {
             // The server goes on beating where it is heard.
-            assert!(beat(&simulation.all()[1], "i-1", State::Ready, seq).await);
+            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, seq).await);
             seq += 1;
             sleep(ms(1000)).await;
             assert_eq!(entries(&alone, "servers", "silent", &true.into()), 0, "{:?}", began.elapsed());
@@ -317,14 +317,14 @@
             assert!(simulation.all()[1..].iter().all(|m| offers(m, "i-1")));
             if began.elapsed() > ms(4000) {
                 let asked = Instant::now();
-                assert!(!beat(&alone, "i-22", State::Draining, seq).await);
+                assert!(!beat(&alone, "i-22", ServerState::Draining, seq).await);
                 assert!(asked.elapsed() < ms(50), "it knows that it is alone, and says so at once");
             }
         }
         simulation.network.mend_all();
         let healed = Instant::now();
         while healed.elapsed() < ms(10_000) {
-            assert!(beat(&simulation.all()[1], "i-1", State::Ready, seq).await);
+            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, seq).await);
             seq += 1;
             sleep(ms(500)).await;
             assert!(simulation.all()[1..].iter().all(|m| offers(m, "i-1")));
@@ -341,7 +341,7 @@
         wiped.wipe();
         restart(&simulation, &wiped);
         sleep(ms(1000)).await;
-        assert!(!beat(&wiped, "i-1", State::Draining, 1).await);
+        assert!(!beat(&wiped, "i-1", ServerState::Draining, 1).await);
     });
 }
 
@@ -351,7 +351,7 @@
         let simulation = started().await;
         let all = simulation.all();
         // A server and the control node that hears it are lost together.
-        assert!(beat(&all[3], "i-1", State::Ready, 1).await);
+        assert!(beat(&all[3], "i-1", ServerState::Ready, 1).await);
         sleep(ms(1000)).await;
         all[3].kill(&simulation.network);
         sleep(ms(25_000)).await;
@@ -361,7 +361,7 @@
         all[3].start(&simulation.network, false);
         sleep(ms(5000)).await;
         // The holder is cut off; another server is lost with the control node that hears it.
-        assert!(beat(&all[2], "i-22", State::Ready, 1).await);
+        assert!(beat(&all[2], "i-22", ServerState::Ready, 1).await);
         simulation.network.cut(Direction::Both, [all[0].ip.clone()]);
         all[2].kill(&simulation.network);
         let began = Instant::now();
@@ -390,7 +390,7 @@
     play(async {
         let simulation = started().await;
         let all = simulation.all();
-        assert!(beat(&all[3], "i-1", State::Ready, 1).await);
+        assert!(beat(&all[3], "i-1", ServerState::Ready, 1).await);
         sleep(ms(1000)).await;
         all[3].kill(&simulation.network);
         // Shortly before the duty is taken all others stand still, which the first one can't know yet.
@@ -415,16 +415,16 @@
     play(async {
         let simulation = started().await;
         let all = simulation.all();
-        assert!(beat(&all[1], "i-1", State::Ready, 1).await);
+        assert!(beat(&all[1], "i-1", ServerState::Ready, 1).await);
         sleep(ms(2000)).await;
         let mut longest = Duration::ZERO;
         for (n, still) in all[..5].iter().enumerate() {
             let id = format!("i-{}", "1".repeat(n + 2));
             let taker = if n == 1 { &all[2] } else { &all[1] };
-            assert!(beat(taker, &id, State::Ready, 1).await);
+            assert!(beat(taker, &id, ServerState::Ready, 1).await);
             sleep(ms(4000)).await;
             still.freeze(true);
-            assert!(beat(taker, &id, State::Draining, 2).await);
+            assert!(beat(taker, &id, ServerState::Draining, 2).await);
             let acknowledged = Instant::now();
             while all[5..].iter().any(|m| offers(m, &id)) {
                 sleep(STEP).await;
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, Put};
 use ashvane_node::config::Config;
 use ashvane_node::packed;
@@ -270,15 +270,15 @@
         let lives = rng.u64(3..20);
         spawn_local(async move {
             for seq in 1..=lives + 1 {
-                let state = if seq > lives { State::Draining } else { State::Ready };
+                let state = if seq > lives { ServerState::Draining } else { ServerState::Ready };
                 let beat = Heartbeat {
-                    id: id.clone(),
+                    id: id.clone().into(),
                     service: "s".into(),
-                    address: address.clone(),
-                    zone: "z0".to_owned(),
+                    address: address.clone().into(),
+                    zone: "z0".to_owned().into(),
                     capacity: 3,
                     state,
-                    seq,
+                    sequence: seq,
                 };
                 let beats = async |at: Rc<Machine>| {
                     let beat = beat.clone();
@@ -286,14 +286,14 @@
                     say(&format!("{id} says {state:?} to {}: {told:?}", at.name));
                     told == Some(true)
                 };
-                if callers.until_clear(&[], rng.fork(), beats).await && state == State::Draining {
+                if callers.until_clear(&[], rng.fork(), beats).await && state == ServerState::Draining {
                     callers.told.borrow_mut().left.insert(id.clone(), Instant::now());
                 }
                 sleep(ms(1000)).await;
             }
             let gone = async |at: Rc<Machine>| {
                 let id = id.clone();
-                let told = callers.ask(&at, async move |agent| agent.left(&id).await).await;
+                let told = callers.ask(&at, async move |agent| agent.left(&id.as_str().into()).await).await;
                 say(&format!("leaves {}: {told:?}", at.name));
                 told == Some(true)
             };
@@ -417,7 +417,7 @@
             assert!(version >= due, "{} has {version}, {due} was acknowledged", machine.name);
             let drained = told.left.iter().filter(|(_, at)| now - **at > DRAIN);
             for (id, _) in drained {
-                assert!(!agent.offers_work_to(id), "{} offers work to {id}", machine.name);
+                assert!(!agent.offers_work_to(&id.as_str().into()), "{} offers work to {id}", machine.name);
             }
         }
         let told = self.told.borrow();
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -1,7 +1,8 @@
 //! Each form that each message between the system's own processes can take.
 
 use ashvane_gossip::{
-    Buckets, Digest, HearingTerm, Node, Server, ServerRank, Silence, State, Summary, Update,
+    BucketDigests, BucketSet, Digest, Liveness, Node, OrphanMonitorTerm, RankSummary, Server, ServerRank,
+    ServerState, Update,
 };
 use ashvane_node::links::Message;
 use ashvane_quorum::membership_manager::{ReplicaProgress, ReplicaReport};
@@ -14,52 +15,52 @@
 
 pub(crate) fn gateway() -> Node {
     Node {
-        name: "gateway-7".to_owned(),
-        life: u64::MAX - 5,
-        age: 2,
-        down: true,
-        address: "10.1.0.7:7080".to_owned(),
-        control: None,
-        zone: "north".to_owned(),
-        front: true,
+        name: "gateway-7".to_owned().into(),
+        incarnation: u64::MAX - 5,
+        generation: 2,
+        is_down: true,
+        address: "10.1.0.7:7080".to_owned().into(),
+        control_address: None,
+        zone: "north".to_owned().into(),
+        is_gateway: true,
         disk: None,
     }
 }
 
 pub(crate) fn control_node() -> Node {
     Node {
-        name: "control-1".to_owned(),
-        life: 17,
-        age: 1,
-        down: false,
-        address: "10.1.0.1:7080".to_owned(),
-        control: Some("10.1.0.1:8047".to_owned()),
-        zone: "south".to_owned(),
-        front: false,
+        name: "control-1".to_owned().into(),
+        incarnation: 17,
+        generation: 1,
+        is_down: false,
+        address: "10.1.0.1:7080".to_owned().into(),
+        control_address: Some("10.1.0.1:8047".to_owned().into()),
+        zone: "south".to_owned().into(),
+        is_gateway: false,
         disk: Some("first:10.1.0.1:8047".into()),
     }
 }
 
-fn term() -> HearingTerm {
-    HearingTerm { epoch: 3, round: 2, holder: "control-1".to_owned() }
+fn term() -> OrphanMonitorTerm {
+    OrphanMonitorTerm { epoch: 3, round: 2, holder: "control-1".to_owned().into() }
 }
 
-pub(crate) fn server(state: State, silence: Silence) -> Server {
+pub(crate) fn server(state: ServerState, liveness: Liveness) -> Server {
     Server {
-        id: "i-1".to_owned(),
-        service: "lookup".to_owned(),
-        address: "10.2.0.9:9001".to_owned(),
-        zone: "north".to_owned(),
+        id: "i-1".to_owned().into(),
+        service: "lookup".to_owned().into(),
+        address: "10.2.0.9:9001".to_owned().into(),
+        zone: "north".to_owned().into(),
         capacity: 4,
         state,
-        seq: 19,
-        silence,
-        keeper: "control-1".to_owned(),
+        heartbeat_sequence: 19,
+        liveness,
+        monitor: "control-1".to_owned().into(),
     }
 }
 
 fn membership() -> Membership {
-    let member = |disk: &str, address: &str| Member { disk: disk.into(), address: address.to_owned() };
+    let member = |disk: &str, address: &str| Member { disk: disk.into(), address: address.to_owned().into() };
     Membership::new(4, vec![member("d-b", "10.1.0.2:7080"), member("d-a", "10.1.0.1:7080")])
 }
 
@@ -102,24 +103,24 @@
     Message::Response { number: 12, response }
 }
 
-fn summary(hearing: HearingTerm) -> Message {
-    let rank = |state, silence| ServerRank { state, seq: 8, silence };
+fn summary(hearing: OrphanMonitorTerm) -> Message {
+    let rank = |state, silence| ServerRank { state, heartbeat_sequence: 8, liveness: silence };
     let servers = [
-        ("i-1", rank(State::Ready, Silence::Heard)),
-        ("i-2", rank(State::Draining, Silence::Missed)),
-        ("i-3", rank(State::Gone, Silence::Claimed(term()))),
+        ("i-1", rank(ServerState::Ready, Liveness::Alive)),
+        ("i-2", rank(ServerState::Draining, Liveness::TimedOut)),
+        ("i-3", rank(ServerState::Terminated, Liveness::DeclaredTimedOut(term()))),
     ];
-    Message::Summary(Summary {
-        parts: 0x8000_0001,
-        nodes: [("control-1".to_owned(), (1, 17, false))].into(),
-        servers: servers.into_iter().map(|(id, rank)| (id.to_owned(), rank)).collect(),
+    Message::Summary(RankSummary {
+        buckets: BucketSet::from_bits(0x8000_0001),
+        nodes: [("control-1".into(), (1, 17, false).into())].into(),
+        servers: servers.into_iter().map(|(id, rank)| (id.into(), rank)).collect(),
         epoch: 4,
-        hearing,
+        orphan_monitor_term: hearing,
     })
 }
 
 fn digest(alone: bool) -> Digest {
-    Digest { entries: u64::MAX, epoch: 4, version: 9, alone }
+    Digest { entries: u64::MAX, epoch: 4, version: 9, lacks_quorum: alone }
 }
 
 /// Each case under a name of its own.
@@ -133,23 +134,29 @@
         ("hello-gateway", Message::Hello(gateway())),
         ("hello-control", Message::Hello(control_node())),
         ("update-nodes", update(0, vec![Update::Node(gateway()), Update::Node(control_node())])),
-        ("update-server-ready", update(3, vec![Update::Server(server(State::Ready, Silence::Heard))])),
-        ("update-server-draining", update(0, vec![Update::Server(server(State::Draining, Silence::Missed))])),
+        ("update-server-ready", update(3, vec![Update::Server(server(ServerState::Ready, Liveness::Alive))])),
+        (
+            "update-server-draining",
+            update(0, vec![Update::Server(server(ServerState::Draining, Liveness::TimedOut))]),
+        ),
         (
             "update-server-gone",
-            update(0, vec![Update::Server(server(State::Gone, Silence::Claimed(term())))]),
+            update(
+                0,
+                vec![Update::Server(server(ServerState::Terminated, Liveness::DeclaredTimedOut(term())))],
+            ),
         ),
         ("update-membership", update(0, vec![Update::Membership(membership())])),
-        ("update-hearing", update(5, vec![Update::Hearing(term())])),
+        ("update-hearing", update(5, vec![Update::OrphanMonitor(term())])),
         ("got-taken", Message::Got { number: 3, taken: true, epoch: 4 }),
         ("got-not-taken", Message::Got { number: 4, taken: false, epoch: 0 }),
         ("digest", Message::Digest(digest(false))),
         ("digest-alone", Message::Digest(digest(true))),
-        ("buckets", Message::Buckets(Buckets { entries: vec![0, 1, u64::MAX], epoch: 4 })),
+        ("buckets", Message::Buckets(BucketDigests { entries: vec![0, 1, u64::MAX], epoch: 4 })),
         ("feed-on", Message::Feed(true)),
         ("feed-off", Message::Feed(false)),
         ("summary", summary(term())),
-        ("summary-no-term", summary(HearingTerm::default())),
+        ("summary-no-term", summary(OrphanMonitorTerm::default())),
         ("want", Message::Want { above: 8 }),
         ("config", Message::Config(config(9))),
         ("read", request(Request::Read { known: None })),
--- a/crates/node/tests/golden/on_disk.rs
+++ b/crates/node/tests/golden/on_disk.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use ashvane_gossip::{Silence, State};
+use ashvane_gossip::{Liveness, ServerState};
 use ashvane_node::disk::{Disk, Found, Whole};
 use ashvane_quorum::{
     AcceptedProposal, ContentDigest, Member, Membership, ProposalNumber, RegisterValue, ReplicaState,
@@ -18,7 +18,8 @@
 }
 
 fn state(versions: &[u64]) -> ReplicaState {
-    let member = |n: u32| Member { disk: format!("d-{n}").into(), address: format!("10.1.0.{n}:7080") };
+    let member =
+        |n: u32| Member { disk: format!("d-{n}").into(), address: format!("10.1.0.{n}:7080").into() };
     let value =
         versions.iter().fold(RegisterValue::default(), |value, version| value.with(&config(*version)));
     let number = ProposalNumber { round: versions.len() as u64, operation: "d-1/11/2".into() };
@@ -35,7 +36,7 @@
 }
 
 fn servers() -> Vec<ashvane_gossip::Server> {
-    vec![server(State::Ready, Silence::Heard), server(State::Draining, Silence::Missed)]
+    vec![server(ServerState::Ready, Liveness::Alive), server(ServerState::Draining, Liveness::TimedOut)]
 }
 
 fn copy(from: &Path, to: &Path) {
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_quorum::ContentDigest;
 use tokio::time::sleep;
 
@@ -21,15 +21,15 @@
 /// How long a caller waits for its answer.
 const PATIENCE: std::time::Duration = ms(1000);
 
-fn heartbeat(n: usize, state: State, seq: u64) -> Heartbeat {
+fn heartbeat(n: usize, state: ServerState, seq: u64) -> Heartbeat {
     Heartbeat {
-        id: format!("i-{n}"),
-        service: "s".to_owned(),
-        address: format!("10.9.0.{n}:8080"),
-        zone: format!("z{}", n % 3),
+        id: format!("i-{n}").into(),
+        service: "s".to_owned().into(),
+        address: format!("10.9.0.{n}:8080").into(),
+        zone: format!("z{}", n % 3).into(),
         capacity: 4,
         state,
-        seq,
+        sequence: seq,
     }
 }
 
@@ -48,7 +48,7 @@
         *seq += 1;
         let up: Vec<_> = simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()).collect();
         for n in 0..SERVERS {
-            beat(&up[n % up.len()], heartbeat(n, State::Ready, *seq)).await;
+            beat(&up[n % up.len()], heartbeat(n, ServerState::Ready, *seq)).await;
         }
         sleep(ms(1000)).await;
     }
@@ -66,9 +66,9 @@
     put(&machines[2], 2, 1).await;
     machines[3].ask(PATIENCE, |agent| async move { drop(agent.put(b"{}").await) }).await;
     // A server drains and ends, another ends without a word.
-    beat(&machines[1], heartbeat(0, State::Draining, seq + 1)).await;
-    machines[1].ask(PATIENCE, |agent| async move { agent.left("i-0").await }).await;
-    machines[2].ask(PATIENCE, |agent| async move { agent.left("i-1").await }).await;
+    beat(&machines[1], heartbeat(0, ServerState::Draining, seq + 1)).await;
+    machines[1].ask(PATIENCE, |agent| async move { agent.left(&"i-0".into()).await }).await;
+    machines[2].ask(PATIENCE, |agent| async move { agent.left(&"i-1".into()).await }).await;
     beats(&simulation, 4, &mut seq).await;
     // A control node is lost for good, and another machine takes its place.
     machines[4].kill(&simulation.network);
--- a/crates/node/tests/golden/upgrade.rs
+++ b/crates/node/tests/golden/upgrade.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use tokio::io::{AsyncBufReadExt as _, AsyncRead, AsyncWrite, AsyncWriteExt as _, BufReader, split};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -20,15 +20,15 @@
 /// Time between two recorded lines: an answer to the line before is on its way by then.
 const BETWEEN: std::time::Duration = ms(50);
 
-fn heartbeat(id: &str, state: State, seq: u64) -> Heartbeat {
+fn heartbeat(id: &str, state: ServerState, seq: u64) -> Heartbeat {
     Heartbeat {
-        id: id.to_owned(),
-        service: "s".to_owned(),
-        address: format!("10.9.0.1:{}", 8000 + id.len()),
-        zone: "z1".to_owned(),
+        id: id.to_owned().into(),
+        service: "s".to_owned().into(),
+        address: format!("10.9.0.1:{}", 8000 + id.len()).into(),
+        zone: "z1".to_owned().into(),
         capacity: 4,
         state,
-        seq,
+        sequence: seq,
     }
 }
 
@@ -43,7 +43,7 @@
     let text = configuration(7, 3);
     control_node.ask(patience, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
     for (id, state, seq) in
-        [("i-1", State::Ready, 1), ("i-20", State::Ready, 1), ("i-20", State::Draining, 2)]
+        [("i-1", ServerState::Ready, 1), ("i-20", ServerState::Ready, 1), ("i-20", ServerState::Draining, 2)]
     {
         control_node
             .ask(patience, move |agent| async move { agent.beat(heartbeat(id, state, seq)).await })
@@ -112,7 +112,7 @@
         let agent = machines[CONTROL_NODES].agent().expect("it runs");
         assert_eq!(agent.config().map(|config| config.version), Some(7));
         assert!(agent.is_current(), "it has compared itself with a control node in contact with a majority");
-        assert!(agent.offers_work_to("i-1") && !agent.offers_work_to("i-20"));
+        assert!(agent.offers_work_to(&"i-1".into()) && !agent.offers_work_to(&"i-20".into()));
         assert!(!kinds(&heard.borrow()).is_empty());
         assert_golden("upgrade-gateway-says.txt", &(kinds(&heard.borrow()).join("\n") + "\n"));
     });
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -24,11 +24,21 @@
 fn node(name: &str, life: u64) -> Node {
     let (address, disk) = (format!("{name}:1"), Some(format!("disk of {name}").into()));
     let (zone, control) = ("z".to_owned(), None);
-    Node { name: name.to_owned(), life, age: 1, down: false, address, control, zone, front: false, disk }
+    Node {
+        name: name.to_owned().into(),
+        incarnation: life,
+        generation: 1,
+        is_down: false,
+        address: address.into(),
+        control_address: control,
+        zone: zone.into(),
+        is_gateway: false,
+        disk,
+    }
 }
 
 impl Net for Process {
-    fn dial(&self, _address: String) -> Dialled {
+    fn dial(&self, _address: ashvane_identifiers::Address) -> Dialled {
         Box::pin(async { None })
     }
 }
@@ -152,7 +162,7 @@
 #[test]
 fn a_response_counts_on_the_link_of_its_request() {
     run(async {
-        let member = |n: u64| Member { disk: format!("d{n}").into(), address: format!("{n}:1") };
+        let member = |n: u64| Member { disk: format!("d{n}").into(), address: format!("{n}:1").into() };
         let membership = Membership::new(1, (1..=3).map(member).collect());
         let replica = |n: u64| Replica::empty(member(n).disk, membership.clone());
         let register = Rc::new(Register::new(replica(1), kept_at_once(), 1));
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, Put, TICK};
 use ashvane_node::data_plane::DataPlane;
 use ashvane_node::disk::{Disk, Whole};
@@ -117,7 +117,7 @@
 struct Nobody;
 
 impl Net for Nobody {
-    fn dial(&self, _address: String) -> Dialled {
+    fn dial(&self, _address: ashvane_identifiers::Address) -> Dialled {
         Box::pin(async { None })
     }
 }
@@ -183,13 +183,13 @@
             for n in 0..count {
                 let server = Server::start(service, n, rng.fork(), ledger.clone(), trouble.clone());
                 let beat = Heartbeat {
-                    id: server.id.clone(),
-                    service: service.to_owned(),
-                    address: server.address.clone(),
-                    zone: "z".to_owned(),
+                    id: server.id.clone().into(),
+                    service: service.to_owned().into(),
+                    address: server.address.clone().into(),
+                    zone: "z".to_owned().into(),
                     capacity: 8,
-                    state: State::Ready,
-                    seq: 1,
+                    state: ServerState::Ready,
+                    sequence: 1,
                 };
                 servers.is_there(server);
                 assert!(agent.beat(beat).await, "the server is known");
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -12,6 +12,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
+use ashvane_identifiers::Address;
 use ashvane_node::agent::{Agent, TICK};
 use ashvane_node::disk::{Disk, Whole};
 use ashvane_node::front::Door;
@@ -239,8 +240,8 @@
 }
 
 impl Net for Endpoint {
-    fn dial(&self, address: String) -> Dialled {
-        let (network, own) = (self.network.clone(), self.own.clone());
+    fn dial(&self, address: Address) -> Dialled {
+        let (network, own, address) = (self.network.clone(), self.own.clone(), address.to_string());
         network.bounds.called();
         Box::pin(async move {
             sleep(WAY * 2).await;
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -6,7 +6,7 @@
 
 use std::rc::Rc;
 
-use ashvane_gossip::{Heartbeat, State};
+use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, Put};
 use ashvane_quorum::membership_manager::MAX_MEMBERS;
 use simulation::bounds::Processor;
@@ -26,13 +26,13 @@
 
 fn first_beat(n: usize) -> Heartbeat {
     Heartbeat {
-        id: format!("i-{n}"),
-        service: "s".to_owned(),
-        address: format!("10.9.{}.{}:8080", n / 250, n % 250),
-        zone: "z0".to_owned(),
+        id: format!("i-{n}").into(),
+        service: "s".to_owned().into(),
+        address: format!("10.9.{}.{}:8080", n / 250, n % 250).into(),
+        zone: "z0".to_owned().into(),
         capacity: 1,
-        state: State::Ready,
-        seq: 1,
+        state: ServerState::Ready,
+        sequence: 1,
     }
 }
 
@@ -96,7 +96,7 @@
         sleep(ms(1000)).await;
         for machine in simulation.all() {
             let agent = machine.agent().expect("runs");
-            let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}"))).count();
+            let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}").into())).count();
             assert_eq!(known, SERVERS, "at {}", machine.name);
         }
         // 60,858 with one message for each server and control node, and those that are fed.
@@ -125,7 +125,7 @@
         // Less than five heartbeats: servers that beat once count as silent after that.
         sleep(ms(4500)).await;
         let agent = away.agent().expect("runs");
-        let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}"))).count();
+        let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}").into())).count();
         assert_eq!(known, SERVERS);
         let (_, after) = said(&simulation, "gaps");
         // 66,484 with a comparison over each link.
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -34,7 +34,8 @@
 mod replica;
 mod retry_schedule;
 
-pub use membership::{DiskId, Member, Membership};
+pub use ashvane_identifiers::DiskId;
+pub use membership::{Member, Membership};
 pub use message::{KnownValue, Rejection, Request, Response};
 pub use operation::{AddressedRequest, Chosen, Operation, Outcome, Step};
 pub use proposal::{AcceptedProposal, ProposalNumber, ProposedValue};
--- a/crates/quorum/src/membership.rs
+++ b/crates/quorum/src/membership.rs
@@ -1,56 +1,15 @@
 //! The replicas that vote.
 
-use std::borrow::Borrow;
-use std::fmt;
-use std::sync::Arc;
-
+use ashvane_identifiers::{Address, DiskId};
 use serde::{Deserialize, Serialize};
 
-/// Identifies a disk for as long as it keeps its content. A disk that is wiped comes back under another id, so that it has
-/// no vote for what it has forgotten.
-#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(transparent)]
-pub struct DiskId(Arc<str>);
-
-impl DiskId {
-    /// The id as text, as it stands in messages and logs.
-    #[must_use]
-    pub fn as_str(&self) -> &str {
-        &self.0
-    }
-}
-
-impl fmt::Display for DiskId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl From<&str> for DiskId {
-    fn from(id: &str) -> Self {
-        DiskId(id.into())
-    }
-}
-
-impl From<String> for DiskId {
-    fn from(id: String) -> Self {
-        DiskId(id.into())
-    }
-}
-
-impl Borrow<str> for DiskId {
-    fn borrow(&self) -> &str {
-        &self.0
-    }
-}
-
 /// A replica that votes, and where the process that has its disk is reached.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The replica's disk.
     pub disk: DiskId,
-    /// Address for messages between processes, `host:port`.
-    pub address: String,
+    /// Where messages between processes are sent.
+    pub address: Address,
 }
 
 /// The members of one epoch. Epoch 0 has none: a replica that holds it waits to be admitted.
--- a/crates/quorum/src/operation/mod.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -10,6 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use ashvane_identifiers::Address;
+
 use self::phase::{Goal, PendingProposal, Phase};
 use crate::{
     AcceptedProposal, DiskId, KnownValue, Member, Membership, ProposalNumber, RegisterValue, Rejection,
@@ -135,8 +137,8 @@
 
     /// What this phase requests of the replica at an address, if that has not responded.
     #[must_use]
-    pub fn unanswered_at(&self, address: &str) -> Vec<AddressedRequest> {
-        self.unanswered_requests().filter(|request| request.member.address == address).collect()
+    pub fn unanswered_at(&self, address: &Address) -> Vec<AddressedRequest> {
+        self.unanswered_requests().filter(|request| request.member.address == *address).collect()
     }
 
     /// What this phase requests of those that have not responded.
--- a/crates/quorum/tests/membership_manager.rs
+++ b/crates/quorum/tests/membership_manager.rs
@@ -13,7 +13,7 @@
 const POLICY: MembershipPolicy = MembershipPolicy { catch_up: Duration::from_secs(4), max_failures: 1 };
 
 fn member(disk: &str, address: &str) -> Member {
-    Member { disk: disk.into(), address: address.to_owned() }
+    Member { disk: disk.into(), address: address.into() }
 }
 
 /// In sight, holding the state of the epoch.
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -110,7 +110,7 @@
 
 /// A disk stands at the address that its name begins with, wiped or not.
 fn member(disk: &str) -> Member {
-    Member { disk: disk.into(), address: disk[1..2].to_owned() }
+    Member { disk: disk.into(), address: disk[1..2].into() }
 }
 
 fn config(version: u64, text: &str) -> VersionedConfig {
@@ -284,7 +284,7 @@
     fn deliver(&self, state: &mut State, message: Message) -> Option<()> {
         match message {
             Message::Request { operation, member, request } => {
-                let at: usize = member.address.parse().ok()?;
+                let at: usize = member.address.as_str().parse().ok()?;
                 let response = self.handle(state, at, &request);
                 if self.without == Without::SealBeforeInstall && response.rejection.is_none() {
                     Self::install_at_once(state, at, operation, &request);
--- a/crates/quorum/tests/schedule.rs
+++ b/crates/quorum/tests/schedule.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 use acknowledgements::{Acknowledgements, Order};
+use ashvane_identifiers::Address;
 use ashvane_quorum::membership_manager::{
     LiveReplica, MembershipPlanner, MembershipView, ReplicaProgress, ReplicaReport,
 };
@@ -32,7 +33,7 @@
 const TWICE: u32 = 12;
 
 struct Machine {
-    address: String,
+    address: Address,
     up: bool,
     /// Rises with each start: what an earlier life asked or was asked is nobody's.
     life: u64,
@@ -67,7 +68,7 @@
     Request {
         operation: u64,
         from: usize,
-        to: String,
+        to: Address,
         request: Request,
     },
     /// The disk has synced what the answer rests on.
@@ -136,7 +137,9 @@
     fn new(seed: u64, rivals: bool, keeps_name: bool) -> Self {
         let first = Membership::new(
             1,
-            (0..3).map(|n| Member { disk: format!("first{n}").into(), address: format!("m{n}") }).collect(),
+            (0..3)
+                .map(|n| Member { disk: format!("first{n}").into(), address: format!("m{n}").into() })
+                .collect(),
         );
         let machine = |n: usize| {
             let name: DiskId = if n < 3 { format!("first{n}") } else { format!("d{n}") }.into();
@@ -144,7 +147,7 @@
             let disk = replica.clone();
             let (known, planner) = (first.clone(), MembershipPlanner::default());
             Machine {
-                address: format!("m{n}"),
+                address: format!("m{n}").into(),
                 up: true,
                 life: 1,
                 replica,
@@ -400,7 +403,7 @@
             }
             // Gone for good, and an empty one comes at another address.
             _ => {
-                self.machines[one].address = format!("m{}", now);
+                self.machines[one].address = format!("m{}", now).into();
                 self.stop(one, true, true, down);
             }
         }
