--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -7,7 +7,7 @@
 use ashvane_gossip::{
     BucketSet, Directory, Liveness, LivenessAuthority, Node, Server, ServerState, Update, select_peers,
 };
-use ashvane_node::packed::pack;
+use ashvane_node::compression::compress;
 
 use crate::fit::Series;
 use crate::plot;
@@ -90,7 +90,7 @@
         drop(updates);
         let memory = held() - before;
         let summary = directory.summary(BucketSet::from_bits(1));
-        let ranks = pack(&serde_json::to_vec(&summary).unwrap_or_default()).len();
+        let ranks = compress(&serde_json::to_vec(&summary).unwrap_or_default()).len();
         let now = Duration::from_secs(2);
         let figures = [
             memory / size as f64,
@@ -100,7 +100,7 @@
             time(|| directory.summary(BucketSet::from_bits(1))),
             ranks as f64,
             time(|| (directory.newer_than(&summary), directory.is_behind(&summary))),
-            pack(&text).len() as f64,
+            compress(&text).len() as f64,
             text.len() as f64,
         ];
         for (series, figure) in all.iter_mut().zip(figures) {
@@ -156,8 +156,8 @@
             parts.join(",")
         );
         text.points.push((routes as f64, all.len() as f64));
-        whole.points.push((routes as f64, pack(all.as_bytes()).len() as f64));
-        difference.points.push((routes as f64, pack(only.as_bytes()).len() as f64));
+        whole.points.push((routes as f64, compress(all.as_bytes()).len() as f64));
+        difference.points.push((routes as f64, compress(only.as_bytes()).len() as f64));
     }
     [&text, &whole, &difference].into_iter().for_each(Series::print);
     plot::draw("configuration", "routes", &whole);
--- a/crates/node/examples/slopes/processes.rs
+++ b/crates/node/examples/slopes/processes.rs
@@ -1,4 +1,4 @@
-//! Whole processes without a data plane, all in this one process, on a simulated network: what each role says on a calm
+//! StoredState processes without a data plane, all in this one process, on a simulated network: what each role says on a calm
 //! day, on changes, and at the start of all.
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, Put};
+use ashvane_node::agent::{Agent, PutOutcome};
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::fit::Series;
@@ -34,9 +34,9 @@
 
 fn said(machines: &[Rc<Machine>]) -> Said {
     let mut all = Said::new();
-    for (cause, (messages, bytes)) in machines.iter().filter_map(|m| m.agent()).flat_map(|a| a.said()) {
+    for (cause, sent) in machines.iter().filter_map(|m| m.agent()).flat_map(|a| a.traffic()) {
         let sum = all.entry(cause).or_default();
-        *sum = (sum.0 + messages, sum.1 + bytes);
+        *sum = (sum.0 + sent.messages, sum.1 + sent.bytes);
     }
     all
 }
@@ -104,11 +104,12 @@
             let machine = control_nodes[at].clone();
             let asked = async {
                 simulation.network.bounds.pass("server", &machine.ip, 400).await;
-                let heard =
-                    move |agent: Rc<Agent>| async move { agent.beat(beat(n, seq, ServerState::Ready)).await };
+                let heard = move |agent: Rc<Agent>| async move {
+                    agent.record_heartbeat(beat(n, seq, ServerState::Ready)).await
+                };
                 machine.ask(PATIENCE, heard).await
             };
-            if let Ok(Some(true)) = timeout(PATIENCE, asked).await {
+            if let Ok(Some(Ok(()))) = timeout(PATIENCE, asked).await {
                 break;
             }
             at = fastrand::usize(..control_nodes.len());
@@ -120,7 +121,10 @@
 async fn put(simulation: &Simulation, version: u64) -> bool {
     let text = configuration(version, 0);
     let put = |agent: Rc<Agent>| async move { agent.put(text.as_bytes()).await };
-    matches!(simulation.control_nodes()[0].ask(PATIENCE, put).await, Some(Put::Held(_)))
+    matches!(
+        simulation.control_nodes()[0].ask(PATIENCE, put).await,
+        Some(PutOutcome::Accepted { version: _ })
+    )
 }
 
 /// Milliseconds until all of these know; 20,000 if some do not by then.
@@ -172,9 +176,11 @@
     }
     assert!(put(&simulation, 7).await, "the configuration is held");
     let configuration_ms = known(&gateways, |a| a.config().is_some_and(|c| c.version == 7)).await;
-    let drains = |agent: Rc<Agent>| async move { agent.beat(beat(0, 1 << 40, ServerState::Draining)).await };
-    assert_eq!(control_nodes[0].ask(PATIENCE, drains).await, Some(true), "the drain is acknowledged");
-    let drain_ms = known(&gateways, |a| !a.offers_work_to(&"i-0".into())).await;
+    let drains = |agent: Rc<Agent>| async move {
+        agent.record_heartbeat(beat(0, 1 << 40, ServerState::Draining)).await
+    };
+    assert_eq!(control_nodes[0].ask(PATIENCE, drains).await, Some(Ok(())), "the drain is acknowledged");
+    let drain_ms = known(&gateways, |a| !a.is_server_available(&"i-0".into())).await;
     let each = |said: &Said, n: usize| text(&since(&Said::new(), said, n, 1.0));
     println!(
         "  {} gateways, {CONTROL_NODES} control nodes, {servers} servers ({:.0} s to play)",
--- /dev/null
+++ b/crates/node/src/agent/commands.rs
@@ -0,0 +1,124 @@
+//! Carrying out what the engine wants done.
+
+use std::rc::Rc;
+
+use ashvane_gossip::Update;
+use ashvane_identifiers::Address;
+use ashvane_quorum::Outcome;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until};
+
+use super::Agent;
+use crate::engine::{Command, Engine, LinkId, OnceSynced, SyncedResponse, UnsyncedResponse};
+use crate::links::{self, Message, codec};
+
+impl Agent {
+    pub(super) fn execute(self: &Rc<Self>, commands: Vec<Command>) {
+        for command in commands {
+            self.execute_one(command);
+        }
+    }
+
+    fn execute_one(self: &Rc<Self>, command: Command) {
+        match command {
+            Command::Send { links, message } => self.send(&links, &message),
+            Command::CloseLink(link) => drop(self.queues.borrow_mut().remove(&link)),
+            Command::Connect(address) => self.connect(address),
+            Command::SyncReplica { response, then } => self.sync_replica(response, then),
+            Command::SaveServers(servers) => {
+                if let Some(disk) = &self.disk {
+                    disk.save_servers(servers);
+                }
+            }
+            Command::PollOperationsAfter(delay) => self.spawn(async move |agent| {
+                sleep(delay).await;
+                agent.handle(Engine::poll_operations);
+            }),
+            Command::FlushUpdatesAt(time) => self.spawn(async move |agent| {
+                sleep_until(agent.started_at + time).await;
+                agent.handle(Engine::flush_updates);
+            }),
+            Command::ReadRegister => self.spawn(async move |agent| {
+                // Whatever it finds is in force by then.
+                let _ = agent.read_newest().await;
+                agent.handle(|engine, _| engine.background_read_ended());
+            }),
+            Command::VerifyQuorum(questions) => self.spawn(async move |agent| {
+                let has_read = agent.read_newest().await.is_ok();
+                agent.handle(|engine, now| engine.verification_ended(questions, has_read, now));
+            }),
+            Command::ClaimOrphanMonitor(term) => self.spawn(async move |agent| {
+                let applied = agent.await_quorum(Update::OrphanMonitor(term.clone())).await;
+                agent.handle(|engine, _| engine.orphan_monitor_claim_ended(term, applied.is_ok()));
+            }),
+            Command::AwaitMembershipChange(outcome) => self.await_membership_change(outcome),
+            Command::UpdateDataPlane { updates, gateways } => {
+                if let Some(data_plane) = &self.data_plane {
+                    data_plane.servers_changed(self.engine.borrow().directory(), &updates);
+                    data_plane.gatherers_are(gateways);
+                }
+            }
+            Command::ConfigureDataPlane(config) => {
+                if let Some(data_plane) = &self.data_plane {
+                    data_plane.configured(config);
+                }
+            }
+            Command::Log(event) => self.log_event(&event),
+        }
+    }
+
+    /// Runs a task that ends by itself, or with the process's set of local tasks.
+    fn spawn<F: Future<Output = ()> + 'static>(self: &Rc<Self>, task: impl FnOnce(Rc<Self>) -> F) {
+        spawn_local(task(self.clone()));
+    }
+
+    /// Queues a message for each of these links. A link whose peer does not read is closed.
+    fn send(self: &Rc<Self>, links: &[LinkId], message: &Message) {
+        let Ok(line) = codec::encode(message) else { return };
+        for link in links {
+            let Some(is_queued) =
+                self.queues.borrow().get(link).map(|queue| queue.try_send(line.clone()).is_ok())
+            else {
+                continue;
+            };
+            let mut engine = self.engine.borrow_mut();
+            engine.links_mut().count_sent(message, line.len());
+            if !is_queued {
+                self.queues.borrow_mut().remove(link);
+                engine.links_mut().remove(*link);
+            }
+        }
+    }
+
+    fn connect(self: &Rc<Self>, address: Address) {
+        self.spawn(async move |agent| {
+            let was_linked = links::connect(address.clone(), agent.clone()).await;
+            agent.handle(|engine, now| engine.connection_attempt_ended(&address, was_linked, now));
+        });
+    }
+
+    /// Hands the replica's state to the disk at once, and the response to the engine once that is synced.
+    fn sync_replica(self: &Rc<Self>, unsynced: UnsyncedResponse, then: OnceSynced) {
+        let Some(disk) = &self.disk else { return };
+        let UnsyncedResponse { response, state, progress } = unsynced;
+        let synced = disk.save_replica(state);
+        self.spawn(async move |agent| {
+            // A disk that was closed syncs nothing more.
+            if synced.await.is_ok() {
+                let synced = SyncedResponse { then, response, progress };
+                agent.handle(|engine, now| engine.response_synced(synced, now));
+            }
+        });
+    }
+
+    fn await_membership_change(self: &Rc<Self>, outcome: oneshot::Receiver<Outcome>) {
+        self.spawn(async move |agent| {
+            let membership = match outcome.await {
+                Ok(Outcome::MembershipChanged(membership)) => Some(membership),
+                _ => None,
+            };
+            agent.handle(|engine, now| engine.membership_change_ended(membership, now));
+        });
+    }
+}
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: read whole, checked whole, and looked up by host and path.
+//! The operator's configuration: read completely, checked completely, and looked up by host and path. The names of keys are
+//! those of the users' pages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -6,43 +7,79 @@
 
 use serde_json::Value;
 
-use crate::reader::At;
+use crate::document::{Faults, Field};
+
+/// What a time in a configuration may be at the most, in milliseconds: an hour.
+const MAX_TIME_MS: u64 = 3_600_000;
+/// The most attempts that a route may allow.
+const MAX_ATTEMPTS: u64 = 16;
+/// The most connections to a server, and the most records of an answer, that a configuration may ask for.
+const MAX_COUNT: u64 = 1 << 20;
+
+/// A service among those that a split route goes to.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedService {
+    /// The service.
+    pub service: Rc<str>,
+    /// Its share of the requests, in proportion to the other weights.
+    pub weight: f64,
+}
 
 /// Where a route's requests go.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// To one server of one of these services, by weight.
-    One(Vec<(Rc<str>, f64)>),
+    One(Vec<WeightedService>),
     /// To one server of each.
     All(Vec<Rc<str>>),
 }
 
+/// What is to become of the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// Its name, for operators.
     pub name: String,
+    /// The host, in lower case.
     pub host: String,
+    /// The path prefix: it starts and ends with a slash.
     pub prefix: String,
-    pub repeatable: bool,
+    /// Whether a request may run more than once.
+    pub is_idempotent: bool,
+    /// Time for an answer, unless a request states less.
     pub deadline: Duration,
-    pub target_time: Duration,
+    /// Time within which an answer has its full worth: the latency target.
+    pub latency_target: Duration,
+    /// Rises with the worth of the requests.
     pub priority: u64,
-    pub max_tries: u32,
+    /// How many servers a request may be sent to.
+    pub max_attempts: u32,
+    /// Where the requests go.
     pub target: Target,
+    /// How many records an answer that is joined from shards has at the most.
     pub top_k: usize,
+    /// The share of the shards that an answer needs.
     pub min_coverage: f64,
 }
 
+/// What holds for the servers of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
+    /// The path of its health check.
     pub health_path: String,
-    pub max_conns: usize,
+    /// Connections that one of its servers accepts from all gateways.
+    pub max_connections: usize,
 }
 
+/// Bounds on clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// The longest head of a request, in bytes.
     pub header_bytes: usize,
+    /// The longest body of a request, in bytes.
     pub body_bytes: usize,
+    /// Time for a head to come.
     pub header_timeout: Duration,
+    /// Time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -57,152 +94,186 @@
     }
 }
 
+/// An operator's configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
+    /// The operator's number; the highest is in force.
     pub version: u64,
+    /// By name.
     pub services: BTreeMap<Rc<str>, Service>,
+    /// Bounds on clients.
     pub limits: Limits,
     /// By host, the longest prefix first.
     routes: BTreeMap<String, Vec<Rc<Route>>>,
 }
 
-/// What a target in a configuration may be at the most, in milliseconds: an hour.
-const TIME_MOST: u64 = 3_600_000;
+impl Config {
+    /// Reads a configuration.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with it.
+    pub fn parse(text: &[u8]) -> Result<Config, Faults> {
+        let document: Value = serde_json::from_slice(text).map_err(Faults::unreadable)?;
+        let root = Field::root(&document);
+        let services = read_services(&root.get("services"));
+        let routes = read_routes(&root.get("routes"), &services);
+        let limits = root.get("limits").or(Limits::default(), read_limits);
+        let version = root.get("version").unsigned();
+        root.finish(Config { version, services, limits, routes })
+    }
 
-fn time(at: &At<'_>) -> Duration {
-    Duration::from_millis(at.whole().min(TIME_MOST))
+    /// The route of a request: of those of its host, that with the longest prefix which begins the path.
+    #[must_use]
+    pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
+        let routes = self.routes.get(&without_port(host).to_ascii_lowercase())?;
+        routes.iter().find(|route| path.starts_with(&route.prefix))
+    }
+
+    /// All routes.
+    pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
+        self.routes.values().flatten()
+    }
 }
 
-struct Names<'a> {
-    services: &'a BTreeMap<Rc<str>, Service>,
+fn without_port(host: &str) -> &str {
+    match host.rsplit_once(':') {
+        Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
+        _ => host,
+    }
 }
 
-impl Names<'_> {
-    fn service(&self, at: &At<'_>) -> Rc<str> {
-        let name: Rc<str> = at.text().into();
-        if at.is_there() && !self.services.contains_key(&name) {
-            at.fault(&format!("there is no service {name:?}"));
+fn read_services(field: &Field<'_>) -> BTreeMap<Rc<str>, Service> {
+    let mut services = BTreeMap::new();
+    for item in field.items() {
+        let max_connections = item.get("max-conns").or(64, Field::unsigned).clamp(1, MAX_COUNT) as usize;
+        let health_path = item.get("health-path").or("/health".to_owned(), Field::name);
+        let name = item.get("name").name().into();
+        if services.insert(name, Service { health_path, max_connections }).is_some() {
+            item.report("another service has this name");
         }
-        name
     }
+    services
+}
 
-    fn target(&self, at: &At<'_>) -> Target {
-        let (one, split, all) = (at.get("service"), at.get("split"), at.get("fan-out"));
-        if [&one, &split, &all].iter().filter(|at| at.is_there()).count() != 1 {
-            at.fault("one of service, split and fan-out is needed here");
-        }
-        if all.is_there() {
-            let services: Vec<_> = all.list().iter().map(|at| self.service(at)).collect();
-            let distinct: BTreeSet<_> = services.iter().collect();
-            if services.is_empty() || distinct.len() < services.len() {
-                all.fault("services are needed here, each once");
-            }
-            return Target::All(services);
-        }
-        if !split.is_there() {
-            return Target::One(vec![(if one.is_there() { self.service(&one) } else { "".into() }, 1.0)]);
+fn read_routes(field: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> BTreeMap<String, Vec<Rc<Route>>> {
+    let mut routes: BTreeMap<String, Vec<Rc<Route>>> = BTreeMap::new();
+    let mut seen = BTreeSet::new();
+    for item in field.items() {
+        let route = read_route(&item, services);
+        if !seen.insert((route.host.clone(), route.prefix.clone())) {
+            item.report("another route has this host and prefix");
         }
-        let weighted = |at: &At<'_>| (self.service(&at.get("service")), at.get("weight").number());
-        let services: Vec<_> = split.list().iter().map(weighted).collect();
-        let sound = services.iter().all(|(_, weight)| weight.is_finite() && *weight >= 0.0);
-        if !sound || services.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-            split.fault("weights are needed that are not negative and not all 0");
-        }
-        Target::One(services)
+        routes.entry(route.host.clone()).or_default().push(Rc::new(route));
+    }
+    for routes in routes.values_mut() {
+        routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
+    routes
+}
 
-    fn route(&self, at: &At<'_>) -> Route {
-        let (kind, prefix, deadline) = (at.get("kind"), at.get("path-prefix"), at.get("deadline-ms"));
-        let path = prefix.text();
-        if prefix.is_there() && !(path.starts_with('/') && path.ends_with('/')) {
-            prefix.fault("a prefix starts and ends with a slash");
-        }
-        if !matches!(kind.text(), "idempotent" | "non_idempotent") {
-            kind.fault("idempotent or non_idempotent is needed here");
-        }
-        if deadline.whole() == 0 && deadline.is_there() {
-            deadline.fault("a time above 0 is needed here");
-        }
-        let coverage = at.get("min-coverage");
-        let min_coverage = coverage.or(1.0, At::number);
-        if !(0.0..=1.0).contains(&min_coverage) {
-            coverage.fault("a share from 0 to 1 is needed here");
-        }
-        let target = self.target(at);
-        if matches!(target, Target::All(_)) && kind.text() == "non_idempotent" {
-            kind.fault("what goes to all shards is idempotent");
-        }
-        Route {
-            name: at.get("name").name(),
-            host: at.get("host").name().to_ascii_lowercase(),
-            prefix: path.to_owned(),
-            repeatable: kind.text() == "idempotent",
-            deadline: time(&deadline),
-            target_time: time(&at.get("target-ms")),
-            priority: at.get("priority").or(0, At::whole),
-            max_tries: at.get("max-tries").or(1, At::whole).clamp(1, 16) as u32,
-            target,
-            top_k: at.get("top-k").or(0, At::whole).min(1 << 20) as usize,
-            min_coverage,
-        }
+fn read_route(field: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> Route {
+    let prefix = read_prefix(&field.get("path-prefix"));
+    let kind = field.get("kind");
+    if !matches!(kind.text(), "idempotent" | "non_idempotent") {
+        kind.report("idempotent or non_idempotent is needed here");
+    }
+    let deadline = field.get("deadline-ms");
+    if deadline.unsigned() == 0 && deadline.is_present() {
+        deadline.report("a time above 0 is needed here");
+    }
+    let min_coverage = read_coverage(&field.get("min-coverage"));
+    let target = read_target(field, services);
+    if matches!(target, Target::All(_)) && kind.text() == "non_idempotent" {
+        kind.report("what goes to all shards is idempotent");
+    }
+    Route {
+        name: field.get("name").name(),
+        host: field.get("host").name().to_ascii_lowercase(),
+        prefix,
+        is_idempotent: kind.text() == "idempotent",
+        deadline: read_time(&deadline),
+        latency_target: read_time(&field.get("target-ms")),
+        priority: field.get("priority").or(0, Field::unsigned),
+        max_attempts: field.get("max-tries").or(1, Field::unsigned).clamp(1, MAX_ATTEMPTS) as u32,
+        target,
+        top_k: field.get("top-k").or(0, Field::unsigned).min(MAX_COUNT) as usize,
+        min_coverage,
     }
 }
 
-fn service(at: &At<'_>) -> (Rc<str>, Service) {
-    let most = at.get("max-conns").or(64, At::whole).clamp(1, 1 << 20) as usize;
-    let health_path = at.get("health-path").or("/health".to_owned(), At::name);
-    (at.get("name").name().into(), Service { health_path, max_conns: most })
+fn read_prefix(field: &Field<'_>) -> String {
+    let prefix = field.text();
+    if field.is_present() && !(prefix.starts_with('/') && prefix.ends_with('/')) {
+        field.report("a prefix starts and ends with a slash");
+    }
+    prefix.to_owned()
 }
 
-fn limits(at: &At<'_>) -> Limits {
-    let otherwise = Limits::default();
-    Limits {
-        header_bytes: at.get("max-header-bytes").or(otherwise.header_bytes as u64, At::whole) as usize,
-        body_bytes: at.get("max-body-bytes").or(otherwise.body_bytes as u64, At::whole) as usize,
-        header_timeout: at.get("header-timeout-ms").or(otherwise.header_timeout, time),
-        idle_timeout: at.get("idle-timeout-ms").or(otherwise.idle_timeout, time),
+fn read_coverage(field: &Field<'_>) -> f64 {
+    let coverage = field.or(1.0, Field::number);
+    if !(0.0..=1.0).contains(&coverage) {
+        field.report("a share from 0 to 1 is needed here");
     }
+    coverage
 }
 
-impl Config {
-    /// Reads a configuration, or tells all that is wrong with it.
-    pub fn parse(text: &[u8]) -> Result<Config, Vec<String>> {
-        let value: Value = serde_json::from_slice(text).map_err(|e| vec![format!("the whole: {e}")])?;
-        let at = At::root(&value);
-        let mut services = BTreeMap::new();
-        for item in at.get("services").list() {
-            let (name, service) = service(&item);
-            if services.insert(name, service).is_some() {
-                item.fault("another service has this name");
-            }
-        }
-        let names = Names { services: &services };
-        let mut routes: BTreeMap<String, Vec<Rc<Route>>> = BTreeMap::new();
-        let mut places = BTreeSet::new();
-        for item in at.get("routes").list() {
-            let route = names.route(&item);
-            if !places.insert((route.host.clone(), route.prefix.clone())) {
-                item.fault("another route has this host and prefix");
-            }
-            routes.entry(route.host.clone()).or_default().push(Rc::new(route));
-        }
-        routes.values_mut().for_each(|routes| routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len())));
-        let limits = at.get("limits").or(Limits::default(), limits);
-        let version = at.get("version").whole();
-        let faults = at.faults();
-        if faults.is_empty() { Ok(Config { version, services, limits, routes }) } else { Err(faults) }
+fn read_time(field: &Field<'_>) -> Duration {
+    Duration::from_millis(field.unsigned().min(MAX_TIME_MS))
+}
+
+fn read_target(route: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> Target {
+    let (one, split, all) = (route.get("service"), route.get("split"), route.get("fan-out"));
+    if [&one, &split, &all].iter().filter(|field| field.is_present()).count() != 1 {
+        route.report("one of service, split and fan-out is needed here");
     }
+    if all.is_present() {
+        return read_all(&all, services);
+    }
+    if split.is_present() {
+        return read_split(&split, services);
+    }
+    let service = if one.is_present() { read_service(&one, services) } else { "".into() };
+    Target::One(vec![WeightedService { service, weight: 1.0 }])
+}
 
-    /// The route of a request: of those of its host, that with the longest prefix which begins the path.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let host = host
-            .rsplit_once(':')
-            .map_or(host, |(name, port)| if port.bytes().all(|b| b.is_ascii_digit()) { name } else { host });
-        let routes = self.routes.get(&host.to_ascii_lowercase())?;
-        routes.iter().find(|r| path.starts_with(&r.prefix))
+fn read_all(field: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> Target {
+    let named: Vec<Rc<str>> = field.items().iter().map(|item| read_service(item, services)).collect();
+    let distinct: BTreeSet<&Rc<str>> = named.iter().collect();
+    if named.is_empty() || distinct.len() < named.len() {
+        field.report("services are needed here, each once");
     }
+    Target::All(named)
+}
 
-    pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
-        self.routes.values().flatten()
+fn read_split(field: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> Target {
+    let weighted = |item: &Field<'_>| WeightedService {
+        service: read_service(&item.get("service"), services),
+        weight: item.get("weight").number(),
+    };
+    let split: Vec<WeightedService> = field.items().iter().map(weighted).collect();
+    let is_valid = split.iter().all(|part| part.weight.is_finite() && part.weight >= 0.0);
+    if !is_valid || split.iter().map(|part| part.weight).sum::<f64>() <= 0.0 {
+        field.report("weights are needed that are not negative and not all 0");
+    }
+    Target::One(split)
+}
+
+fn read_service(field: &Field<'_>, services: &BTreeMap<Rc<str>, Service>) -> Rc<str> {
+    let name: Rc<str> = field.text().into();
+    if field.is_present() && !services.contains_key(&name) {
+        field.report(&format!("there is no service {name:?}"));
+    }
+    name
+}
+
+fn read_limits(field: &Field<'_>) -> Limits {
+    let default = Limits::default();
+    let bytes = |key: &str, default: usize| field.get(key).or(default as u64, Field::unsigned) as usize;
+    Limits {
+        header_bytes: bytes("max-header-bytes", default.header_bytes),
+        body_bytes: bytes("max-body-bytes", default.body_bytes),
+        header_timeout: field.get("header-timeout-ms").or(default.header_timeout, read_time),
+        idle_timeout: field.get("idle-timeout-ms").or(default.idle_timeout, read_time),
     }
 }
--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -16,11 +16,11 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::config::{Config, Route, Target};
+use crate::call_error::{CallError, Execution};
+use crate::config::{Config, Route, Target, WeightedService};
 use crate::merge::greatest;
 use crate::pool::{Answer, Asked, Connector, Pool, SERVER_SEAL};
 use crate::settings::Settings;
-use crate::verdict::{CallError, Verdict};
 
 /// Utility of an answer after the target time, as a share of the full: the configuration doesn't say.
 const LATE_UTILITY: f64 = 0.5;
@@ -186,10 +186,10 @@
             fall_time: Duration::from_secs(1),
         };
         let budget = RetryBudget {
-            ratio: settings.retry_ratio,
-            slack: settings.retry_slack,
-            window: settings.retry_window,
-            is_restarted: !settings.bootstrap,
+            ratio: settings.retry_budget.ratio,
+            slack: settings.retry_budget.slack,
+            window: settings.retry_budget.window,
+            is_restarted: !settings.is_first_start,
         };
         let (retries, gateways, now) = Default::default();
         let shares = Rc::new(RefCell::new(Shares { budget, retries, gateways, now }));
@@ -387,7 +387,8 @@
     }
 
     fn most(&self, service: &str) -> usize {
-        let most = self.config.borrow().as_ref().and_then(|c| c.services.get(service).map(|s| s.max_conns));
+        let most =
+            self.config.borrow().as_ref().and_then(|c| c.services.get(service).map(|s| s.max_connections));
         connections_per_gateway(most.unwrap_or(1), self.shares.borrow().gateways.current())
     }
 
@@ -420,8 +421,8 @@
                     self.vertical(route, services);
                 }
                 Target::One(services) => {
-                    for (service, _) in services {
-                        self.vertical(route, std::slice::from_ref(service));
+                    for part in services {
+                        self.vertical(route, std::slice::from_ref(&part.service));
                     }
                 }
             }
@@ -430,9 +431,9 @@
 
     /// The vertical of a route at these services; the module is told of one that is new.
     fn vertical(self: &Rc<Self>, route: &Route, services: &[Rc<str>]) -> usize {
-        let slo = route.target_time.min(route.deadline);
+        let slo = route.latency_target.min(route.deadline);
         let likeness: Likeness =
-            (services.to_vec(), route.repeatable, slo, route.max_tries, route.min_coverage.to_bits());
+            (services.to_vec(), route.is_idempotent, slo, route.max_attempts, route.min_coverage.to_bits());
         if let Some(at) = self.verticals.borrow().get(&likeness) {
             return *at;
         }
@@ -444,9 +445,9 @@
             follow_up: 0,
             slo,
             late_utility: LATE_UTILITY,
-            effect: if route.repeatable { Effect::Repeatable } else { Effect::SideEffecting },
+            effect: if route.is_idempotent { Effect::Repeatable } else { Effect::SideEffecting },
         };
-        self.tell(|g| g.vertical_is(at, &settings, route.max_tries, true));
+        self.tell(|g| g.vertical_is(at, &settings, route.max_attempts, true));
         at
     }
 
@@ -520,7 +521,7 @@
         tokio::task::spawn_local(async move {
             let sent = plane.pool.send(&server, &asked, limit).await;
             if let (Err(e), Some(cell)) = (&sent, again)
-                && !e.arrived()
+                && !e.may_have_arrived()
             {
                 plane.shares.borrow_mut().retries.entry(cell).or_default().cancel_retry();
             }
@@ -559,8 +560,8 @@
             }
             (Err(error), query) => {
                 if let Some((q, at)) = query {
-                    q.may_have_run |= error.verdict() == Verdict::MayHaveRun;
-                    q.parts[at].arrived -= u32::from(!error.arrived());
+                    q.may_have_run |= error.execution() == Execution::MayHaveRun;
+                    q.parts[at].arrived -= u32::from(!error.may_have_arrived());
                 }
                 error.outcome()
             }
@@ -630,14 +631,15 @@
 }
 
 /// One of the services, by weight.
-fn pick(services: &[(Rc<str>, f64)]) -> Rc<str> {
-    let total: f64 = services.iter().map(|(_, weight)| weight).sum();
+fn pick(services: &[WeightedService]) -> Rc<str> {
+    let total: f64 = services.iter().map(|part| part.weight).sum();
     let mut at = fastrand::f64() * total;
-    for (service, weight) in services {
-        at -= weight;
+    for part in services {
+        at -= part.weight;
         if at < 0.0 {
-            return service.clone();
+            return part.service.clone();
         }
     }
-    services.iter().rev().find(|(_, weight)| *weight > 0.0).map_or_else(|| "".into(), |(s, _)| s.clone())
+    let last = services.iter().rev().find(|part| part.weight > 0.0);
+    last.map_or_else(|| "".into(), |part| part.service.clone())
 }
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -1,108 +1,84 @@
 //! One sled store with one value in it, and what it takes for that value to outlast a loss of power.
 
 use std::collections::BTreeMap;
-use std::fs::File;
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-const KEY: &[u8] = b"cell";
+use super::Medium;
+
+/// The key of the one value.
+const VALUE_KEY: &[u8] = b"cell";
 /// The file that sled writes in place; all others it writes once, under a name of their own.
-const SLED_FILE: &str = "db";
+const SLED_DATA_FILE: &str = "db";
 /// How the name of a snapshot ends while it is written.
-const UNFINISHED: &str = "generating";
+const UNFINISHED_SNAPSHOT: &str = "generating";
 /// What sled may hold of a store in memory, in bytes: the whole state is smaller.
-const CACHE: u64 = 1 << 20;
+const CACHE_CAPACITY: u64 = 1 << 20;
 /// The pieces that sled sets its file up in, in bytes: a few states fit into one.
-const SEGMENT: usize = 512 << 10;
+const SEGMENT_SIZE: usize = 512 << 10;
 /// What is written to a store before it is made anew, in bytes: with its own heads it stays within its first segment.
 /// Sled uses a segment again once all in it is replaced, and from then on finds nothing without its newest snapshot, a
 /// file that it renames and removes as it opens and that a loss of power may take.
-const WRITTEN_MOST: u64 = (SEGMENT - (64 << 10)) as u64;
+const MAX_WRITTEN: u64 = (SEGMENT_SIZE - (64 << 10)) as u64;
 /// A value that sled keeps in a file of its own, of which it removes none, fills no segment: after so many the store is
 /// made anew all the same.
-const VALUES_MOST: u32 = 8;
+const MAX_LARGE_VALUES: u32 = 8;
 /// The least value of that kind, in bytes: half a segment.
-const OWN_FILE_FROM: u64 = (SEGMENT / 2) as u64;
+const LARGE_VALUE_FROM: u64 = (SEGMENT_SIZE / 2) as u64;
 /// What sled writes around a value, in bytes; in fact it is some ten.
-const AROUND: u64 = 256;
-
-/// Pause before a disk that refused is tried again.
-const AGAIN: Duration = Duration::from_millis(200);
-
-/// What a disk does that a test may want to refuse, or to remember.
-pub trait Medium: Send + Sync {
-    /// Whether so many bytes more may be written to a store.
-    fn admits(&self, store: &Path, bytes: u64) -> io::Result<()>;
-
-    /// Makes a file's content, or a folder's names, outlast a loss of power.
-    fn sync(&self, path: &Path) -> io::Result<()>;
-
-    /// Passes the time until a disk that refused is tried again.
-    fn pause(&self) {
-        std::thread::sleep(AGAIN);
-    }
-}
-
-/// The machine's own file system.
-pub struct FileSystem;
-
-impl Medium for FileSystem {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
-        Ok(())
-    }
-
-    fn sync(&self, path: &Path) -> io::Result<()> {
-        File::open(path)?.sync_all()
-    }
-}
+const VALUE_OVERHEAD: u64 = 256;
 
 /// Why a store could not be read or written.
 #[derive(Debug, Display, Error)]
-pub(super) enum StoreError {
-    /// The disk takes nothing, or gives nothing, for now: what the store holds may be whole.
-    #[display("the disk refuses: {why}")]
-    Refused { why: io::Error },
-    #[display("the store is not sound: {why}")]
-    Unsound {
+pub enum StoreError {
+    /// The disk takes nothing, or gives nothing, for now: what the store holds may be intact.
+    #[display("the disk refuses: {reason}")]
+    Refused {
+        /// What the system says.
+        reason: io::Error,
+    },
+    /// What the store holds means nothing, and stays so however often it is read.
+    #[display("the store is not sound: {reason}")]
+    Corrupt {
+        /// What sled says.
         #[error(not(source))]
-        why: String,
+        reason: String,
     },
 }
 
 impl StoreError {
-    fn unsound(why: &str) -> Self {
-        StoreError::Unsound { why: why.to_owned() }
+    fn corrupt(reason: &str) -> Self {
+        StoreError::Corrupt { reason: reason.to_owned() }
     }
 }
 
 impl From<io::Error> for StoreError {
-    fn from(why: io::Error) -> Self {
+    fn from(reason: io::Error) -> Self {
         // A file that is cut off, or whose bytes mean nothing, stays so however often it is read.
-        let unsound = matches!(
-            why.kind(),
+        let corrupt = matches!(
+            reason.kind(),
             io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput
         );
-        if unsound { StoreError::unsound(&why.to_string()) } else { StoreError::Refused { why } }
+        if corrupt { StoreError::corrupt(&reason.to_string()) } else { StoreError::Refused { reason } }
     }
 }
 
 impl From<sled::Error> for StoreError {
-    fn from(why: sled::Error) -> Self {
-        match why {
-            sled::Error::Io(why) => why.into(),
-            why => StoreError::unsound(&why.to_string()),
+    fn from(reason: sled::Error) -> Self {
+        match reason {
+            sled::Error::Io(reason) => reason.into(),
+            reason => StoreError::corrupt(&reason.to_string()),
         }
     }
 }
 
 /// Runs what may panic on bytes that it did not expect.
-fn guarded<T>(run: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    catch_unwind(AssertUnwindSafe(run)).unwrap_or_else(|_| Err(StoreError::unsound("a panic within")))
+fn catch_panic<T>(run: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    catch_unwind(AssertUnwindSafe(run)).unwrap_or_else(|_| Err(StoreError::corrupt("a panic within")))
 }
 
 /// A folder's names and the lengths of its files.
@@ -118,17 +94,17 @@
     db: Option<sled::Db>,
     /// What its folders held when they were synced last, since it was opened.
     synced: Synced,
-    /// What was written to it since it was made anew; none where that was not in this life of the process.
+    /// What was written to it since it was made anew; none where that was not by this process.
     written: Option<Written>,
     /// Whether its own name is known to outlast a loss of power.
-    named: bool,
+    is_name_synced: bool,
 }
 
 /// What a store has taken since it was made anew.
 #[derive(Clone, Copy, Default)]
 struct Written {
-    values: u32,
-    /// Of its first segment.
+    large_values: u32,
+    /// Bytes of its first segment.
     bytes: u64,
 }
 
@@ -136,21 +112,21 @@
     /// With one value more; none if that is too much.
     fn with(self, value: &[u8]) -> Option<Written> {
         let len = value.len() as u64;
-        let own_file = len + AROUND >= OWN_FILE_FROM;
-        let values = self.values + u32::from(own_file);
-        let bytes = self.bytes + AROUND + if own_file { 0 } else { len };
-        (values <= VALUES_MOST && bytes <= WRITTEN_MOST).then_some(Written { values, bytes })
+        let is_large = len + VALUE_OVERHEAD >= LARGE_VALUE_FROM;
+        let large_values = self.large_values + u32::from(is_large);
+        let bytes = self.bytes + VALUE_OVERHEAD + if is_large { 0 } else { len };
+        (large_values <= MAX_LARGE_VALUES && bytes <= MAX_WRITTEN).then_some(Written { large_values, bytes })
     }
 }
 
 impl Store {
     pub(super) fn new(dir: PathBuf, medium: Arc<dyn Medium>) -> Self {
-        Store { dir, medium, db: None, synced: Synced::new(), written: None, named: false }
+        Store { dir, medium, db: None, synced: Synced::new(), written: None, is_name_synced: false }
     }
 
     /// The value that it holds.
     pub(super) fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
-        guarded(|| Ok(self.db()?.get(KEY)?.map(|bytes| bytes.to_vec())))
+        catch_panic(|| Ok(self.db()?.get(VALUE_KEY)?.map(|bytes| bytes.to_vec())))
     }
 
     /// Puts a value in place of the one before; it is safe once this has returned. Whatever the store held may be gone
@@ -164,17 +140,17 @@
             }
         };
         self.medium.admits(&self.dir, value.len() as u64)?;
-        guarded(|| {
+        catch_panic(|| {
             let db = self.db()?;
-            db.insert(KEY, value)?;
+            db.insert(VALUE_KEY, value)?;
             db.flush()?;
             Ok(())
         })?;
         // Sled's own flush leaves bytes to the system that a loss of power takes, and does not sync what it renames.
         self.sync(&self.dir.clone())?;
-        if let Some(parent) = self.dir.parent().filter(|_| !self.named) {
+        if let Some(parent) = self.dir.parent().filter(|_| !self.is_name_synced) {
             self.medium.sync(parent)?;
-            self.named = true;
+            self.is_name_synced = true;
         }
         self.written = Some(written);
         Ok(())
@@ -182,8 +158,8 @@
 
     /// Empties it.
     pub(super) fn renew(&mut self) -> Result<(), StoreError> {
-        self.let_go();
-        (self.written, self.named) = (None, false);
+        self.drop_handle();
+        (self.written, self.is_name_synced) = (None, false);
         match std::fs::remove_dir_all(&self.dir) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e.into()),
             _ => Ok(()),
@@ -191,10 +167,10 @@
     }
 
     /// Drops the handle: one that has failed once may panic at its end too.
-    pub(super) fn let_go(&mut self) {
+    pub(super) fn drop_handle(&mut self) {
         let db = self.db.take();
         self.synced.clear();
-        let _ = guarded(|| {
+        let _ = catch_panic(|| {
             drop(db);
             Ok(())
         });
@@ -203,19 +179,19 @@
     fn db(&mut self) -> Result<&sled::Db, StoreError> {
         if self.db.is_none() {
             std::fs::create_dir_all(&self.dir)?;
-            self.drop_unfinished()?;
-            let config = sled::Config::new().path(&self.dir).cache_capacity(CACHE);
-            let config = config.segment_size(SEGMENT).flush_every_ms(None);
+            self.remove_unfinished_snapshots()?;
+            let config = sled::Config::new().path(&self.dir).cache_capacity(CACHE_CAPACITY);
+            let config = config.segment_size(SEGMENT_SIZE).flush_every_ms(None);
             self.db = Some(config.open()?);
         }
-        self.db.as_ref().ok_or_else(|| StoreError::unsound("not open"))
+        self.db.as_ref().ok_or_else(|| StoreError::corrupt("not open"))
     }
 
     /// Removes the snapshots that sled had begun when its process ended: it takes one of them for its newest.
-    fn drop_unfinished(&self) -> io::Result<()> {
+    fn remove_unfinished_snapshots(&self) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.dir)? {
             let path = entry?.path();
-            if path.extension().is_some_and(|e| e == UNFINISHED) {
+            if path.extension().is_some_and(|e| e == UNFINISHED_SNAPSHOT) {
                 std::fs::remove_file(path)?;
             }
         }
@@ -228,15 +204,15 @@
         let before = self.synced.remove(dir);
         let mut now = Listing::new();
         for entry in std::fs::read_dir(dir)? {
-            let (path, about) = {
+            let (path, metadata) = {
                 let entry = entry?;
                 (entry.path(), entry.metadata()?)
             };
-            let length = if about.is_dir() { 0 } else { about.len() };
+            let length = if metadata.is_dir() { 0 } else { metadata.len() };
             let changed = before.as_ref().and_then(|b| b.get(&path)) != Some(&length);
-            if about.is_dir() {
+            if metadata.is_dir() {
                 self.sync(&path)?;
-            } else if changed || path.ends_with(SLED_FILE) {
+            } else if changed || path.ends_with(SLED_DATA_FILE) {
                 self.medium.sync(&path)?;
             }
             now.insert(path, length);
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -151,7 +151,7 @@
         headers: head.headers,
         body,
         attempt,
-        once: !route.repeatable,
+        once: !route.is_idempotent,
         sent_to: RefCell::default(),
     };
     door.busy.set(door.busy.get() + 1);
@@ -173,7 +173,7 @@
         let (agent, plane, door) = (agent.clone(), plane.clone(), door.clone());
         async move {
             let mut answer = answer(request, agent.config(), &plane, &door).await;
-            if agent.is_leaving() {
+            if agent.is_shutting_down() {
                 answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(answer)
@@ -223,7 +223,7 @@
                     Ok::<_, Infallible>(match request.uri().path() {
                         "/api/readiness" if agent.is_ready() => say(StatusCode::OK, "ready\n"),
                         "/api/readiness" => say(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-                        "/api/state" => Response::new(Full::new(agent.state().to_string().into())),
+                        "/api/state" => Response::new(Full::new(agent.status().to_string().into())),
                         _ => say(StatusCode::NOT_FOUND, "no such call\n"),
                     })
                 }
--- /dev/null
+++ b/crates/node/src/links/codec/tests.rs
@@ -0,0 +1,24 @@
+use ashvane_gossip::{Liveness, RankSummary, ServerRank, ServerState};
+
+use super::{COMPRESSED_FROM, decode, encode};
+use crate::links::Message;
+
+#[test]
+fn long_messages_are_compressed_and_read_as_they_were() {
+    let rank = |heartbeat_sequence| ServerRank {
+        state: ServerState::Ready,
+        heartbeat_sequence,
+        liveness: Liveness::Alive,
+    };
+    let servers = (0..100).map(|n| (format!("i-{n}").into(), rank(n))).collect();
+    let summary = RankSummary { servers, ..RankSummary::default() };
+    for (message, is_compressed) in [(Message::Summary(summary), true), (Message::Subscribe(true), false)] {
+        let line = encode(&message).expect("encoded");
+        assert!(line.ends_with('\n') && line.contains("packed") == is_compressed);
+        assert!(line.len() < COMPRESSED_FROM);
+        let decoded = decode(line.as_bytes()).expect("decoded");
+        let text = |message: &Message| serde_json::to_string(message).expect("JSON");
+        assert_eq!(text(&decoded), text(&message));
+    }
+    assert!(decode(b"{\"packed\":\"%\"}").is_err() && decode(b"nonsense").is_err());
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,15 +1,18 @@
-//! The command line.
+//! The command line of `ashvane-node`.
 
+use std::io::{self, Write as _};
 use std::process::ExitCode;
 
-use ashvane_node::client;
-use ashvane_node::program::{self, Role};
-use ashvane_node::settings::Settings;
-use ashvane_node::verdict::StartError;
-use getopts::Options;
+use ashvane_node::config::Config;
+use ashvane_node::document::Faults;
+use ashvane_node::operator_client::{self, ClientError, Format};
+use ashvane_node::program::{self, Role, StartError};
+use ashvane_node::settings::{Settings, SettingsError};
+use derive_more::{Display, Error, From};
+use getopts::{Matches, Options};
 use slog::Level;
 
-const WORDS: &str = "ashvane-node: a search front over sharded indexes
+const HELP: &str = "ashvane-node: a search front over sharded indexes
 
     ashvane-node gateway     take clients' requests and gather their answers
     ashvane-node control     keep the configuration, hear servers and operators
@@ -23,89 +26,128 @@
 --at names (or a gateway's readiness address, for show); it may be given several times: the next one is called
 where one does not answer.";
 
-fn settings_file(stated: Option<String>) -> Result<String, StartError> {
-    let named = stated.or_else(|| std::env::var("ASHVANE_CONFIG").ok());
-    named.ok_or_else(|| StartError::Usage { why: "ASHVANE_CONFIG names no settings file".to_owned() })
-}
+/// The variable that names the settings file.
+const SETTINGS_VARIABLE: &str = "ASHVANE_CONFIG";
 
-fn addresses(matches: &getopts::Matches) -> Result<Vec<String>, StartError> {
-    let at = matches.opt_strs("at");
-    if at.is_empty() {
-        return Err(StartError::Usage { why: "--at names no address".to_owned() });
-    }
-    Ok(at)
+/// Why a command has failed.
+#[derive(Debug, Display, Error, From)]
+enum CommandError {
+    Arguments(getopts::Fail),
+    #[display("{_0} is no level")]
+    #[from(skip)]
+    UnknownLevel(#[error(not(source))] String),
+    #[display("{_0} is no sub-command")]
+    #[from(skip)]
+    UnknownCommand(#[error(not(source))] String),
+    #[display("{_0} needs a file")]
+    #[from(skip)]
+    MissingFile(#[error(not(source))] &'static str),
+    #[display("{SETTINGS_VARIABLE} names no settings file")]
+    NoSettingsFile,
+    #[display("--at names no address")]
+    NoAddress,
+    #[display("{file}: {reason}")]
+    #[from(skip)]
+    UnreadableFile {
+        file: String,
+        #[error(source)]
+        reason: io::Error,
+    },
+    #[display("{file}: {faults}")]
+    #[from(skip)]
+    InvalidConfig {
+        file: String,
+        #[error(source)]
+        faults: Faults,
+    },
+    Settings(SettingsError),
+    Start(StartError),
+    Client(ClientError),
+    Output(io::Error),
 }
 
-fn print(text: String) -> Result<(), StartError> {
-    use std::io::Write as _;
-    let written =
-        std::io::stdout().write_all(text.trim_end().as_bytes()).and_then(|()| writeln!(std::io::stdout()));
-    written.map_err(|why| StartError::Runtime { why })
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(reason) => {
+            eprintln!("ashvane-node: {reason}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
-fn check(file: Option<&String>) -> Result<(), StartError> {
-    let file = file.ok_or_else(|| StartError::Usage { why: "check needs a file".to_owned() })?;
-    if !file.ends_with(".json") {
-        return Settings::load(file).map(|_| println!("ok"));
+fn run() -> Result<(), CommandError> {
+    let options = options();
+    let matches = options.parse(std::env::args().skip(1))?;
+    let level = log_level(&matches)?;
+    let file = matches.free.get(1);
+    match matches.free.first().map(String::as_str) {
+        Some("gateway") => run_role(Role::Gateway, &matches, level),
+        Some("control") => run_role(Role::Control, &matches, level),
+        Some("check") => check(file.ok_or(CommandError::MissingFile("check"))?),
+        Some("get") => print(&operator_client::get(&addresses(&matches)?)?),
+        Some("put") => {
+            let text = read_file(file.ok_or(CommandError::MissingFile("put"))?)?;
+            print(&operator_client::put(&addresses(&matches)?, text)?)
+        }
+        Some("show") => {
+            let part = file.map_or("all", String::as_str);
+            let format = if matches.opt_present("json") { Format::Json } else { Format::Tables };
+            print(&operator_client::show(&addresses(&matches)?, part, format)?)
+        }
+        Some("version") => print(concat!("ashvane-node ", env!("CARGO_PKG_VERSION"))),
+        Some(other) if other != "help" && !matches.opt_present("help") => {
+            Err(CommandError::UnknownCommand(other.to_owned()))
+        }
+        _ => print(&options.usage(HELP)),
     }
-    let fault = |why: String| StartError::Settings { file: file.clone(), why };
-    let text = std::fs::read(file).map_err(|e| fault(e.to_string()))?;
-    let config = ashvane_node::config::Config::parse(&text).map_err(|faults| fault(faults.join("; ")))?;
-    println!("ok, version {}, {} routes", config.version, config.routes().count());
-    Ok(())
 }
 
-fn run() -> Result<(), StartError> {
+fn options() -> Options {
     let mut options = Options::new();
     options.optopt("", "settings", "the settings file", "FILE");
     options.optopt("", "log", "critical, error, warning, info, debug or trace", "LEVEL");
     options.optmulti("", "at", "an address to call", "ADDRESS");
     options.optflag("", "json", "show as JSON");
     options.optflag("h", "help", "these words");
-    let usage = |why: String| StartError::Usage { why };
-    let matches = options.parse(std::env::args().skip(1)).map_err(|e| usage(e.to_string()))?;
-    let level = matches.opt_str("log").unwrap_or_else(|| "info".to_owned());
-    let level: Level = level.parse().map_err(|()| usage(format!("{level} is no level")))?;
-    let role = match matches.free.first().map(String::as_str) {
-        Some("gateway") => Role::Gateway,
-        Some("control") => Role::Control,
-        Some("check") => return check(matches.free.get(1)),
-        Some("get") => return print(client::get(&addresses(&matches)?)?),
-        Some("put") => {
-            let file = matches.free.get(1).ok_or_else(|| usage("put needs a file".to_owned()))?;
-            let text = std::fs::read(file).map_err(|e| usage(format!("{file}: {e}")))?;
-            return print(client::put(&addresses(&matches)?, text)?);
-        }
-        Some("show") => {
-            let what = matches.free.get(1).map_or("all", String::as_str);
-            return print(client::show(&addresses(&matches)?, what, matches.opt_present("json"))?);
-        }
-        Some("version") => {
-            println!("ashvane-node {}", env!("CARGO_PKG_VERSION"));
-            return Ok(());
-        }
-        None | Some("help") => {
-            println!("{}", options.usage(WORDS));
-            return Ok(());
-        }
-        Some(other) if !matches.opt_present("help") => {
-            return Err(usage(format!("{other} is no sub-command")));
-        }
-        Some(_) => {
-            println!("{}", options.usage(WORDS));
-            return Ok(());
-        }
-    };
-    let file = settings_file(matches.opt_str("settings"))?;
-    program::run(role, Settings::load(&file)?, &file, program::logger(level))
+    options
 }
 
-fn main() -> ExitCode {
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("ashvane-node: {e}");
-            ExitCode::FAILURE
-        }
+fn log_level(matches: &Matches) -> Result<Level, CommandError> {
+    let name = matches.opt_str("log").unwrap_or_else(|| "info".to_owned());
+    name.parse().map_err(|()| CommandError::UnknownLevel(name))
+}
+
+fn run_role(role: Role, matches: &Matches, level: Level) -> Result<(), CommandError> {
+    let named = matches.opt_str("settings").or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
+    let file = named.ok_or(CommandError::NoSettingsFile)?;
+    let settings = Settings::load(&file)?;
+    program::run(role, settings, &file, program::logger(level))?;
+    Ok(())
+}
+
+fn check(file: &str) -> Result<(), CommandError> {
+    if !file.ends_with(".json") {
+        Settings::load(file)?;
+        return print("ok");
     }
+    let config = Config::parse(&read_file(file)?)
+        .map_err(|faults| CommandError::InvalidConfig { file: file.to_owned(), faults })?;
+    print(&format!("ok, version {}, {} routes", config.version, config.routes().count()))
+}
+
+fn read_file(file: &str) -> Result<Vec<u8>, CommandError> {
+    std::fs::read(file).map_err(|reason| CommandError::UnreadableFile { file: file.to_owned(), reason })
+}
+
+fn addresses(matches: &Matches) -> Result<Vec<String>, CommandError> {
+    let addresses = matches.opt_strs("at");
+    if addresses.is_empty() { Err(CommandError::NoAddress) } else { Ok(addresses) }
+}
+
+fn print(text: &str) -> Result<(), CommandError> {
+    let mut out = io::stdout();
+    out.write_all(text.trim_end().as_bytes())?;
+    out.write_all(b"\n")?;
+    Ok(())
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -19,7 +19,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::verdict::CallError;
+use crate::call_error::CallError;
 
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
@@ -215,7 +215,7 @@
     }
     if headers.contains_key(NOT_EXECUTED) {
         return Err(match fails {
-            true => CallError::TurnedAway { status: status.as_u16() },
+            true => CallError::Rejected { status: status.as_u16() },
             false => CallError::Unusable { what: "a success that did not run" },
         });
     }
@@ -262,7 +262,7 @@
 
     async fn connect(self: &Rc<Self>, limit: Duration, pool: &Pool) -> Result<Connection, CallError> {
         if self.open.get() >= self.most.get() {
-            return Err(CallError::NoRoom { address: self.address.clone() });
+            return Err(CallError::PoolExhausted { address: self.address.clone() });
         }
         self.open.set(self.open.get() + 1);
         let open = Open(self.clone());
--- /dev/null
+++ b/crates/node/src/program/first_start.rs
@@ -0,0 +1,47 @@
+//! The replica with which a control node starts.
+
+use ashvane_identifiers::DiskId;
+use ashvane_quorum::{Member, Membership, Replica};
+use slog::{Logger, warn};
+
+use crate::disk::{Disk, RecoveredState};
+use crate::settings::Settings;
+
+/// The replica as it was left on the disk, or an empty one. Only at the first start of the whole system has an empty disk an
+/// id that others know beforehand: later it may be one that has forgotten what it voted for.
+pub async fn recover_replica(
+    settings: &Settings, disk: &Disk, recovered: RecoveredState, log: &Logger,
+) -> Replica {
+    for reason in &recovered.unreadable {
+        warn!(log, "a store on the disk could not be read and begins anew"; "why" => reason.to_string());
+    }
+    if let Some(state) = recovered.replica {
+        return Replica::restored(state);
+    }
+    let is_first_start = settings.is_first_start && recovered.unreadable.is_empty();
+    let membership = if is_first_start { first_membership(settings) } else { Membership::default() };
+    let control = settings.listen.control.map(|address| address.to_string()).unwrap_or_default();
+    let is_first_member = is_first_start && settings.seeds.contains(&control);
+    let id = match is_first_member {
+        true => first_disk_id(&control),
+        false => format!("{:016x}", fastrand::u64(..)).into(),
+    };
+    let replica = Replica::empty(id, membership);
+    // A disk that was closed already belongs to a process that ends.
+    let _ = disk.save_replica(Some(replica.state().clone())).await;
+    replica
+}
+
+/// The membership with which the whole system starts: the disks of the seeds, of which all processes know.
+fn first_membership(settings: &Settings) -> Membership {
+    let member = |seed: &String| {
+        let (host, _) = seed.rsplit_once(':')?;
+        let address = format!("{host}:{}", settings.internal_ports.first).into();
+        Some(Member { disk: first_disk_id(seed), address })
+    };
+    Membership::new(1, settings.seeds.iter().filter_map(member).collect())
+}
+
+fn first_disk_id(seed: &str) -> DiskId {
+    format!("first:{seed}").into()
+}
--- /dev/null
+++ b/crates/node/src/program/mod.rs
@@ -0,0 +1,208 @@
+//! A role from its start to its end: this module only assembles the others.
+
+mod first_start;
+mod graceful_shutdown;
+mod listeners;
+mod process_log;
+mod start_error;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use ashvane_gossip::{Node, Server};
+use ashvane_identifiers::{Address, DiskId};
+use slog::{Logger, info, warn};
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::{Instant, Interval, MissedTickBehavior, interval, sleep};
+
+use crate::agent::{Agent, AgentParts, LocalReplica, TICK_INTERVAL};
+use crate::data_plane::DataPlane;
+use crate::disk::Disk;
+use crate::front::{self, Door};
+use crate::links::{self, Direction, TcpTransport, split_socket};
+use crate::settings::Settings;
+use crate::{control_api, pool};
+
+pub use ashvane_gossip::Role;
+pub use first_start::recover_replica;
+pub use graceful_shutdown::GracefulShutdown;
+pub use process_log::logger;
+pub use start_error::StartError;
+
+/// How often counters are logged, and the settings file is read again: it may change without a signal.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(10);
+/// Pause after a failed accept: descriptors may be free by then.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Runs a role until the process is told to end.
+///
+/// # Errors
+///
+/// Where it cannot start.
+pub fn run(role: Role, settings: Settings, file: &str, log: Logger) -> Result<(), StartError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let result = LocalSet::new().block_on(&runtime, serve(role, settings, Some(file), log));
+    // A disk that hangs must not hold up the end.
+    runtime.shutdown_background();
+    result
+}
+
+/// One process, from its listeners to its end. Has to run in a set of local tasks, with which all of its own end. `file` is
+/// the settings file, if it may be read again.
+///
+/// # Errors
+///
+/// Where it cannot start.
+pub async fn serve(
+    role: Role, settings: Settings, file: Option<&str>, log: Logger,
+) -> Result<(), StartError> {
+    let internal = listeners::bind_internal(&settings)?;
+    let address = internal.local_addr()?.to_string();
+    let agent = start_agent(role, &settings, address.as_str().into(), &log).await?;
+    let door = Rc::new(Door::default());
+    spawn_local(accept_peers(internal, agent.clone()));
+    spawn_listeners(&settings, &agent, &door)?;
+    info!(log, "started"; "node" => &settings.node, "address" => &address);
+    let events = ProcessEvents::new()?;
+    run_until_shut_down(events, &agent, &door, file).await;
+    agent.log_counters();
+    info!(log, "ended"; "open" => door.open(), "busy" => door.busy());
+    Ok(())
+}
+
+/// Reads the disk, if the process has one, and puts the agent together.
+async fn start_agent(
+    role: Role, settings: &Settings, address: Address, log: &Logger,
+) -> Result<Rc<Agent>, StartError> {
+    let incarnation = fastrand::u64(..);
+    let (local_replica, known_servers) = open_disk(settings, log).await?;
+    if role == Role::Control && local_replica.is_none() {
+        return Err(StartError::MissingDataDir);
+    }
+    let disk = local_replica.as_ref().map(|local| local.replica.state().disk.clone());
+    let data_plane =
+        settings.listen.gateway.map(|_| DataPlane::new(settings, Rc::new(pool::Tcp), log.clone()));
+    let agent = Agent::new(AgentParts {
+        settings: settings.clone(),
+        own: own_node(settings, incarnation, address, disk),
+        local_replica,
+        data_plane,
+        transport: Rc::new(TcpTransport),
+        log: log.clone(),
+    });
+    agent.restore_servers(known_servers);
+    Ok(agent)
+}
+
+async fn open_disk(
+    settings: &Settings, log: &Logger,
+) -> Result<(Option<LocalReplica>, Vec<Server>), StartError> {
+    let Some(dir) = &settings.data_dir else { return Ok((None, Vec::new())) };
+    let (disk, mut recovered) =
+        Disk::open(dir).map_err(|reason| StartError::Disk { dir: dir.clone(), reason })?;
+    let servers = std::mem::take(&mut recovered.servers);
+    let replica = recover_replica(settings, &disk, recovered, log).await;
+    info!(log, "disk"; "name" => replica.state().disk.as_str(),
+        "epoch" => replica.state().membership.epoch,
+        "version" => replica.accepted_config().map_or(0, |config| config.version));
+    Ok((Some(LocalReplica { replica, disk }), servers))
+}
+
+/// This process, as others know it.
+#[must_use]
+pub fn own_node(settings: &Settings, incarnation: u64, address: Address, disk: Option<DiskId>) -> Node {
+    Node {
+        name: settings.node.as_str().into(),
+        incarnation,
+        generation: 1,
+        is_down: false,
+        address,
+        control_address: settings.listen.control.map(|address| address.to_string().into()),
+        zone: settings.zone.as_str().into(),
+        is_gateway: settings.listen.gateway.is_some(),
+        disk,
+    }
+}
+
+async fn accept_peers(listener: TcpListener, agent: Rc<Agent>) {
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        let (read, write) = split_socket(stream);
+        spawn_local(links::run(read, write, Direction::Incoming, agent.clone()));
+    }
+}
+
+/// Starts to listen for all that the settings name.
+fn spawn_listeners(settings: &Settings, agent: &Rc<Agent>, door: &Rc<Door>) -> Result<(), StartError> {
+    let bind = |address: SocketAddr| listeners::bind(address);
+    if let Some(address) = settings.listen.control {
+        spawn_local(control_api::run(bind(address)?, address.to_string(), agent.clone()));
+    }
+    if let Some(address) = settings.listen.readiness {
+        spawn_local(front::tell_readiness(bind(address)?, agent.clone()));
+    }
+    if let (Some(address), Some(data_plane)) = (settings.listen.gateway, agent.data_plane()) {
+        spawn_local(front::run(bind(address)?, agent.clone(), data_plane, door.clone()));
+    }
+    Ok(())
+}
+
+/// What a process is told from outside, and the tick.
+struct ProcessEvents {
+    ticks: Interval,
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl ProcessEvents {
+    fn new() -> Result<Self, StartError> {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        Ok(ProcessEvents {
+            ticks,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            hangup: signal(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// Ticks until the process was told to end and has nothing left to do.
+async fn run_until_shut_down(mut events: ProcessEvents, agent: &Rc<Agent>, door: &Door, file: Option<&str>) {
+    let mut housekeeping_done_at = Instant::now();
+    let mut shutdown = GracefulShutdown::default();
+    loop {
+        tokio::select! {
+            _ = events.ticks.tick() => agent.tick(),
+            _ = events.terminate.recv() => shutdown.begin(),
+            _ = events.interrupt.recv() => shutdown.begin(),
+            _ = events.hangup.recv() => reload_settings(agent, file),
+        }
+        if housekeeping_done_at.elapsed() >= HOUSEKEEPING_INTERVAL {
+            housekeeping_done_at = Instant::now();
+            agent.log_counters();
+            reload_settings(agent, file);
+        }
+        if shutdown.is_complete(agent, door) {
+            return;
+        }
+    }
+}
+
+/// Reads the settings file again; one that cannot be used changes nothing.
+fn reload_settings(agent: &Rc<Agent>, file: Option<&str>) {
+    match file.map(Settings::load) {
+        Some(Ok(settings)) => agent.settings_reloaded(&settings),
+        Some(Err(reason)) => {
+            warn!(agent.log, "the settings file has changed and cannot be used"; "why" => reason.to_string());
+        }
+        None => {}
+    }
+}
--- a/crates/node/tests/configurations.rs
+++ b/crates/node/tests/configurations.rs
@@ -9,9 +9,9 @@
     let good = path.file_name().is_some_and(|n| n.to_string_lossy().starts_with("good"));
     match Config::parse(&text) {
         Ok(_) if good => Ok(()),
-        Err(faults) if !good && !faults.is_empty() => Ok(()),
+        Err(faults) if !good && !faults.lines().is_empty() => Ok(()),
         Ok(_) => Err("taken, though it is invalid".into()),
-        Err(faults) => Err(faults.join("; ").into()),
+        Err(faults) => Err(faults.to_string().into()),
     }
 }
 
--- a/crates/node/tests/curves.rs
+++ b/crates/node/tests/curves.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::Put;
+use ashvane_node::agent::PutOutcome;
 use simulation::{Machine, Simulation, configuration, ms, play};
 use tokio::time::{Instant, sleep};
 
@@ -38,9 +38,9 @@
 fn said(simulation: &Simulation, control_node: bool) -> BTreeMap<&'static str, (u64, u64)> {
     let mut all: BTreeMap<&'static str, (u64, u64)> = BTreeMap::new();
     for machine in simulation.all().iter().filter(|m| m.is_control_node() == control_node) {
-        for (cause, (lines, bytes)) in machine.agent().map(|agent| agent.said()).unwrap_or_default() {
+        for (cause, sent) in machine.agent().map(|agent| agent.traffic()).unwrap_or_default() {
             let sum = all.entry(cause).or_default();
-            (sum.0, sum.1) = (sum.0 + lines, sum.1 + bytes);
+            (sum.0, sum.1) = (sum.0 + sent.messages, sum.1 + sent.bytes);
         }
     }
     all
@@ -77,7 +77,8 @@
         let hears = move |agent: Rc<ashvane_node::agent::Agent>| async move {
             for seq in 1.. {
                 for n in (at..servers).step_by(step) {
-                    agent.beat(beat(n, ServerState::Ready, seq)).await;
+                    let heard = agent.record_heartbeat(beat(n, ServerState::Ready, seq)).await;
+                    assert!(heard.is_ok(), "a heartbeat needs no quorum");
                 }
                 sleep(ms(1000)).await;
             }
@@ -89,25 +90,26 @@
     }
     let last = format!("i-{}", size.servers - 1);
     let (all_servers, _) =
-        known(&gateways, |m| m.agent().is_some_and(|h| h.offers_work_to(&last.as_str().into()))).await;
+        known(&gateways, |m| m.agent().is_some_and(|h| h.is_server_available(&last.as_str().into()))).await;
     sleep(ms(10_000)).await;
     let before = (said(&simulation, true), said(&simulation, false));
     sleep(ms(10_000)).await;
     let calm = (said(&simulation, true), said(&simulation, false));
     let text = configuration(7, 0);
     let put = |agent: Rc<ashvane_node::agent::Agent>| async move { agent.put(text.as_bytes()).await };
-    assert!(matches!(control_nodes[0].ask(PATIENCE, put).await, Some(Put::Held(7))));
+    assert!(matches!(control_nodes[0].ask(PATIENCE, put).await, Some(PutOutcome::Accepted { version: 7 })));
     let version = |m: &Machine| m.agent().and_then(|h| h.config()).is_some_and(|c| c.version == 7);
     let config = known(&gateways, version).await;
     let mut drains = Vec::new();
     for n in 0..5 {
         let (control_node, id) = (&control_nodes[n % control_nodes.len()], format!("i-{n}"));
         let leaves = move |agent: Rc<ashvane_node::agent::Agent>| async move {
-            agent.beat(beat(n, ServerState::Draining, 1_000_000)).await
+            agent.record_heartbeat(beat(n, ServerState::Draining, 1_000_000)).await
         };
-        assert_eq!(control_node.ask(PATIENCE, leaves).await, Some(true), "acknowledged");
+        assert_eq!(control_node.ask(PATIENCE, leaves).await, Some(Ok(())), "acknowledged");
         drains.push(
-            known(&gateways, |m| m.agent().is_some_and(|h| !h.offers_work_to(&id.as_str().into()))).await,
+            known(&gateways, |m| m.agent().is_some_and(|h| !h.is_server_available(&id.as_str().into())))
+                .await,
         );
     }
     let drain = (drains.iter().map(|d| d.0).max(), drains.iter().map(|d| d.1).max());
--- a/crates/node/tests/cut_off.rs
+++ b/crates/node/tests/cut_off.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, Put};
+use ashvane_node::agent::{Agent, PutOutcome};
 use serde_json::Value;
 use simulation::{Direction, Machine, Simulation, configuration, ms, play};
 use tokio::time::{Instant, sleep};
@@ -24,7 +24,7 @@
 async fn put(at: &Machine, version: u64) -> bool {
     let text = configuration(version, 0);
     let put = async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await;
-    matches!(at.ask(PATIENCE, put).await, Some(Put::Held(held)) if held >= version)
+    matches!(at.ask(PATIENCE, put).await, Some(PutOutcome::Accepted { version: held }) if held >= version)
 }
 
 async fn beat(at: &Machine, id: &str, state: ServerState, seq: u64) -> bool {
@@ -37,7 +37,7 @@
         state,
         sequence: seq,
     };
-    at.ask(PATIENCE, async move |agent| agent.beat(beat).await).await == Some(true)
+    at.ask(PATIENCE, async move |agent| agent.record_heartbeat(beat).await).await == Some(Ok(()))
 }
 
 fn version(at: &Machine) -> u64 {
@@ -49,24 +49,24 @@
 }
 
 fn offers(at: &Machine, id: &str) -> bool {
-    at.agent().is_some_and(|agent| agent.offers_work_to(&id.into()))
+    at.agent().is_some_and(|agent| agent.is_server_available(&id.into()))
 }
 
 /// What a process says of itself: the entries of one part that have this value under this key.
 fn entries(at: &Machine, part: &str, key: &str, is: &Value) -> usize {
-    let state = at.agent().map(|agent| agent.state()).unwrap_or_default();
+    let state = at.agent().map(|agent| agent.status()).unwrap_or_default();
     state[part].as_array().map_or(0, |all| all.iter().filter(|entry| entry[key] == *is).count())
 }
 
 fn is_linked(at: &Machine, other: &Machine) -> bool {
-    let state = at.agent().map(|agent| agent.state()).unwrap_or_default();
+    let state = at.agent().map(|agent| agent.status()).unwrap_or_default();
     let node = |n: &Value| n["node"] == *other.name && n["state"] == "linked";
     state["nodes"].as_array().is_some_and(|nodes| nodes.iter().any(node))
 }
 
 /// The term of the duty of hearing that a process knows, and whether it holds it.
 fn hearing(at: &Machine) -> ((u64, u64), bool) {
-    let state = at.agent().map(|agent| agent.state()).unwrap_or_default();
+    let state = at.agent().map(|agent| agent.status()).unwrap_or_default();
     let duty = &state["duties"][1];
     let number = |name: &str| duty[name].as_u64().unwrap_or(0);
     // Terms are ordered by the epoch of the membership first.
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, Put};
+use ashvane_node::agent::{Agent, PutOutcome};
+use ashvane_node::compression;
 use ashvane_node::config::Config;
-use ashvane_node::packed;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -108,19 +108,21 @@
         let text = configuration(order.version, order.salt);
         let put = self.ask(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
         let answer = match put {
-            Some(Put::Held(held)) if held >= order.version => Answer::Acknowledged { held },
-            Some(Put::Conflict { .. }) => Answer::Refused,
-            Some(Put::Held(held)) => {
+            Some(PutOutcome::Accepted { version: held }) if held >= order.version => {
+                Answer::Acknowledged { held }
+            }
+            Some(PutOutcome::Conflict { .. }) => Answer::Refused,
+            Some(PutOutcome::Accepted { version: held }) => {
                 let what = format!("{} answers {held} to {order:?}", at.name);
                 self.told.borrow_mut().history.fault(what);
                 Answer::Unclear
             }
-            Some(Put::Invalid(faults)) => {
+            Some(PutOutcome::Invalid(faults)) => {
                 let what = format!("{} takes {order:?} for invalid: {faults:?}", at.name);
                 self.told.borrow_mut().history.fault(what);
                 Answer::Refused
             }
-            Some(Put::Unclear) | None => Answer::Unclear,
+            Some(PutOutcome::Unknown(_)) | None => Answer::Unclear,
         };
         say(&format!("{order:?} at {}: {answer:?}", at.name));
         self.told.borrow_mut().history.answered(order, answer, &at.name);
@@ -130,9 +132,9 @@
     /// Asks for the newest configuration and checks what comes.
     async fn read(&self, at: &Rc<Machine>) {
         let floor = self.told.borrow().history.floor();
-        let read = async |agent: Rc<Agent>| agent.newest().await;
-        let Some(Some(found)) = self.ask(at, read).await else { return };
-        let text = found.and_then(|found| packed::unpack(&found.compressed_text));
+        let read = async |agent: Rc<Agent>| agent.read_newest().await;
+        let Some(Ok(found)) = self.ask(at, read).await else { return };
+        let text = found.and_then(|found| compression::decompress(&found.compressed_text).ok());
         let order = text.and_then(|text| Order::of(&Config::parse(&text).ok()?));
         self.told.borrow_mut().history.read(floor, order, &at.name);
     }
@@ -255,7 +257,7 @@
         spawn_local(async move {
             let put = async move |agent: Rc<Agent>| agent.put(bad.as_bytes()).await;
             let got = callers.ask(&at, put).await;
-            if !matches!(got, None | Some(Put::Invalid(_))) {
+            if !matches!(got, None | Some(PutOutcome::Invalid(_))) {
                 callers.told.borrow_mut().history.fault("what is invalid is not refused".to_owned());
             }
         });
@@ -282,9 +284,9 @@
                 };
                 let beats = async |at: Rc<Machine>| {
                     let beat = beat.clone();
-                    let told = callers.ask(&at, async move |agent| agent.beat(beat).await).await;
+                    let told = callers.ask(&at, async move |agent| agent.record_heartbeat(beat).await).await;
                     say(&format!("{id} says {state:?} to {}: {told:?}", at.name));
-                    told == Some(true)
+                    told == Some(Ok(()))
                 };
                 if callers.until_clear(&[], rng.fork(), beats).await && state == ServerState::Draining {
                     callers.told.borrow_mut().left.insert(id.clone(), Instant::now());
@@ -293,9 +295,10 @@
             }
             let gone = async |at: Rc<Machine>| {
                 let id = id.clone();
-                let told = callers.ask(&at, async move |agent| agent.left(&id.as_str().into()).await).await;
+                let told =
+                    callers.ask(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
                 say(&format!("leaves {}: {told:?}", at.name));
-                told == Some(true)
+                told == Some(Ok(()))
             };
             callers.until_clear(&[], rng.fork(), gone).await;
         });
@@ -417,7 +420,11 @@
             assert!(version >= due, "{} has {version}, {due} was acknowledged", machine.name);
             let drained = told.left.iter().filter(|(_, at)| now - **at > DRAIN);
             for (id, _) in drained {
-                assert!(!agent.offers_work_to(&id.as_str().into()), "{} offers work to {id}", machine.name);
+                assert!(
+                    !agent.is_server_available(&id.as_str().into()),
+                    "{} offers work to {id}",
+                    machine.name
+                );
             }
         }
         let told = self.told.borrow();
@@ -433,8 +440,8 @@
     async fn read_back(&mut self) {
         let newest = self.told.borrow().held.iter().map(|(version, _)| *version).max().unwrap_or(0);
         for machine in self.simulation.control_nodes() {
-            let read = async |agent: Rc<Agent>| agent.newest().await;
-            let found = machine.ask(ACK, read).await.flatten().flatten();
+            let read = async |agent: Rc<Agent>| agent.read_newest().await;
+            let found = machine.ask(ACK, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} cannot read the register", machine.name));
             assert!(found.version >= newest, "{} of {newest} acknowledged is read", found.version);
             self.callers.read(&machine).await;
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use ashvane_node::disk::{Disk, FileSystem, Found, Medium};
+use ashvane_node::disk::{Disk, FileSystem, Medium, RecoveredState};
 use ashvane_quorum::{
     AcceptedProposal, ContentDigest, Membership, ProposalNumber, RegisterValue, ReplicaState, VersionedConfig,
 };
@@ -40,16 +40,16 @@
 }
 
 /// The configuration that was found.
-fn held(found: &Found) -> Option<VersionedConfig> {
+fn held(found: &RecoveredState) -> Option<VersionedConfig> {
     found.replica.as_ref().and_then(|replica| replica.accepted.value.config.clone())
 }
 
 /// Opens a disk once the one before has let go of it.
-fn open(dir: &Path) -> (Disk, Found) {
+fn open(dir: &Path) -> (Disk, RecoveredState) {
     open_on(dir, Arc::new(FileSystem))
 }
 
-fn open_on(dir: &Path, medium: Arc<dyn Medium>) -> (Disk, Found) {
+fn open_on(dir: &Path, medium: Arc<dyn Medium>) -> (Disk, RecoveredState) {
     for _ in 0..1_000_000 {
         if let Ok(opened) = Disk::open_on(&dir.to_string_lossy(), medium.clone()) {
             return opened;
@@ -63,7 +63,7 @@
 fn fill(dir: &Path, versions: u64) {
     let (disk, _) = open(dir);
     for version in 1..=versions {
-        disk.keep(Some(state(version))).blocking_recv().expect("kept");
+        disk.save_replica(Some(state(version))).blocking_recv().expect("kept");
     }
     disk.close();
 }
@@ -81,7 +81,7 @@
     let dir = folder("kept");
     fill(&dir, 5);
     let (disk, found) = open(&dir);
-    assert!(held(&found) == Some(stored(5)) && found.spoilt.is_empty());
+    assert!(held(&found) == Some(stored(5)) && found.unreadable.is_empty());
     assert_eq!(found.replica.map(|replica| replica.disk.to_string()), Some("d".to_owned()));
     disk.close();
 }
@@ -110,7 +110,7 @@
         let (disk, found) = open(&torn);
         let version = held(&found).map_or(0, |f| f.version);
         assert!(version == 3 || version == 4, "seed {seed}: {version}");
-        disk.keep(Some(state(9))).blocking_recv().expect("it goes on");
+        disk.save_replica(Some(state(9))).blocking_recv().expect("it goes on");
         disk.close();
         let (disk, found) = open(&torn);
         assert_eq!(held(&found).map(|f| f.version), Some(9), "seed {seed}");
@@ -127,8 +127,8 @@
     let text = r#"{"id":"i-1","service":"s","address":"x:1","zone":"z","capacity":2,"state":"draining",
         "seq":4,"silent":false,"keeper":"n"}"#;
     let server: ashvane_gossip::Server = serde_json::from_str(text).expect("a server");
-    disk.hint(vec![server.clone()]);
-    disk.keep(Some(state(3))).blocking_recv().expect("kept");
+    disk.save_servers(vec![server.clone()]);
+    disk.save_replica(Some(state(3))).blocking_recv().expect("kept");
     disk.close();
     let (disk, found) = open(&dir);
     assert!(found.servers == vec![server] && held(&found) == Some(stored(3)) && found.replica.is_some());
@@ -143,7 +143,7 @@
     assert!(Disk::open(&dir.to_string_lossy()).is_err());
     disk.close();
     let (disk, found) = open(&dir);
-    assert!(held(&found).map(|f| f.version) == Some(3) && found.spoilt.is_empty());
+    assert!(held(&found).map(|f| f.version) == Some(3) && found.unreadable.is_empty());
     disk.close();
 }
 
@@ -169,7 +169,7 @@
 }
 
 /// The version that was found; 0 where none was.
-fn version_held(found: &Found) -> u64 {
+fn version_held(found: &RecoveredState) -> u64 {
     held(found).map_or(0, |config| config.version)
 }
 
@@ -219,7 +219,7 @@
             assert_eq!(version_held(&found), version);
             for _ in 0..changes / 2 {
                 version += 1;
-                disk.keep(Some(large(version, bytes))).blocking_recv().expect("kept");
+                disk.save_replica(Some(large(version, bytes))).blocking_recv().expect("kept");
                 most = most.max(size(&dir));
             }
             disk.close();
@@ -289,7 +289,7 @@
             let (disk, _) = open_on(&dir, shadow.clone());
             for _ in 0..20 {
                 version += 1;
-                disk.keep(Some(large(version, bytes))).blocking_recv().expect("kept");
+                disk.save_replica(Some(large(version, bytes))).blocking_recv().expect("kept");
                 if version % 5 < 2 {
                     let left = folder(&format!("power-left-{bytes}"));
                     shadow.left_of(&dir, &left);
@@ -333,10 +333,10 @@
     let dir = folder("full");
     let medium = Arc::new(Filling::default());
     let (disk, _) = open_on(&dir, medium.clone());
-    disk.keep(Some(state(1))).blocking_recv().expect("kept");
-    disk.keep(Some(state(2))).blocking_recv().expect("kept");
+    disk.save_replica(Some(state(1))).blocking_recv().expect("kept");
+    disk.save_replica(Some(state(2))).blocking_recv().expect("kept");
     medium.full.store(true, Ordering::SeqCst);
-    let mut held_up = disk.keep(Some(state(3)));
+    let mut held_up = disk.save_replica(Some(state(3)));
     while medium.in_vain.load(Ordering::SeqCst) < 3 {
         std::thread::yield_now();
     }
@@ -346,7 +346,7 @@
     let (after, found) = open(&left);
     assert_eq!(version_held(&found), 2, "what was answered has gone with the full disk");
     after.close();
-    let later = disk.keep(Some(state(4)));
+    let later = disk.save_replica(Some(state(4)));
     medium.full.store(false, Ordering::SeqCst);
     held_up.blocking_recv().expect("kept at last");
     later.blocking_recv().expect("and what came meanwhile");
@@ -368,7 +368,7 @@
             assert_eq!(version_held(&found), version, "of {bytes} bytes");
             for _ in 0..60 {
                 version += 1;
-                disk.keep(Some(large(version, bytes))).blocking_recv().expect("kept");
+                disk.save_replica(Some(large(version, bytes))).blocking_recv().expect("kept");
             }
             disk.close();
             // Read, and read again: each time sled leaves another snapshot.
@@ -397,7 +397,7 @@
         std::fs::write(dir.join(store).join("snap.00000000FFFFFFFF.generating"), b"half").expect("written");
     }
     let (disk, found) = open(&dir);
-    assert!(found.spoilt.is_empty() && held(&found) == Some(stored(4)));
+    assert!(found.unreadable.is_empty() && held(&found) == Some(stored(4)));
     disk.close();
 }
 
@@ -421,6 +421,6 @@
     }
     refusals.iter().for_each(|path| std::fs::remove_dir(path).expect("removed"));
     let (disk, found) = opening.join().expect("opened");
-    assert!(found.spoilt.is_empty() && held(&found) == Some(stored(4)));
+    assert!(found.unreadable.is_empty() && held(&found) == Some(stored(4)));
     disk.close();
 }
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -82,7 +82,7 @@
 }
 
 fn request(request: Request) -> Message {
-    Message::Request { number: 12, request }
+    Message::ReplicaRequest { number: 12, request }
 }
 
 fn accept(value: ProposedValue, next_membership: Option<Membership>) -> Message {
@@ -100,7 +100,7 @@
         next_membership: next_membership.filter(|_| rejection.is_none()),
         value: Some(value).filter(|_| rejection.is_none()),
     };
-    Message::Response { number: 12, response }
+    Message::ReplicaResponse { number: 12, response }
 }
 
 fn summary(hearing: OrphanMonitorTerm) -> Message {
@@ -148,16 +148,16 @@
         ),
         ("update-membership", update(0, vec![Update::Membership(membership())])),
         ("update-hearing", update(5, vec![Update::OrphanMonitor(term())])),
-        ("got-taken", Message::Got { number: 3, taken: true, epoch: 4 }),
-        ("got-not-taken", Message::Got { number: 4, taken: false, epoch: 0 }),
+        ("got-taken", Message::UpdateApplied { number: 3, is_applied: true, epoch: 4 }),
+        ("got-not-taken", Message::UpdateApplied { number: 4, is_applied: false, epoch: 0 }),
         ("digest", Message::Digest(digest(false))),
         ("digest-alone", Message::Digest(digest(true))),
         ("buckets", Message::Buckets(BucketDigests { entries: vec![0, 1, u64::MAX], epoch: 4 })),
-        ("feed-on", Message::Feed(true)),
-        ("feed-off", Message::Feed(false)),
+        ("feed-on", Message::Subscribe(true)),
+        ("feed-off", Message::Subscribe(false)),
         ("summary", summary(term())),
         ("summary-no-term", summary(OrphanMonitorTerm::default())),
-        ("want", Message::Want { above: 8 }),
+        ("want", Message::RequestConfig { above: 8 }),
         ("config", Message::Config(config(9))),
         ("read", request(Request::Read { known: None })),
         ("read-known", request(Request::Read { known })),
@@ -174,10 +174,10 @@
         ("response-outbid", response(Some(Rejection::HigherNumberPromised))),
         ("response-needs-whole", response(Some(Rejection::NeedsCompleteValue))),
         ("response-malformed", response(Some(Rejection::Malformed))),
-        ("verify", Message::Verify { number: 2 }),
-        ("verified", Message::Verified { number: 2, digest: digest(false) }),
-        ("disk", Message::Disk(report)),
-        ("packed", Message::Packed("q1YqSy0qzszPU7IyqgUA".to_owned())),
+        ("verify", Message::VerifyQuorum { number: 2 }),
+        ("verified", Message::QuorumVerified { number: 2, digest: digest(false) }),
+        ("disk", Message::ReplicaReport(report)),
+        ("packed", Message::Compressed("q1YqSy0qzszPU7IyqgUA".to_owned())),
     ]
 }
 
@@ -186,19 +186,19 @@
     match message {
         Message::Hello(_) => 0,
         Message::Update { .. } => 1,
-        Message::Got { .. } => 2,
+        Message::UpdateApplied { .. } => 2,
         Message::Digest(_) => 3,
         Message::Buckets(_) => 4,
-        Message::Feed(_) => 5,
+        Message::Subscribe(_) => 5,
         Message::Summary(_) => 6,
-        Message::Want { .. } => 7,
+        Message::RequestConfig { .. } => 7,
         Message::Config(_) => 8,
-        Message::Request { .. } => 9,
-        Message::Response { .. } => 10,
-        Message::Verify { .. } => 11,
-        Message::Verified { .. } => 12,
-        Message::Disk(_) => 13,
-        Message::Packed(_) => 14,
+        Message::ReplicaRequest { .. } => 9,
+        Message::ReplicaResponse { .. } => 10,
+        Message::VerifyQuorum { .. } => 11,
+        Message::QuorumVerified { .. } => 12,
+        Message::ReplicaReport(_) => 13,
+        Message::Compressed(_) => 14,
     }
 }
 
--- a/crates/node/tests/golden/on_disk.rs
+++ b/crates/node/tests/golden/on_disk.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use ashvane_gossip::{Liveness, ServerState};
-use ashvane_node::disk::{Disk, Found, Whole};
+use ashvane_node::disk::{Disk, RecoveredState, StoredState};
 use ashvane_quorum::{
     AcceptedProposal, ContentDigest, Member, Membership, ProposalNumber, RegisterValue, ReplicaState,
     VersionedConfig,
@@ -57,7 +57,7 @@
 }
 
 /// Opens a folder once the process's thread that had it before has let go of it.
-fn open(dir: &Path) -> (Disk, Found) {
+fn open(dir: &Path) -> (Disk, RecoveredState) {
     for _ in 0..1_000_000 {
         if let Ok(opened) = Disk::open(&dir.to_string_lossy()) {
             return opened;
@@ -73,9 +73,9 @@
     }
     let dir = scratch("golden-written");
     let (disk, _) = open(&dir);
-    disk.keep(Some(state(&[5]))).blocking_recv().expect("kept");
-    disk.hint(servers());
-    disk.keep(Some(state(&[5, 9]))).blocking_recv().expect("kept");
+    disk.save_replica(Some(state(&[5]))).blocking_recv().expect("kept");
+    disk.save_servers(servers());
+    disk.save_replica(Some(state(&[5, 9]))).blocking_recv().expect("kept");
     disk.close();
     drop(open(&dir));
     copy(&dir, &path("data-folder"));
@@ -87,7 +87,7 @@
     let dir = scratch("golden-read");
     copy(&path("data-folder"), &dir);
     let (disk, found) = open(&dir);
-    assert_eq!(found.spoilt, Vec::<String>::new());
+    assert!(found.unreadable.is_empty(), "{:?}", found.unreadable);
     assert_eq!(found.replica, Some(state(&[5, 9])));
     assert_eq!(found.servers, servers());
     disk.close();
@@ -102,7 +102,7 @@
         copy(&path("data-folder"), &dir);
         std::fs::remove_dir_all(dir.join(missing)).expect("a store");
         let (disk, found) = open(&dir);
-        assert_eq!(found.spoilt, Vec::<String>::new());
+        assert!(found.unreadable.is_empty(), "{:?}", found.unreadable);
         let replica = found.replica.expect("a replica");
         versions.push(replica.accepted.value.config.as_ref().map(|config| config.version));
         disk.close();
@@ -114,11 +114,11 @@
 /// The text within a store: an earlier release reads what this one writes only if it has this form.
 #[test]
 fn the_state_is_written_in_the_form_that_earlier_releases_read() {
-    let mut whole = Whole::default();
+    let mut whole = StoredState::default();
     whole.replica = Some(state(&[5, 9]));
     whole.servers = servers().into();
     let text = serde_json::to_string(&whole).expect("a state") + "\n";
     super::assert_golden("stored-state.json", &text);
-    let read: Whole = serde_json::from_str(&text).expect("a state");
+    let read: StoredState = serde_json::from_str(&text).expect("a state");
     assert_eq!((read.replica, read.servers), (whole.replica, whole.servers));
 }
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashvane_node::client;
 use ashvane_node::config::Config;
-use ashvane_node::settings::Settings;
+use ashvane_node::operator_client::{self, ClientError, Format};
+use ashvane_node::settings::{ListenAddresses, PortRange, RetryBudgetSettings, Settings};
 
 use super::{assert_golden, golden, path};
 
@@ -28,22 +28,22 @@
         ip: "10.1.0.3".to_owned(),
         zone: "north".to_owned(),
         zones: vec!["north".to_owned(), "south".to_owned()],
-        ports: (7080, 7095),
+        internal_ports: PortRange { first: 7080, last: 7095 },
         seeds: vec!["10.1.0.1:8047".to_owned(), "10.1.0.2:8047".to_owned()],
-        bootstrap: true,
+        is_first_start: true,
         data_dir: Some("/var/lib/ashvane".to_owned()),
-        beat_every: Duration::from_millis(1200),
-        front: address("10.1.0.3:8043"),
-        readiness: address("10.1.0.3:8041"),
-        control: address("10.1.0.3:8047"),
+        heartbeat_interval: Duration::from_millis(1200),
+        listen: ListenAddresses {
+            gateway: address("10.1.0.3:8043"),
+            readiness: address("10.1.0.3:8041"),
+            control: address("10.1.0.3:8047"),
+        },
         max_fds: 4096,
         memory_mb: 64,
-        losses: 2,
+        max_failures: 2,
         catch_up: Duration::from_millis(5500),
         grace: Duration::from_millis(8500),
-        retry_ratio: 0.25,
-        retry_window: Duration::from_millis(12_500),
-        retry_slack: 40.0,
+        retry_budget: RetryBudgetSettings { ratio: 0.25, window: Duration::from_millis(12_500), slack: 40.0 },
     };
     assert_eq!(read, expected);
 }
@@ -66,7 +66,8 @@
     let mut told = String::new();
     for file in files {
         let name = file.file_name().expect("a name").to_string_lossy().into_owned();
-        let faults = Config::parse(&std::fs::read(&file).expect("a file")).err().unwrap_or_default();
+        let faults = Config::parse(&std::fs::read(&file).expect("a file")).err();
+        let faults = faults.map(|faults| faults.lines()).unwrap_or_default();
         told += &format!("{name}: {faults:?}\n");
     }
     assert_golden("configurations.txt", &told);
@@ -150,19 +151,19 @@
             let other = CONFIGURATION.replace("2000", "1500");
             let older = CONFIGURATION.replace("\"version\":4", "\"version\":2");
             let printed = [
-                client::get(&at),
-                client::put(&at, CONFIGURATION.into()),
-                client::put(&at, other.into()),
-                client::put(&at, older.into()),
-                client::put(&at, b"{\"version\":1}".to_vec()),
-                client::get(&at),
-                client::show(&at, "duties", false),
-                client::show(&at, "duties", true),
-                client::show(&at, "disks", false),
-                client::show(&at, "servers", false),
-                client::show(&at, "nothing", false),
+                operator_client::get(&at),
+                operator_client::put(&at, CONFIGURATION.into()),
+                operator_client::put(&at, other.into()),
+                operator_client::put(&at, older.into()),
+                operator_client::put(&at, b"{\"version\":1}".to_vec()),
+                operator_client::get(&at),
+                operator_client::show(&at, "duties", Format::Tables),
+                operator_client::show(&at, "duties", Format::Json),
+                operator_client::show(&at, "disks", Format::Tables),
+                operator_client::show(&at, "servers", Format::Tables),
+                operator_client::show(&at, "nothing", Format::Tables),
             ];
-            let text = |result: Result<String, _>| match result {
+            let text = |result: Result<String, ClientError>| match result {
                 Ok(text) => format!("ok: {text}\n"),
                 Err(fault) => format!("error: {fault}\n"),
             };
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -7,6 +7,7 @@
 use std::rc::Rc;
 
 use ashvane_gossip::{Heartbeat, ServerState};
+use ashvane_node::agent::NoQuorum;
 use ashvane_quorum::ContentDigest;
 use tokio::time::sleep;
 
@@ -33,8 +34,8 @@
     }
 }
 
-async fn beat(machine: &Rc<Machine>, heartbeat: Heartbeat) -> Option<bool> {
-    machine.ask(PATIENCE, |agent| async move { agent.beat(heartbeat).await }).await
+async fn beat(machine: &Rc<Machine>, heartbeat: Heartbeat) -> Option<Result<(), NoQuorum>> {
+    machine.ask(PATIENCE, |agent| async move { agent.record_heartbeat(heartbeat).await }).await
 }
 
 async fn put(machine: &Rc<Machine>, version: u64, salt: u64) {
@@ -67,8 +68,8 @@
     machines[3].ask(PATIENCE, |agent| async move { drop(agent.put(b"{}").await) }).await;
     // A server drains and ends, another ends without a word.
     beat(&machines[1], heartbeat(0, ServerState::Draining, seq + 1)).await;
-    machines[1].ask(PATIENCE, |agent| async move { agent.left(&"i-0".into()).await }).await;
-    machines[2].ask(PATIENCE, |agent| async move { agent.left(&"i-1".into()).await }).await;
+    machines[1].ask(PATIENCE, |agent| async move { agent.deregister(&"i-0".into()).await }).await;
+    machines[2].ask(PATIENCE, |agent| async move { agent.deregister(&"i-1".into()).await }).await;
     beats(&simulation, 4, &mut seq).await;
     // A control node is lost for good, and another machine takes its place.
     machines[4].kill(&simulation.network);
@@ -79,7 +80,7 @@
     faults(&simulation, &machines, &mut seq).await;
     let states = simulation.all().into_iter().filter_map(|machine| {
         let agent = machine.agent()?;
-        Some(format!("{}\n{:#}\n", machine.name, agent.state()))
+        Some(format!("{}\n{:#}\n", machine.name, agent.status()))
     });
     states.collect()
 }
--- a/crates/node/tests/golden/upgrade.rs
+++ b/crates/node/tests/golden/upgrade.rs
@@ -46,7 +46,10 @@
         [("i-1", ServerState::Ready, 1), ("i-20", ServerState::Ready, 1), ("i-20", ServerState::Draining, 2)]
     {
         control_node
-            .ask(patience, move |agent| async move { agent.beat(heartbeat(id, state, seq)).await })
+            .ask(
+                patience,
+                move |agent| async move { agent.record_heartbeat(heartbeat(id, state, seq)).await },
+            )
             .await;
     }
     sleep(ms(3000)).await;
@@ -112,7 +115,7 @@
         let agent = machines[CONTROL_NODES].agent().expect("it runs");
         assert_eq!(agent.config().map(|config| config.version), Some(7));
         assert!(agent.is_current(), "it has compared itself with a control node in contact with a majority");
-        assert!(agent.offers_work_to(&"i-1".into()) && !agent.offers_work_to(&"i-20".into()));
+        assert!(agent.is_server_available(&"i-1".into()) && !agent.is_server_available(&"i-20".into()));
         assert!(!kinds(&heard.borrow()).is_empty());
         assert_golden("upgrade-gateway-says.txt", &(kinds(&heard.borrow()).join("\n") + "\n"));
     });
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -3,66 +3,90 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
+use std::time::Duration;
 
 use ashvane_gossip::Node;
-use ashvane_node::disk::{Disk, Whole};
-use ashvane_node::links::{self, Dialled, Link, Links, Listener, Message, Net};
-use ashvane_node::register::{Register, Via, Work};
+use ashvane_identifiers::Address;
+use ashvane_node::engine::{
+    LinkId, LinkTable, Receipt, Register, RegisterCommands, RequestPath, StartedOperation,
+};
+use ashvane_node::links::codec::DecodeError;
+use ashvane_node::links::{
+    self, Connecting, ConnectionHandler, ConnectionState, Direction, Message, MessageQueue, Transport,
+};
 use ashvane_quorum::{
     ContentDigest, Member, Membership, Outcome, Replica, SubmissionStatus, VersionedConfig,
 };
 use tokio::io::{AsyncWriteExt as _, DuplexStream, duplex, split};
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// A process that notes what it hears.
+/// A process that notes what it receives.
 #[derive(Default)]
 struct Process {
-    links: RefCell<Links>,
-    heard: RefCell<Vec<(u64, &'static str)>>,
+    links: RefCell<LinkTable>,
+    queues: RefCell<Vec<(LinkId, MessageQueue)>>,
+    received: RefCell<Vec<(LinkId, &'static str)>>,
+}
+
+impl Process {
+    /// A configuration is requested over a link.
+    fn request_config(&self, link: LinkId) {
+        self.links.borrow_mut().config_requested(link);
+    }
+
+    fn close(&self, link: LinkId) {
+        self.links.borrow_mut().remove(link);
+        self.queues.borrow_mut().retain(|(other, _)| *other != link);
+    }
 }
 
-fn node(name: &str, life: u64) -> Node {
-    let (address, disk) = (format!("{name}:1"), Some(format!("disk of {name}").into()));
-    let (zone, control) = ("z".to_owned(), None);
+fn node(name: &str, incarnation: u64) -> Node {
     Node {
-        name: name.to_owned().into(),
-        incarnation: life,
+        name: name.into(),
+        incarnation,
         generation: 1,
         is_down: false,
-        address: address.into(),
-        control_address: control,
-        zone: zone.into(),
+        address: format!("{name}:1").into(),
+        control_address: None,
+        zone: "z".into(),
         is_gateway: false,
-        disk,
+        disk: Some(format!("disk of {name}").into()),
     }
 }
 
-impl Net for Process {
-    fn dial(&self, _address: ashvane_identifiers::Address) -> Dialled {
+impl Transport for Process {
+    fn connect(&self, _address: Address) -> Connecting {
         Box::pin(async { None })
     }
 }
 
-impl Listener for Process {
-    fn me(&self) -> Node {
+impl ConnectionHandler for Process {
+    fn own_node(&self) -> Node {
         node("me", 1)
     }
 
-    fn net(&self) -> &dyn Net {
+    fn transport(&self) -> &dyn Transport {
         self
     }
 
-    fn links(&self) -> &RefCell<Links> {
-        &self.links
-    }
+    fn handshake_failed(&self) {}
 
-    fn linked(self: &Rc<Self>, _number: u64) {}
+    fn connection_opened(self: &Rc<Self>, peer: Node, direction: Direction, queue: MessageQueue) -> LinkId {
+        let link = self.links.borrow_mut().open(peer, direction, Duration::ZERO);
+        self.queues.borrow_mut().push((link, queue));
+        link
+    }
 
-    fn heard(self: &Rc<Self>, number: u64, message: Message) {
-        self.heard.borrow_mut().push((number, message.cause()));
+    fn line_received(self: &Rc<Self>, link: LinkId, line: Result<Message, DecodeError>) -> ConnectionState {
+        match self.links.borrow_mut().receive(link, line, Duration::ZERO) {
+            Receipt::Accepted(message) => self.received.borrow_mut().push((link, message.topic())),
+            Receipt::Ignored => {}
+            Receipt::Closed => return ConnectionState::Closed,
+        }
+        ConnectionState::Open
     }
 
-    fn unlinked(self: &Rc<Self>, _number: u64, _link: Link) {}
+    fn connection_closed(self: &Rc<Self>, _link: LinkId) {}
 }
 
 /// The far side of a link.
@@ -78,14 +102,14 @@
     }
 }
 
-async fn link(process: &Rc<Process>, name: &str, life: u64) -> (u64, Peer) {
+async fn link(process: &Rc<Process>, name: &str, incarnation: u64) -> (LinkId, Peer) {
     let (near, far) = duplex(1 << 20);
     let (read, write) = split(near);
-    spawn_local(links::run(read, write, true, process.clone()));
+    spawn_local(links::run(read, write, Direction::Outgoing, process.clone()));
     let mut peer = Peer(far);
-    peer.say(&Message::Hello(node(name, life))).await;
-    let number = process.links.borrow().iter().map(|(number, _)| number).max();
-    (number.expect("it is linked"), peer)
+    peer.say(&Message::Hello(node(name, incarnation))).await;
+    let link = process.links.borrow().iter().map(|(link, _)| link).max();
+    (link.expect("it is linked"), peer)
 }
 
 fn config(version: u64) -> VersionedConfig {
@@ -108,16 +132,16 @@
         let answer = Message::Config(config(3));
         before.say(&answer).await;
         after.say(&answer).await;
-        assert!(process.heard.borrow().is_empty(), "nobody asked");
-        process.links.borrow_mut().send(second, &Message::Want { above: 2 });
+        assert!(process.received.borrow().is_empty(), "nobody asked");
+        process.request_config(second);
         before.say(&answer).await;
-        assert!(process.heard.borrow().is_empty(), "another link, and another life, was asked");
+        assert!(process.received.borrow().is_empty(), "another link, and another life, was asked");
         after.say(&answer).await;
         after.say(&answer).await;
-        assert_eq!(*process.heard.borrow(), [(second, "configuration")], "once");
+        assert_eq!(*process.received.borrow(), [(second, "configuration")], "once");
         // What is no answer is heard on any link.
-        before.say(&Message::Feed(true)).await;
-        assert_eq!(process.heard.borrow().last(), Some(&(first, "links")));
+        before.say(&Message::Subscribe(true)).await;
+        assert_eq!(process.received.borrow().last(), Some(&(first, "links")));
     });
 }
 
@@ -126,35 +150,20 @@
 fn the_number_of_a_link_is_never_given_again() {
     run(async {
         let process = Rc::new(Process::default());
-        let mut last = 0;
+        let mut last = LinkId::from(0);
         for life in 1..6 {
             let (number, peer) = link(&process, "peer", life).await;
             assert!(number > last);
-            process.links.borrow_mut().send(number, &Message::Want { above: 0 });
-            process.links.borrow_mut().close(number);
+            process.request_config(number);
+            process.close(number);
             last = number;
             drop(peer);
         }
         let (_, mut peer) = link(&process, "peer", 9).await;
         peer.say(&Message::Config(config(1))).await;
-        assert!(process.heard.borrow().is_empty(), "what was asked on other links is not owed here");
-        assert_eq!(process.links.borrow().counters.unasked, 1);
-    });
-}
-
-fn kept_at_once() -> Disk {
-    let (disk, inbox) = Disk::new();
-    spawn_local(async move {
-        let mut whole = Whole::default();
-        loop {
-            tokio::time::sleep(std::time::Duration::from_millis(1)).await;
-            if let Some(mut wanted) = inbox.take() {
-                wanted.onto(&mut whole);
-                wanted.is_safe();
-            }
-        }
+        assert!(process.received.borrow().is_empty(), "what was asked on other links is not owed here");
+        assert_eq!(process.links.borrow().counters.unrequested, 1);
     });
-    disk
 }
 
 /// A response settles its operation only on the link on which the request went out: not on a second link to the same
@@ -165,33 +174,38 @@
         let member = |n: u64| Member { disk: format!("d{n}").into(), address: format!("{n}:1").into() };
         let membership = Membership::new(1, (1..=3).map(member).collect());
         let replica = |n: u64| Replica::empty(member(n).disk, membership.clone());
-        let register = Rc::new(Register::new(replica(1), kept_at_once(), 1));
+        let mut register = Register::new(replica(1), 1);
         let mut others = [replica(2), replica(3)];
-        let (work, mut outcome) = register.write(membership.clone(), config(1));
-        let mut todo = vec![work];
+        let now = Duration::ZERO;
+        let StartedOperation { commands, mut outcome } = register.write(membership.clone(), config(1), now);
+        let mut todo = vec![commands];
         let mut misled = 0;
-        while let Some(Work { requests, .. }) = todo.pop() {
+        while let Some(RegisterCommands { requests, .. }) = todo.pop() {
             for outgoing in requests {
                 let number = outgoing.number;
                 if outgoing.member == member(1) {
-                    register.sent(number, Via::Own);
-                    let response = register.handle(&outgoing.request).await.expect("it is on disk");
-                    assert!(register.responded(number, Via::Link(1), response.clone()).requests.is_empty());
-                    todo.push(register.responded(number, Via::Own, response));
+                    register.request_sent(number, RequestPath::Local);
+                    let response = register.handle(&outgoing.request).response;
+                    let wrong = RequestPath::Link(LinkId::from(1));
+                    let misled = register.response_received(number, wrong, response.clone(), now);
+                    assert!(misled.requests.is_empty());
+                    todo.push(register.response_received(number, RequestPath::Local, response, now));
                     continue;
                 }
                 let at = usize::from(outgoing.member == member(3));
-                let (asked, other) = (Via::Link(10 + at as u64), Via::Link(20 + at as u64));
-                register.sent(number, asked);
+                let path = |first: u64| RequestPath::Link(LinkId::from(first + at as u64));
+                let (asked, other) = (path(10), path(20));
+                register.request_sent(number, asked);
                 let response = others[at].handle(&outgoing.request).response;
-                for wrong in [other, Via::Own] {
-                    let work = register.responded(number, wrong, response.clone());
-                    assert!(work.requests.is_empty() && work.membership.is_none(), "it came another way");
+                for wrong in [other, RequestPath::Local] {
+                    let commands = register.response_received(number, wrong, response.clone(), now);
+                    let is_ignored = commands.requests.is_empty() && commands.membership.is_none();
+                    assert!(is_ignored, "it came another way");
                     misled += 1;
                 }
                 assert!(outcome.try_recv().is_err(), "nothing is settled by them");
-                todo.push(register.responded(number, asked, response.clone()));
-                let again = register.responded(number, asked, response);
+                todo.push(register.response_received(number, asked, response.clone(), now));
+                let again = register.response_received(number, asked, response, now);
                 assert!(again.requests.is_empty() && again.membership.is_none(), "it counts once");
                 if let Ok(outcome) = outcome.try_recv() {
                     assert!(matches!(outcome, Outcome::Written(SubmissionStatus::Chosen, _)) && misled > 0);
--- a/crates/node/tests/pool.rs
+++ b/crates/node/tests/pool.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use ashvane_node::call_error::CallError;
 use ashvane_node::pool::{Asked, Connecting, Connector, Pool};
-use ashvane_node::verdict::CallError;
 use axum::http::{HeaderMap, HeaderValue, Method, Uri};
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt as _, DuplexStream, duplex};
--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_node::agent::Put;
+use ashvane_node::agent::PutOutcome;
 use simulation::{Direction, GRACE, Machine, Simulation, configuration, ms, play, say};
 use tokio::time::{Instant, sleep};
 
@@ -60,7 +60,7 @@
     /// Whether the disk that a machine has now is a member; one that was wiped is another.
     fn has_disk(&self, machine: &Machine) -> bool {
         let Some(agent) = machine.agent() else { return false };
-        let state = agent.state();
+        let state = agent.status();
         let own = state["nodes"].as_array().expect("nodes").iter().find(|n| n["state"] == "this one");
         let disk = own.and_then(|own| own["disk"].as_str()).expect("its disk").to_owned();
         self.epochs.values().next_back().is_some_and(|newest| newest.contains(&format!("{disk}@")))
@@ -68,7 +68,7 @@
 
     /// The epoch that the first control node has been told by a member that it holds.
     fn reported(&self, machine: &Machine) -> Option<u64> {
-        let state = self.control(0).agent()?.state();
+        let state = self.control(0).agent()?.status();
         let at = format!("{}:", machine.ip);
         let mut members = state["disks"].as_array()?.iter();
         members.find(|m| m["address"].as_str().is_some_and(|a| a.starts_with(&at)))?["epoch"].as_u64()
@@ -84,7 +84,7 @@
         let end = Instant::now() + time;
         loop {
             for agent in self.simulation.all().iter().filter_map(|m| m.agent()) {
-                let state = agent.state();
+                let state = agent.status();
                 let epoch = state["duties"][0]["epoch"].as_u64().expect("an epoch");
                 let member = |m: &serde_json::Value| {
                     format!("{}@{}", m["disk"].as_str().expect("a disk"), m["address"].as_str().expect("one"))
@@ -111,7 +111,7 @@
             for at in self.simulation.control_nodes() {
                 let text = text.clone();
                 let put = async move |agent: Rc<ashvane_node::agent::Agent>| agent.put(text.as_bytes()).await;
-                if matches!(at.ask(PATIENCE, put).await, Some(Put::Held(_))) {
+                if matches!(at.ask(PATIENCE, put).await, Some(PutOutcome::Accepted { version: _ })) {
                     say(&format!("HELD {} at {}", self.version, at.name));
                     return Some(at);
                 }
@@ -129,8 +129,8 @@
     /// Every control node that runs reads what was acknowledged.
     async fn read_back(&mut self) {
         for at in self.simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()) {
-            let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.newest().await;
-            let found = at.ask(ACK, read).await.flatten().flatten();
+            let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
+            let found = at.ask(ACK, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} cannot read the register", at.name));
             assert_eq!(found.version, self.version, "{} reads what was acknowledged", at.name);
         }
@@ -276,8 +276,8 @@
         assert!(world.put().await.is_none());
         world.pass(ms(10_000)).await;
         for at in world.simulation.control_nodes() {
-            let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.newest().await;
-            assert_eq!(at.ask(ACK, read).await.flatten(), None, "{} reads", at.name);
+            let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
+            assert!(!matches!(at.ask(ACK, read).await, Some(Ok(_))), "{} reads", at.name);
         }
     });
 }
--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -145,13 +145,13 @@
 async fn exchange(world: &World, wire: &mut Wire, draft: &Draft) -> bool {
     say_whole(world, draft);
     let began = Instant::now();
-    let leaving = world.agent.is_leaving();
+    let leaving = world.agent.is_shutting_down();
     // One that leaves may close a connection that rests: what has not been read goes nowhere.
     let written = wire.write_all(&draft.bytes).await;
     let answer = timeout(draft.deadline + SLACK, wire.message()).await;
     let mut ledger = world.ledger.borrow_mut();
     ledger.count("client: asked");
-    if (written.is_err() || matches!(answer, Ok(Err(Fault::Ended)))) && world.agent.is_leaving() {
+    if (written.is_err() || matches!(answer, Ok(Err(Fault::Ended)))) && world.agent.is_shutting_down() {
         ledger.count("client: closed by one that leaves");
         let asked = ledger.asked.get_mut(&draft.attempt).expect("it is asked");
         // It may be sent again elsewhere, as after a promise.
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -11,13 +11,12 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, Put, TICK};
+use ashvane_node::agent::{Agent, AgentParts, LocalReplica, PutOutcome, TICK_INTERVAL};
 use ashvane_node::data_plane::DataPlane;
-use ashvane_node::disk::{Disk, Whole};
+use ashvane_node::disk::{Disk, StoredState};
 use ashvane_node::front::Door;
-use ashvane_node::links::{Dialled, Net};
-use ashvane_node::program::{node, replica};
-use ashvane_node::register::Register;
+use ashvane_node::links::{Connecting, Transport};
+use ashvane_node::program::{own_node, recover_replica};
 use ashvane_node::settings::Settings;
 use slog::{Discard, Logger, o};
 use tokio::task::{LocalSet, spawn_local};
@@ -116,8 +115,8 @@
 /// No other processes are there.
 struct Nobody;
 
-impl Net for Nobody {
-    fn dial(&self, _address: ashvane_identifiers::Address) -> Dialled {
+impl Transport for Nobody {
+    fn connect(&self, _address: ashvane_identifiers::Address) -> Connecting {
         Box::pin(async { None })
     }
 }
@@ -151,12 +150,12 @@
 fn disk() -> Disk {
     let (disk, inbox) = Disk::new();
     spawn_local(async move {
-        let mut whole = Whole::default();
+        let mut whole = StoredState::default();
         loop {
             sleep(ms(1)).await;
             let Some(mut wanted) = inbox.take() else { continue };
-            wanted.onto(&mut whole);
-            wanted.is_safe();
+            wanted.apply_to(&mut whole);
+            wanted.notify_synced();
         }
     });
     disk
@@ -170,14 +169,16 @@
         let servers = Rc::new(Servers::default());
         let plane = DataPlane::new(&settings, servers.clone(), log.clone());
         let disk = disk();
-        let replica = replica(&settings, &disk, Whole::default().found(), &log).await;
+        let replica = recover_replica(&settings, &disk, StoredState::default().recovered(), &log).await;
         let name = replica.state().disk.clone();
-        let register = Register::new(replica, disk, 1);
-        let me = node(&settings, 1, "10.0.0.1:7080".to_owned(), Some(name));
-        let agent = Agent::new(settings, me, Some(register), Some(plane.clone()), Rc::new(Nobody), log);
+        let own = own_node(&settings, 1, "10.0.0.1:7080".into(), Some(name));
+        let local_replica = Some(LocalReplica { replica, disk });
+        let data_plane = Some(plane.clone());
+        let transport = Rc::new(Nobody);
+        let agent = Agent::new(AgentParts { settings, own, local_replica, data_plane, transport, log });
         agent.tick();
         let put = agent.put(configuration().as_bytes()).await;
-        assert!(matches!(put, Put::Held(1)), "the configuration is in force");
+        assert!(matches!(put, PutOutcome::Accepted { version: 1 }), "the configuration is in force");
         let mut rng = fastrand::Rng::with_seed(seed);
         for (service, count) in SERVICES {
             for n in 0..count {
@@ -192,13 +193,13 @@
                     sequence: 1,
                 };
                 servers.is_there(server);
-                assert!(agent.beat(beat).await, "the server is known");
+                assert!(agent.record_heartbeat(beat).await.is_ok(), "the server is known");
             }
         }
         let ticking = agent.clone();
         spawn_local(async move {
             loop {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 ticking.tick();
             }
         });
@@ -208,7 +209,7 @@
     /// Ends in order while clients go on, as a process does on SIGTERM.
     pub(crate) async fn leave(&self, after: Duration, closes_after: Duration) {
         sleep(after).await;
-        self.agent.leave();
+        self.agent.shut_down();
         sleep(closes_after).await;
         self.door.close();
     }
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use ashvane_node::client;
+use ashvane_node::operator_client::{self, Format};
 use common::{Hall, Message, answer, ask, route, run, sealed, server};
 
 /// A system with one route to one service, whose servers do this.
@@ -274,15 +274,24 @@
         hall.configure(2, &route("r", "idempotent", r#""service":"s""#), &["s"]).await;
         let at = vec!["127.0.0.1:9".to_owned(), hall.control.to_string()];
         let calls = tokio::task::spawn_blocking(move || {
-            let before = client::get(&at).expect("the configuration");
+            let before = operator_client::get(&at).expect("the configuration");
             let newer = before.replace(r#""version":2"#, r#""version":6"#);
-            let sent = client::put(&at, newer.clone().into_bytes()).expect("it is taken");
-            let refused =
-                client::put(&at, before.replace(r#""service":"s""#, r#""service":"t""#).into_bytes());
-            let older = client::put(&at, before.into_bytes()).expect("it is acknowledged");
-            let shown = client::show(&at, "configuration", false).expect("shown");
-            let all = client::show(&at, "all", true).expect("shown");
-            (sent, refused.is_err(), older, shown, all, client::get(&at).expect("the newest") == newer)
+            let sent = operator_client::put(&at, newer.clone().into_bytes()).expect("it is taken");
+            let refused = operator_client::put(
+                &at,
+                before.replace(r#""service":"s""#, r#""service":"t""#).into_bytes(),
+            );
+            let older = operator_client::put(&at, before.into_bytes()).expect("it is acknowledged");
+            let shown = operator_client::show(&at, "configuration", Format::Tables).expect("shown");
+            let all = operator_client::show(&at, "all", Format::Json).expect("shown");
+            (
+                sent,
+                refused.is_err(),
+                older,
+                shown,
+                all,
+                operator_client::get(&at).expect("the newest") == newer,
+            )
         });
         let (sent, refused, older, shown, all, same) = calls.await.expect("no panic");
         assert!(sent.contains("version 6 is held") && refused && older.contains("nothing changed") && same);
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -13,12 +13,11 @@
 use std::time::Duration;
 
 use ashvane_identifiers::Address;
-use ashvane_node::agent::{Agent, TICK};
-use ashvane_node::disk::{Disk, Whole};
+use ashvane_node::agent::{Agent, AgentParts, LocalReplica, TICK_INTERVAL};
+use ashvane_node::disk::{Disk, StoredState};
 use ashvane_node::front::Door;
-use ashvane_node::links::{self, Dialled, Net, Ways};
-use ashvane_node::program::{Departure, node, replica};
-use ashvane_node::register::Register;
+use ashvane_node::links::{self, Connecting, Halves, Transport};
+use ashvane_node::program::{GracefulShutdown, own_node, recover_replica};
 use ashvane_node::settings::Settings;
 use slog::{Discard, Drain, KV as _, Logger, OwnedKVList, Record, o};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, DuplexStream, duplex, split};
@@ -92,7 +91,7 @@
 /// The network: who listens, and which machines are cut off from the others.
 #[derive(Default)]
 pub(crate) struct Network {
-    doors: RefCell<BTreeMap<String, mpsc::UnboundedSender<Ways>>>,
+    doors: RefCell<BTreeMap<String, mpsc::UnboundedSender<Halves>>>,
     /// By number, each until it is mended.
     cuts: RefCell<BTreeMap<u64, Cut>>,
     next_cut: Cell<u64>,
@@ -100,7 +99,7 @@
     pub jitter: Cell<Duration>,
     /// Machines that take in so many bytes a second, and until when what is on its way keeps each busy.
     narrow: RefCell<BTreeMap<String, (u64, Instant)>>,
-    /// Ways between two machines that carry nothing, by their addresses.
+    /// Halves between two machines that carry nothing, by their addresses.
     severed: RefCell<BTreeSet<(String, String)>>,
     /// Rises with each moment at which a machine's connections break.
     breaks: RefCell<BTreeMap<String, u32>>,
@@ -192,7 +191,7 @@
     }
 
     /// Takes the place of the process at an address: whoever calls it from now on comes out here.
-    pub(crate) fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Ways> {
+    pub(crate) fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Halves> {
         let (door, callers) = mpsc::unbounded_channel();
         self.doors.borrow_mut().insert(address.to_owned(), door);
         callers
@@ -239,8 +238,8 @@
     own: String,
 }
 
-impl Net for Endpoint {
-    fn dial(&self, address: Address) -> Dialled {
+impl Transport for Endpoint {
+    fn connect(&self, address: Address) -> Connecting {
         let (network, own, address) = (self.network.clone(), self.own.clone(), address.to_string());
         network.bounds.called();
         Box::pin(async move {
@@ -262,7 +261,7 @@
 /// What a machine's disk holds, and how long a sync takes there.
 #[derive(Clone)]
 pub(crate) struct Storage {
-    pub safe: Rc<RefCell<Whole>>,
+    pub safe: Rc<RefCell<StoredState>>,
     pub sync: Rc<Cell<Duration>>,
 }
 
@@ -534,9 +533,9 @@
     let (door, mut callers) = mpsc::unbounded_channel();
     network.doors.borrow_mut().insert(address.clone(), door);
     let mut recalled = Vec::new();
-    let mut register = None;
+    let mut local_replica = None;
     if let Some(storage) = storage {
-        let mut found = storage.safe.borrow().found();
+        let mut found = storage.safe.borrow().recovered();
         recalled = std::mem::take(&mut found.servers);
         let (disk, inbox) = Disk::new();
         spawn_local(async move {
@@ -544,38 +543,38 @@
                 sleep(ms(1)).await;
                 let Some(mut wanted) = inbox.take() else { continue };
                 let mut whole = storage.safe.borrow().clone();
-                if wanted.onto(&mut whole) {
+                if wanted.apply_to(&mut whole) {
                     sleep(storage.sync.get()).await;
                     *storage.safe.borrow_mut() = whole;
                 }
-                wanted.is_safe();
+                wanted.notify_synced();
             }
         });
-        let replica = replica(&settings, &disk, found, &log).await;
-        let name = replica.state().disk.clone();
-        register = Some((Register::new(replica, disk, life), name));
-    }
-    let (register, disk) = register.unzip();
-    let me = node(&settings, life, address, disk);
-    let endpoint = Endpoint { network, own: settings.ip.clone() };
-    let agent = Agent::new(settings, me, register, None, Rc::new(endpoint), log);
-    agent.recall(recalled);
+        let replica = recover_replica(&settings, &disk, found, &log).await;
+        local_replica = Some(LocalReplica { replica, disk });
+    }
+    let disk = local_replica.as_ref().map(|local| local.replica.state().disk.clone());
+    let own = own_node(&settings, life, address.into(), disk);
+    let transport = Rc::new(Endpoint { network, own: settings.ip.clone() });
+    let parts = AgentParts { settings, own, local_replica, data_plane: None, transport, log };
+    let agent = Agent::new(parts);
+    agent.restore_servers(recalled);
     *slot.borrow_mut() = Some(agent.clone());
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut departure, door) = (Departure::default(), Door::default());
+    let (mut shutdown, door) = (GracefulShutdown::default(), Door::default());
     loop {
         // In this order: without it the runtime draws one, and a seed's day is never the same twice.
         tokio::select! {
             biased;
             _ = ticks.tick() => agent.tick(),
             Some((read, write)) = callers.recv() => {
-                spawn_local(links::run(read, write, false, agent.clone()));
+                spawn_local(links::run(read, write, links::Direction::Incoming, agent.clone()));
             }
             Some(job) = orders.todo.recv() => job(agent.clone()),
-            () = orders.terminated.notified() => departure.begin(),
+            () = orders.terminated.notified() => shutdown.begin(),
         }
-        if departure.is_over(&agent, &door) {
+        if shutdown.is_complete(&agent, &door) {
             return;
         }
     }
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, Put};
+use ashvane_node::agent::{Agent, PutOutcome};
 use ashvane_quorum::membership_manager::MAX_MEMBERS;
 use simulation::bounds::Processor;
 use simulation::{Direction, Simulation, ms, play};
@@ -46,8 +46,8 @@
 /// Messages and bytes that all control nodes have said about this.
 fn said(simulation: &Simulation, cause: &str) -> (u64, u64) {
     let agents = simulation.control_nodes().into_iter().filter_map(|m| m.agent());
-    let each = agents.filter_map(|agent| agent.said().get(cause).copied());
-    each.fold((0, 0), |sum, (messages, bytes)| (sum.0 + messages, sum.1 + bytes))
+    let each = agents.filter_map(|agent| agent.traffic().get(cause).copied());
+    each.fold((0, 0), |sum, sent| (sum.0 + sent.messages, sum.1 + sent.bytes))
 }
 
 #[test]
@@ -87,8 +87,8 @@
         let control_nodes = simulation.control_nodes();
         for n in 0..SERVERS {
             let beat = first_beat(n);
-            let heard = |agent: Rc<Agent>| async move { agent.beat(beat).await };
-            assert_eq!(control_nodes[n % CONTROL_NODES].ask(ms(1000), heard).await, Some(true));
+            let heard = |agent: Rc<Agent>| async move { agent.record_heartbeat(beat).await };
+            assert_eq!(control_nodes[n % CONTROL_NODES].ask(ms(1000), heard).await, Some(Ok(())));
             if n % CONTROL_NODES == 0 {
                 sleep(ms(10)).await;
             }
@@ -96,7 +96,7 @@
         sleep(ms(1000)).await;
         for machine in simulation.all() {
             let agent = machine.agent().expect("runs");
-            let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}").into())).count();
+            let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
             assert_eq!(known, SERVERS, "at {}", machine.name);
         }
         // 60,858 with one message for each server and control node, and those that are fed.
@@ -118,14 +118,14 @@
         sleep(ms(4000)).await;
         for n in 0..SERVERS {
             let beat = first_beat(n);
-            let heard = |agent: Rc<Agent>| async move { agent.beat(beat).await };
-            assert_eq!(control_nodes[n % 8].ask(ms(1000), heard).await, Some(true));
+            let heard = |agent: Rc<Agent>| async move { agent.record_heartbeat(beat).await };
+            assert_eq!(control_nodes[n % 8].ask(ms(1000), heard).await, Some(Ok(())));
         }
         simulation.network.mend(cut);
         // Less than five heartbeats: servers that beat once count as silent after that.
         sleep(ms(4500)).await;
         let agent = away.agent().expect("runs");
-        let known = (0..SERVERS).filter(|n| agent.offers_work_to(&format!("i-{n}").into())).count();
+        let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
         assert_eq!(known, SERVERS);
         let (_, after) = said(&simulation, "gaps");
         // 66,484 with a comparison over each link.
@@ -142,13 +142,17 @@
             let text = simulation::configuration(version, 0);
             let put = |agent: Rc<Agent>| async move { agent.put(text.as_bytes()).await };
             let put = machine.ask(ms(1000), put).await;
-            assert!(matches!(put, Some(Put::Held(held)) if held == version), "at {}", machine.name);
+            assert!(
+                matches!(put, Some(PutOutcome::Accepted { version: held }) if held == version),
+                "at {}",
+                machine.name
+            );
             sleep(ms(100)).await;
         }
         let (before, _) = said(&simulation, "register");
         sleep(ms(5000)).await;
         for machine in simulation.control_nodes() {
-            let state = machine.agent().expect("runs").state();
+            let state = machine.agent().expect("runs").status();
             assert_eq!(state["disks"].as_array().map(Vec::len), Some(MAX_MEMBERS), "at {}", machine.name);
         }
         let (after, _) = said(&simulation, "register");
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -1,4 +1,4 @@
-//! Hundreds of changes: configurations in quick succession, and members that have missed them. Whole processes on a
+//! Hundreds of changes: configurations in quick succession, and members that have missed them. StoredState processes on a
 //! simulated network; time is counted, nothing is waited for.
 
 #[allow(dead_code, reason = "other tests use the rest of it")]
@@ -9,7 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_node::agent::{Agent, Put};
+use ashvane_node::agent::{Agent, PutOutcome};
+use ashvane_node::engine::Traffic;
 use ashvane_quorum::MAX_CHOSEN_VERSIONS;
 use simulation::{Direction, Machine, Simulation, check_panics, ms, play, wide_configuration};
 use tokio::task::spawn_local;
@@ -58,8 +59,8 @@
             let text = wide_configuration(version, self.routes);
             let put = async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await;
             match at.ask(PATIENCE, put).await {
-                Some(Put::Held(held)) if held >= version => break,
-                Some(Put::Conflict { .. } | Put::Invalid(_)) => panic!("{version} is refused"),
+                Some(PutOutcome::Accepted { version: held }) if held >= version => break,
+                Some(PutOutcome::Conflict { .. } | PutOutcome::Invalid(_)) => panic!("{version} is refused"),
                 _ => sleep(ms(100)).await,
             }
         }
@@ -127,9 +128,9 @@
 
 /// Bytes that all processes have said to one another about the register and the configuration.
 fn said(simulation: &Simulation) -> u64 {
-    let of = |machine: Rc<Machine>| machine.agent().map(|agent| agent.said()).unwrap_or_default();
-    let about = |said: BTreeMap<&'static str, (u64, u64)>| {
-        ["register", "configuration"].iter().filter_map(|cause| Some(said.get(cause)?.1)).sum::<u64>()
+    let of = |machine: Rc<Machine>| machine.agent().map(|agent| agent.traffic()).unwrap_or_default();
+    let about = |said: BTreeMap<&'static str, Traffic>| {
+        ["register", "configuration"].iter().filter_map(|cause| Some(said.get(cause)?.bytes)).sum::<u64>()
     };
     simulation.all().into_iter().map(|machine| about(of(machine))).sum()
 }
@@ -272,14 +273,14 @@
 
 /// What the register's state takes on a machine's disk.
 fn state_on_disk(machine: &Machine) -> u64 {
-    let found = machine.storage.as_ref().map(|storage| storage.safe.borrow().found());
+    let found = machine.storage.as_ref().map(|storage| storage.safe.borrow().recovered());
     let text = serde_json::to_vec(&found.and_then(|found| found.replica)).expect("text");
     text.len() as u64
 }
 
 /// The version that a machine's disk holds.
 fn on_disk(machine: &Machine) -> Option<u64> {
-    let found = machine.storage.as_ref()?.safe.borrow().found();
+    let found = machine.storage.as_ref()?.safe.borrow().recovered();
     Some(found.replica?.accepted.value.config.as_ref()?.version)
 }
 
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/whole.rs
@@ -1,4 +1,4 @@
-//! Whole processes under drawn schedules. What must hold is checked all along. Time is counted, nothing is waited for.
+//! StoredState processes under drawn schedules. What must hold is checked all along. Time is counted, nothing is waited for.
 //!
 //! By hand: `SIMULATION_FROM=0 SIMULATION_DAYS=1000 cargo test --release -p ashvane-node --test whole`; a test's name
 //! after `--` plays only its days; `NODE_LOG=1` says all.
