--- /dev/null
+++ b/crates/node/tests/engine/roles.rs
@@ -0,0 +1,120 @@
+//! Contact with a quorum, readiness, the singleton roles, hints.
+
+use ashvane_gossip::{Liveness, LivenessAuthority, OrphanMonitorTerm, Server, ServerState, Update};
+use ashvane_node::agent::TICK_INTERVAL;
+use ashvane_node::engine::{
+    LinkTable, OrphanMonitorRole, QuorumContact, Readiness, ServerHints, VerificationQuestion,
+    VerificationQuestions, WaitState, is_first_control_node,
+};
+
+use super::{control_node, directory, gateway, link_to, membership, ms};
+
+#[test]
+fn a_control_node_is_in_contact_with_those_it_has_heard_of_late_and_a_gateway_through_one_of_them() {
+    let mut directory_of_a = directory(control_node("a"), &[]);
+    directory_of_a.apply(Update::Membership(membership(1, &["a", "b", "c"])), ms(0));
+    let mut links = LinkTable::default();
+    let contact =
+        |links: &LinkTable, now| QuorumContact { directory: &directory_of_a, links, now: ms(now) }.exists();
+    assert!(!contact(&links, 0));
+    let to_b = link_to(&mut links, control_node("b"));
+    assert!(contact(&links, 2599) && !contact(&links, 2600), "two of three, while b is heard");
+    links.get_mut(to_b).expect("a link").has_compared = true;
+    let caught_up = QuorumContact { directory: &directory_of_a, links: &links, now: ms(0) };
+    assert!(caught_up.has_caught_up());
+
+    let directory_of_g = directory(gateway("g"), &[]);
+    let contact =
+        |links: &LinkTable| QuorumContact { directory: &directory_of_g, links, now: ms(0) }.exists();
+    assert!(contact(&links));
+    links.get_mut(to_b).expect("a link").lacks_quorum = true;
+    assert!(!contact(&links) && !contact(&LinkTable::default()));
+}
+
+#[test]
+fn a_gateway_is_synced_by_a_control_node_that_has_verified_its_quorum_or_gives_up_waiting() {
+    let (mut readiness, mut links) = (Readiness::of_gateway(), LinkTable::default());
+    let link = link_to(&mut links, control_node("a"));
+    assert_eq!(readiness.links_to_verify(&links, ms(0)), [link]);
+    let question = VerificationQuestion { number: 1, asked_at: ms(0) };
+    links.get_mut(link).expect("a link").verification = Some(question);
+    assert!(readiness.links_to_verify(&links, ms(999)).is_empty());
+    assert_eq!(readiness.links_to_verify(&links, ms(1000)), [link], "asked again");
+    links.get_mut(link).expect("a link").has_compared = true;
+    assert!(!readiness.sync_if_verified(&links, 4), "compared, but not verified");
+    links.get_mut(link).expect("a link").verified_version = Some(5);
+    assert!(!readiness.sync_if_verified(&links, 4), "the configuration that was in force there is missing");
+    assert!(readiness.sync_if_verified(&links, 5) && !readiness.sync_if_verified(&links, 5), "once");
+    assert!(readiness.is_current() && readiness.links_to_verify(&links, ms(9000)).is_empty());
+
+    let mut readiness = Readiness::of_gateway();
+    let ticks = ms(30_000).as_millis() / TICK_INTERVAL.as_millis();
+    assert!((1..ticks).all(|_| readiness.tick() == WaitState::Unchanged) && !readiness.is_current());
+    assert_eq!(readiness.tick(), WaitState::GivenUp);
+    assert!(readiness.is_current() && !readiness.is_synced());
+}
+
+#[test]
+fn one_read_answers_all_questions_that_have_come_and_later_ones_wait_for_the_next() {
+    let mut links = LinkTable::default();
+    let [a, b] = ["a", "b"].map(|name| link_to(&mut links, gateway(name)));
+    let mut questions = VerificationQuestions::default();
+    assert!(questions.begin().is_none());
+    questions.push(a, 1);
+    questions.push(a, 2);
+    questions.push(b, 7);
+    assert_eq!(questions.begin(), Some([(a, 2), (b, 7)].into()), "the last one over each link");
+    questions.push(a, 3);
+    assert!(questions.begin().is_none(), "a read is under way");
+    questions.end();
+    assert_eq!(questions.begin(), Some([(a, 3)].into()));
+}
+
+#[test]
+fn the_orphan_monitor_acts_only_under_the_highest_term_and_with_a_quorum() {
+    let mut known = directory(control_node("a"), &[control_node("b")]);
+    known.apply(Update::Membership(membership(1, &["a", "b", "c"])), ms(0));
+    let mut links = LinkTable::default();
+    assert!(!is_first_control_node(&known, &links), "one of three");
+    link_to(&mut links, control_node("b"));
+    assert!(is_first_control_node(&known, &links));
+
+    let mut role = OrphanMonitorRole::default();
+    assert_eq!(role.authority(true, &known), LivenessAuthority::Monitored);
+    assert!(role.is_claimable(true, &known) && !role.is_claimable(false, &known));
+    role.claim_started();
+    assert!(!role.is_claimable(true, &known), "a claim is under way");
+    let term = known.next_orphan_monitor_term().expect("a term");
+    known.apply(Update::OrphanMonitor(term.clone()), ms(0));
+    role.claim_ended(term.clone(), true);
+    assert!(role.is_held(&known) && !role.is_claimable(true, &known));
+    assert_eq!(role.authority(true, &known), LivenessAuthority::MonitoredAndOrphans(term.clone()));
+    assert_eq!(role.authority(false, &known), LivenessAuthority::None, "it may be partitioned off");
+    let higher = OrphanMonitorTerm { round: term.round + 1, holder: "b".into(), ..term };
+    known.apply(Update::OrphanMonitor(higher), ms(0));
+    assert!(!role.is_held(&known) && role.is_claimable(true, &known));
+    assert_eq!(role.authority(true, &known), LivenessAuthority::Monitored, "given up");
+}
+
+#[test]
+fn servers_are_saved_when_they_change_and_at_once_where_one_has_left() {
+    let mut hints = ServerHints::default();
+    assert!(!hints.should_save(1, ms(1999)) && hints.should_save(1, ms(2000)));
+    assert!(!hints.should_save(1, ms(9000)), "nothing has changed");
+    assert!(hints.should_save(2, ms(9000)) && !hints.should_save(3, ms(9001)));
+    let server = Server {
+        id: "i-1".into(),
+        service: "s".into(),
+        address: "x:1".into(),
+        zone: "z".into(),
+        capacity: 1,
+        state: ServerState::Draining,
+        heartbeat_sequence: 1,
+        liveness: Liveness::Alive,
+        monitor: "a".into(),
+    };
+    hints.observe(&[Update::Server(Server { state: ServerState::Ready, ..server.clone() })]);
+    assert!(!hints.should_save(4, ms(9002)));
+    hints.observe(&[Update::Server(server)]);
+    assert!(hints.should_save(5, ms(9003)));
+}
