--- a/crates/node/src/agent/commands.rs
+++ b/crates/node/src/agent/commands.rs
@@ -56,12 +56,12 @@
             Command::UpdateDataPlane { updates, gateways } => {
                 if let Some(data_plane) = &self.data_plane {
                     data_plane.servers_changed(self.engine.borrow().directory(), &updates);
-                    data_plane.gatherers_are(gateways);
+                    data_plane.gateways_changed(gateways);
                 }
             }
             Command::ConfigureDataPlane(config) => {
                 if let Some(data_plane) = &self.data_plane {
-                    data_plane.configured(config);
+                    data_plane.config_changed(config);
                 }
             }
             Command::Log(event) => self.log_event(&event),
--- a/crates/node/src/agent/log.rs
+++ b/crates/node/src/agent/log.rs
@@ -63,7 +63,7 @@
             "lost" => counters.closed,
             "said" => sent.collect::<Vec<_>>().join(","));
         if let Some(data_plane) = &self.data_plane {
-            data_plane.count();
+            data_plane.log_counters();
         }
     }
 }
--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -310,7 +310,7 @@
         self.known.borrow().values().any(|(_, health)| *health == Health::Ready)
     }
 
-    pub fn gatherers_are(self: &Rc<Self>, count: usize) {
+    pub fn gateways_changed(self: &Rc<Self>, count: usize) {
         let now = self.started.elapsed();
         self.shares.borrow_mut().gateways.observe(now, count);
         self.tell(|g| g.fleet_is(u32::try_from(count).ok()));
@@ -409,7 +409,7 @@
     // The configuration.
 
     /// From here on each new query goes by this version.
-    pub fn configured(self: &Rc<Self>, config: Rc<Config>) {
+    pub fn config_changed(self: &Rc<Self>, config: Rc<Config>) {
         *self.config.borrow_mut() = Some(config.clone());
         let known: Vec<Server> = self.known.borrow().values().map(|(s, _)| s.clone()).collect();
         for s in known.iter().filter(|s| s.state == ServerState::Ready) {
@@ -616,7 +616,7 @@
         rows.collect()
     }
 
-    pub fn count(&self) {
+    pub fn log_counters(&self) {
         let c = &self.counters;
         let p = &self.pool.counters;
         let failed = c.failed.borrow();
