--- /dev/null
+++ b/crates/keeper/tests/golden.rs
@@ -0,0 +1,115 @@
+//! Golden files: what earlier releases send each other and keep on disk, to the byte. Everything in a keeper's database is
+//! the JSON of an entry, of a vote or of a snapshot; gatherers and keepers exchange JSON. `GOLDEN_WRITE=1` writes the files
+//! of new cases; to write one anew that is there is to change an interface.
+
+use std::path::PathBuf;
+
+use ashvane_fleet::record::{Lease, Table};
+use ashvane_fleet::roster::{Alive, Heard};
+use ashvane_fleet::{Command, Record, Reply, Stamp};
+use ashvane_keeper::Types;
+use ashvane_keeper::server::{Answered, Asked, Call, Replace, Told};
+use ashvane_keeper::store::Applied;
+use openraft::{CommittedLeaderId, Entry, EntryPayload, LogId};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn path(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.json"))
+}
+
+/// Asserts that these values are written as they stand in a golden file, a line each, and are read from it again.
+fn assert_golden<T: Serialize + DeserializeOwned>(name: &str, values: &[T]) {
+    let line = |value: &T| serde_json::to_string(value).expect("JSON") + "\n";
+    let text: String = values.iter().map(line).collect();
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path(name).exists() {
+        std::fs::write(path(name), &text).expect("written");
+    }
+    let golden = std::fs::read_to_string(path(name)).expect("the golden file");
+    assert_eq!(golden, text, "{name}");
+    for golden in golden.lines() {
+        let read: T = serde_json::from_str(golden).unwrap_or_else(|e| panic!("{name}: {golden}: {e}"));
+        assert_eq!(line(&read).trim_end(), golden, "{name}");
+    }
+}
+
+fn roster() -> String {
+    "roster".to_owned()
+}
+
+fn who() -> String {
+    "n1".to_owned()
+}
+
+fn commands() -> Vec<Command> {
+    vec![
+        Command::Take { duty: roster(), who: who(), epoch: 3, beat: 7 },
+        Command::Renew { duty: roster(), who: who(), epoch: 4 },
+        Command::Give { duty: roster(), who: who(), epoch: 4 },
+        Command::Write { duty: roster(), epoch: 4, text: "{}".to_owned() },
+    ]
+}
+
+fn replies() -> Vec<Reply> {
+    vec![
+        Reply::Granted { epoch: 4 },
+        Reply::Given,
+        Reply::Written { version: 9 },
+        Reply::Fenced { epoch: 5 },
+        Reply::Refused { why: "too many duties".to_owned() },
+    ]
+}
+
+fn record() -> Record {
+    let owned = Lease { owner: Some(who()), epoch: 4, beat: 12 };
+    let table = Table { epoch: 4, version: 2, text: "{\"names\":[]}".to_owned() };
+    Record {
+        duties: [(roster(), owned), ("list".to_owned(), Lease::default())].into(),
+        tables: [(roster(), table)].into(),
+    }
+}
+
+#[test]
+fn the_record_and_its_commands_keep_their_form() {
+    assert_golden("commands", &commands());
+    assert_golden("replies", &replies());
+    assert_golden("record", &[Record::default(), record()]);
+    assert_golden("stamp", &[Stamp { duty: roster(), epoch: 4 }]);
+    assert_golden("heard", &[Heard([(who(), 120)].into())]);
+    assert_golden("alive", &[Alive { names: [who(), "n2".to_owned()].into() }]);
+}
+
+#[test]
+fn the_messages_between_gatherers_and_keepers_keep_their_form() {
+    assert_golden("call", &[Call { name: who(), seeks: None }, Call { name: who(), seeks: Some(roster()) }]);
+    let Record { duties, tables } = record();
+    let told = Told { keeper: 1, leader: Some(2), free: true, duties, tables };
+    assert_golden("told", &[told]);
+    let asked = vec![
+        Asked::Take { duty: roster(), who: who() },
+        Asked::Renew { duty: roster(), who: who(), epoch: 4 },
+        Asked::Give { duty: roster(), who: who(), epoch: 4 },
+        Asked::Write { duty: roster(), epoch: 4, text: "{}".to_owned() },
+    ];
+    assert_golden("asked", &asked);
+    let answered: Vec<Answered> = replies()
+        .into_iter()
+        .map(Answered::Reply)
+        .chain([Answered::Elsewhere { leader: Some(3) }, Answered::Elsewhere { leader: None }])
+        .collect();
+    assert_golden("answered", &answered);
+    let address = "127.0.0.1:9404".parse().expect("an address");
+    assert_golden("replace", &[Replace { out: 1, new: 4, address }]);
+}
+
+#[test]
+fn log_entries_and_snapshots_on_disk_keep_their_form() {
+    let log_id = |index| LogId::new(CommittedLeaderId::new(2, 1), index);
+    let entry =
+        |(command, index)| Entry::<Types> { log_id: log_id(index), payload: EntryPayload::Normal(command) };
+    let mut entries: Vec<Entry<Types>> = commands().into_iter().zip(1..).map(entry).collect();
+    entries.push(Entry { log_id: log_id(9), payload: EntryPayload::Blank });
+    assert_golden("entries", &entries);
+    let applied = Applied { last: Some(log_id(9)), record: record(), ..Applied::default() };
+    assert_golden("snapshot", &[Applied::default(), applied]);
+}
