--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashvane_fleet::Terms;
+use ashvane_fleet::LeaseTerms;
 use ashvane_memory::{Limit, Limits, Purpose};
 use serde::{Deserialize, Serialize};
 
@@ -75,8 +75,8 @@
 }
 
 impl FleetSettings {
-    pub fn terms(&self) -> Terms {
-        Terms { lease: Duration::from_millis(self.lease_ms), drift: self.drift_ppm as f64 / 1e6 }
+    pub fn terms(&self) -> LeaseTerms {
+        LeaseTerms { lease: Duration::from_millis(self.lease_ms), drift: self.drift_ppm as f64 / 1e6 }
     }
 
     pub fn every(&self) -> Duration {
--- /dev/null
+++ b/crates/fleet/src/lease_participant/tests.rs
@@ -0,0 +1,88 @@
+use std::time::Duration;
+
+use crate::roster::Roster;
+use crate::{FencingToken, LeaseParticipant, LeaseTerms, Reply, Transition};
+
+const fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+const TERMS: LeaseTerms = LeaseTerms { lease: ms(3000), drift: 0.0 };
+
+#[test]
+fn it_acts_from_when_it_asked_and_a_permit_ends_with_the_lease_though_nobody_looked() {
+    let mut participant = LeaseParticipant::default();
+    assert!(participant.permit::<Roster>(ms(0)).is_none());
+    let granted = |epoch| Reply::Granted { epoch };
+    assert_eq!(
+        participant.reply_received(ms(100), &granted(4), ms(900), &TERMS),
+        Some(Transition::Acquired { epoch: 4 })
+    );
+    let permit = participant.permit::<Roster>(ms(3000)).expect("still the owner");
+    assert_eq!(permit.token(ms(3099)), Some(FencingToken { role: "roster".into(), epoch: 4 }));
+    // Stopped between the look and the act.
+    let permit = participant.permit::<Roster>(ms(3000)).expect("still the owner");
+    assert_eq!(permit.token(ms(3100)), None);
+    assert!(
+        participant.permit::<Roster>(ms(3100)).is_none() && participant.epoch().is_some(),
+        "nobody has looked"
+    );
+    assert_eq!(participant.tick(ms(3100), &TERMS), Some(Transition::Lost));
+}
+
+#[test]
+fn answers_that_come_late_doubled_or_in_another_order_grant_nothing_that_is_over() {
+    let mut participant = LeaseParticipant::default();
+    let granted = |epoch| Reply::Granted { epoch };
+    assert_eq!(participant.reply_received(ms(0), &granted(1), ms(3000), &TERMS), None, "over before it came");
+    assert!(participant.reply_received(ms(0), &granted(2), ms(10), &TERMS).is_some());
+    participant.reply_received(ms(1000), &granted(2), ms(1010), &TERMS);
+    participant.reply_received(ms(500), &granted(2), ms(1020), &TERMS);
+    assert!(
+        participant.permit::<Roster>(ms(3999)).is_some() && participant.permit::<Roster>(ms(4000)).is_none()
+    );
+    assert_eq!(participant.release(), Transition::Lost);
+    // The first answer once more.
+    assert_eq!(participant.reply_received(ms(1000), &granted(2), ms(1030), &TERMS), None);
+    assert!(participant.reply_received(ms(1040), &granted(3), ms(1050), &TERMS).is_some());
+    assert_eq!(
+        participant.reply_received(ms(1060), &Reply::Fenced { epoch: 2 }, ms(1070), &TERMS),
+        None,
+        "an old one's"
+    );
+    assert_eq!(
+        participant.reply_received(ms(1060), &Reply::Fenced { epoch: 4 }, ms(1070), &TERMS),
+        Some(Transition::Lost)
+    );
+}
+
+/// Guards against a successor that waits for two leases: keepers hear the old owner, who does not hear them.
+#[test]
+fn who_is_heard_and_does_not_hear_asks_no_more_in_the_second_half_of_its_time() {
+    let mut participant = LeaseParticipant::default();
+    participant.reply_received(ms(0), &Reply::Granted { epoch: 1 }, ms(10), &TERMS);
+    assert!(participant.may_renew(ms(2900), &TERMS), "nothing that was asked may have been heard");
+    participant.call_unanswered();
+    assert!(participant.may_renew(ms(1499), &TERMS) && !participant.may_renew(ms(1500), &TERMS));
+    participant.reply_received(ms(1400), &Reply::Granted { epoch: 1 }, ms(1550), &TERMS);
+    assert!(participant.may_renew(ms(4300), &TERMS), "it hears again");
+}
+
+/// Guards against a duty that goes to and fro between those whose calls take nearly a lease.
+#[test]
+fn who_is_too_slow_to_renew_does_not_seek_and_who_lost_it_so_leaves_it_for_a_minute() {
+    let mut participant = LeaseParticipant::default();
+    assert!(
+        participant.is_seeking(ms(50), ms(0), &TERMS) && !participant.is_seeking(ms(2700), ms(0), &TERMS)
+    );
+    participant.reply_received(ms(0), &Reply::Granted { epoch: 1 }, ms(10), &TERMS);
+    assert!(!participant.is_seeking(ms(50), ms(20), &TERMS), "it has it");
+    participant.tick(ms(3000), &TERMS);
+    assert!(
+        !participant.is_seeking(ms(50), ms(62_999), &TERMS)
+            && participant.is_seeking(ms(50), ms(63_000), &TERMS)
+    );
+    participant.reply_received(ms(70_000), &Reply::Granted { epoch: 9 }, ms(70_010), &TERMS);
+    participant.release();
+    assert!(participant.is_seeking(ms(50), ms(70_020), &TERMS), "it was handed over");
+}
--- /dev/null
+++ b/crates/fleet/src/lease_record.rs
@@ -0,0 +1,119 @@
+//! The record that keepers replicate: who owns each role, in which epoch, and the small tables that owners write. Every
+//! keeper applies the same commands in the same order.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::{Command, Reply};
+
+/// Roles, and tables, at the most.
+pub const MAX_ROLES: usize = 16;
+/// The longest name of a role or an owner, in bytes.
+pub const MAX_NAME_LENGTH: usize = 64;
+/// The longest table, in bytes.
+pub const MAX_TABLE_LENGTH: usize = 64 * 1024;
+
+/// Who owns a role.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Lease {
+    /// None: the role is free.
+    pub owner: Option<String>,
+    /// Rises with each owner.
+    pub epoch: u64,
+    /// Rises with each renewal within the epoch, and with the release.
+    #[serde(rename = "beat")]
+    pub renewals: u64,
+}
+
+/// What an owner wrote.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Table {
+    /// The epoch of the owner that wrote it.
+    pub epoch: u64,
+    /// How often it was written in all.
+    pub version: u64,
+    /// The content.
+    pub text: String,
+}
+
+/// The leases and tables of all roles.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct LeaseRecord {
+    /// By role.
+    #[serde(rename = "duties")]
+    pub leases: BTreeMap<String, Lease>,
+    /// By role.
+    pub tables: BTreeMap<String, Table>,
+}
+
+impl LeaseRecord {
+    /// The lease of a role; a free one of epoch 0 before its first owner.
+    #[must_use]
+    pub fn lease(&self, role: &str) -> Lease {
+        self.leases.get(role).cloned().unwrap_or_default()
+    }
+
+    /// Why a command can never be applied.
+    fn rejects(&self, command: &Command) -> Option<&'static str> {
+        let role = command.role();
+        let is_bad = |name: &str| name.is_empty() || name.len() > MAX_NAME_LENGTH;
+        match command {
+            _ if is_bad(role) => Some("a duty's name is empty or too long"),
+            _ if !self.leases.contains_key(role) && self.leases.len() >= MAX_ROLES => Some("too many duties"),
+            Command::Acquire { owner, .. } if is_bad(owner) => Some("an owner's name is empty or too long"),
+            Command::Write { text, .. } if text.len() > MAX_TABLE_LENGTH => Some("a table is too long"),
+            _ => None,
+        }
+    }
+
+    /// Applies a command: the same on every keeper, whatever its clock.
+    pub fn apply(&mut self, command: &Command) -> Reply {
+        if let Some(reason) = self.rejects(command) {
+            return Reply::Rejected { reason: reason.to_owned() };
+        }
+        let lease = self.lease(command.role());
+        let fenced = Reply::Fenced { epoch: lease.epoch };
+        let is_owned_by =
+            |owner: &String, epoch: u64| lease.epoch == epoch && lease.owner.as_ref() == Some(owner);
+        match command {
+            Command::Acquire { role, owner, epoch, renewals } => {
+                if lease.epoch != *epoch || lease.renewals != *renewals {
+                    return fenced;
+                }
+                let epoch = lease.epoch + 1;
+                self.set_lease(role, Lease { owner: Some(owner.clone()), epoch, renewals: 0 });
+                Reply::Granted { epoch }
+            }
+            Command::Renew { role, owner, epoch } => {
+                if !is_owned_by(owner, *epoch) {
+                    return fenced;
+                }
+                let renewals = lease.renewals + 1;
+                self.set_lease(role, Lease { renewals, ..lease });
+                Reply::Granted { epoch: *epoch }
+            }
+            Command::Release { role, owner, epoch } => {
+                if !is_owned_by(owner, *epoch) {
+                    return fenced;
+                }
+                // The renewals rise as well: what was judged before is not what holds now.
+                let renewals = lease.renewals + 1;
+                self.set_lease(role, Lease { owner: None, epoch: *epoch, renewals });
+                Reply::Released
+            }
+            Command::Write { role, epoch, text } => {
+                if lease.epoch != *epoch || lease.owner.is_none() {
+                    return fenced;
+                }
+                let table = self.tables.entry(role.clone()).or_default();
+                *table = Table { epoch: *epoch, version: table.version + 1, text: text.clone() };
+                Reply::Written { version: table.version }
+            }
+        }
+    }
+
+    fn set_lease(&mut self, role: &str, lease: Lease) {
+        self.leases.insert(role.to_owned(), lease);
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,26 +1,39 @@
-//! One owner at a time for work on behalf of a fleet.
+//! Leases for work that one process at a time does on behalf of a fleet.
 //!
-//! Job: what a lease is worth by whose clock ([`Terms`]), the record of leases, epochs and tables that keepers
-//! replicate ([`record`]), the way of one process to ownership and out of it ([`Seat`]), what it may do meanwhile
-//! ([`Permit`], [`Duty`]), the fence at receivers ([`Fence`]), when whom to call ([`Pace`]), and the first duty, the
-//! [`roster`]. May know: time as what has passed on a clock that is handed in. Must not know: clocks, sockets,
-//! files, how the record is replicated, what gatherers do.
-
-#![expect(
-    missing_docs,
-    clippy::missing_errors_doc,
-    reason = "not done yet: The control and state code reads as well as it works"
-)]
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`LeaseTerms`] | what a lease is worth, by whose clock |
+//! | [`LeaseRecord`], [`Command`], [`Reply`] | the record that keepers replicate |
+//! | [`LeaseExpiry`] | when a keeper takes a lease for expired, by its own clock |
+//! | [`LeaseParticipant`] | one process's way to a lease and out of it |
+//! | [`SingletonRole`], [`Permit`], [`FencingToken`] | the work, leave for one act of it, and what the act carries |
+//! | [`FencingGuard`] | at receivers: nothing of an epoch takes effect after something of a later one |
+//! | [`CallSchedule`] | when whom to call |
+//! | [`roster`] | the first role: who is alive |
+//!
+//! Time is what has passed on a clock that is handed in. Nothing here knows clocks, sockets, files, how the record is
+//! replicated, or what gatherers do. Leases with a bound on clocks' rates: Gray and Cheriton, "Leases", 1989.
 
-pub mod fence;
-pub mod pace;
-pub mod record;
 pub mod roster;
-pub mod seat;
-pub mod terms;
 
-pub use fence::Fence;
-pub use pace::Pace;
-pub use record::{Command, Judge, Record, Reply};
-pub use seat::{Duty, Permit, Seat, Stamp};
-pub use terms::Terms;
+mod call_schedule;
+mod command;
+mod fencing_guard;
+mod lease_expiry;
+mod lease_participant;
+mod lease_record;
+mod lease_terms;
+mod permit;
+mod reply;
+
+pub use call_schedule::{CallSchedule, NextCall};
+pub use command::Command;
+pub use fencing_guard::FencingGuard;
+pub use lease_expiry::LeaseExpiry;
+pub use lease_participant::{LeaseParticipant, ParticipantState, Transition};
+pub use lease_record::{Lease, LeaseRecord, MAX_NAME_LENGTH, MAX_ROLES, MAX_TABLE_LENGTH, Table};
+pub use lease_terms::{
+    KeepersFault, LeaseTerms, MAX_DRIFT, MAX_LEASE, MIN_LEASE, TermsFault, keepers_faults,
+};
+pub use permit::{FencingToken, Permit, SingletonRole};
+pub use reply::Reply;
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,28 +1,31 @@
-//! The first duty, the roster: who is alive, as one table. Its owner collects from the keepers whom each has heard
-//! of late; gatherers read from it how many they are.
+//! The first role, the roster: who is alive, as one table. Its owner collects from the keepers whom each has heard of
+//! late; gatherers read from it how many they are.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{TABLE_MOST, Table};
-use crate::seat::Duty;
+use crate::{MAX_TABLE_LENGTH, SingletonRole, Table};
 
-/// A gatherer that no keeper has heard for so many of its usual calls is not counted.
-const MISSED_MOST: f64 = 4.0;
-/// A roster is young while its owner has written within so many rounds.
-const ROUNDS_YOUNG: f64 = 4.0;
+/// A gatherer that no keeper has heard for so many of its call intervals is not counted.
+const MAX_MISSED_CALLS: f64 = 4.0;
+/// A roster is fresh while its owner has written within so many rounds.
+const FRESH_ROUNDS: f64 = 4.0;
 /// Names at the most: what a table holds of the longest ones.
-pub const NAMES_MOST: usize = TABLE_MOST / 72;
+pub const MAX_NAMES: usize = MAX_TABLE_LENGTH / 72;
 
-/// How long ago keepers heard each gatherer, by name. Ages are durations: no two clocks are compared.
+/// How long ago a keeper heard each gatherer, by name, in milliseconds. Ages are durations: no two clocks are compared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Heard(pub BTreeMap<String, u64>);
+pub struct LastHeard(pub BTreeMap<String, u64>);
 
 /// What the table holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Alive {
+pub struct AliveGatherers {
+    /// Their names.
     pub names: BTreeSet<String>,
 }
 
@@ -30,111 +33,83 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     /// How often gatherers call.
-    pub every: Duration,
+    pub interval: Duration,
     epoch: Option<u64>,
 }
 
 impl Roster {
-    pub fn new(every: Duration) -> Roster {
-        Roster { every, epoch: None }
+    /// A process that does not own the role.
+    #[must_use]
+    pub fn new(interval: Duration) -> Self {
+        Roster { interval, epoch: None }
     }
 }
 
-impl Duty for Roster {
+impl SingletonRole for Roster {
     const NAME: &'static str = "roster";
     /// What most of the keepers have heard, a table from each that answered.
-    type Seen = Vec<Heard>;
+    type Observation = Vec<LastHeard>;
     /// The table's text.
     type Act = String;
 
-    fn taken_up(&mut self, epoch: u64) {
+    fn acquired(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
     }
 
-    fn round(&mut self, seen: &Vec<Heard>) -> Option<String> {
+    fn round(&mut self, observation: &Vec<LastHeard>) -> Option<String> {
         self.epoch?;
-        let most = (self.every.mul_f64(MISSED_MOST)).as_millis() as u64;
-        let late = seen.iter().flat_map(|heard| &heard.0).filter(|(_, age)| **age <= most);
-        let names = late.map(|(name, _)| name.clone()).take(NAMES_MOST).collect();
-        serde_json::to_string(&Alive { names }).ok()
+        let max_age_ms = self.interval.mul_f64(MAX_MISSED_CALLS).as_millis() as u64;
+        let heard = observation.iter().flat_map(|heard| &heard.0);
+        let alive = heard.filter(|(_, age_ms)| **age_ms <= max_age_ms);
+        let names = alive.map(|(name, _)| name.clone()).take(MAX_NAMES).collect();
+        serde_json::to_string(&AliveGatherers { names }).ok()
     }
 
-    fn given_up(&mut self) {
+    fn lost(&mut self) {
         self.epoch = None;
     }
 }
 
-/// A reader's view: how many are alive, as long as that is young. A table counts as new when its version grows before
-/// the reader's eyes, by the reader's own clock: one that is only old, however late it is read, is never young.
+/// Which write of a table was seen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SeenTable {
+    epoch: u64,
+    version: u64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct FreshCount {
+    at: Duration,
+    alive: u32,
+}
+
+/// A reader's view: how many are alive, as long as that is fresh. A table counts as new when its version grows before the
+/// reader's eyes, by the reader's own clock: one that is only old, however late it is read, is never fresh.
 #[derive(Clone, Debug, Default)]
-pub struct Reader {
-    latest: Option<(u64, u64)>,
-    /// When it last grew, and what it then said.
-    grew: Option<(Duration, u32)>,
+pub struct RosterReader {
+    latest: Option<SeenTable>,
+    /// When the table last grew, and what it then said.
+    last_growth: Option<FreshCount>,
 }
 
-impl Reader {
-    /// A keeper told this table. What is older than what was seen is dropped.
-    pub fn told(&mut self, table: &Table, now: Duration) {
-        let this = (table.epoch, table.version);
-        if self.latest.is_some_and(|latest| table.epoch < latest.0 || this <= latest) {
+impl RosterReader {
+    /// A keeper sent this table. What is older than what was seen is dropped.
+    pub fn table_received(&mut self, table: &Table, now: Duration) {
+        let seen = SeenTable { epoch: table.epoch, version: table.version };
+        if self.latest.is_some_and(|latest| seen <= latest) {
             return;
         }
-        let known = self.latest.replace(this).is_some();
-        let Ok(alive) = serde_json::from_str::<Alive>(&table.text) else { return };
-        if known {
-            self.grew = Some((now, alive.names.len() as u32));
+        let was_known = self.latest.replace(seen).is_some();
+        let Ok(gatherers) = serde_json::from_str::<AliveGatherers>(&table.text) else { return };
+        if was_known {
+            self.last_growth = Some(FreshCount { at: now, alive: gatherers.names.len() as u32 });
         }
     }
 
     /// How many are alive, or none where nobody can tell any more.
-    pub fn alive(&self, every: Duration, now: Duration) -> Option<u32> {
-        let young = |(at, _): &(Duration, u32)| now < *at + every.mul_f64(ROUNDS_YOUNG);
-        self.grew.filter(young).map(|(_, alive)| alive).filter(|alive| *alive > 0)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const EVERY: Duration = Duration::from_secs(1);
-
-    fn table(epoch: u64, version: u64, names: usize) -> Table {
-        let names = (0..names).map(|i| format!("n{i}")).collect();
-        Table { epoch, version, text: serde_json::to_string(&Alive { names }).expect("text") }
-    }
-
-    #[test]
-    fn the_owner_counts_whom_any_keeper_has_heard_of_late_once() {
-        let heard = |of: &[(&str, u64)]| Heard(of.iter().map(|(n, age)| ((*n).to_owned(), *age)).collect());
-        let seen = vec![heard(&[("a", 100), ("b", 9000)]), heard(&[("a", 8000), ("c", 3999), ("d", 4001)])];
-        let mut roster = Roster::new(EVERY);
-        assert_eq!(roster.round(&seen), None, "not its owner");
-        roster.taken_up(4);
-        let alive: Alive = serde_json::from_str(&roster.round(&seen).expect("a table")).expect("JSON");
-        assert_eq!(alive.names.into_iter().collect::<Vec<_>>(), ["a", "c"]);
-        roster.given_up();
-        assert_eq!(roster.round(&seen), None);
-    }
-
-    #[test]
-    fn a_table_is_young_only_while_it_grows_before_the_readers_eyes() {
-        let s = Duration::from_secs;
-        let mut reader = Reader::default();
-        reader.told(&table(3, 70, 20), s(0));
-        assert_eq!(reader.alive(EVERY, s(0)), None, "it may have stood there for a year");
-        reader.told(&table(3, 70, 20), s(1));
-        assert_eq!(reader.alive(EVERY, s(1)), None);
-        reader.told(&table(3, 71, 20), s(2));
-        assert_eq!(reader.alive(EVERY, s(5)), Some(20));
-        reader.told(&table(4, 72, 3), s(5));
-        // An old owner's table, and an older version, come late.
-        reader.told(&table(3, 99, 300), s(5));
-        reader.told(&table(4, 71, 300), s(5));
-        assert_eq!(reader.alive(EVERY, s(8)), Some(3));
-        assert_eq!(reader.alive(EVERY, s(9)), None, "its owner is gone");
-        reader.told(&table(5, 73, 0), s(10));
-        assert_eq!(reader.alive(EVERY, s(10)), None, "nobody is no number to go by");
+    #[must_use]
+    pub fn alive(&self, interval: Duration, now: Duration) -> Option<u32> {
+        let is_fresh = |count: &FreshCount| now < count.at + interval.mul_f64(FRESH_ROUNDS);
+        self.last_growth.filter(is_fresh).map(|count| count.alive).filter(|alive| *alive > 0)
     }
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use ashvane_fleet::record::{Command, Judge, Record, Reply};
 use ashvane_fleet::roster::Roster;
-use ashvane_fleet::{Duty as _, Fence, Seat, Stamp, Terms};
+use ashvane_fleet::{Command, LeaseExpiry, LeaseRecord, Reply};
+use ashvane_fleet::{FencingGuard, FencingToken, LeaseParticipant, LeaseTerms, SingletonRole as _};
 use stateright::{Checker as _, HasDiscoveries, Model, Property};
 
 const DUTY: &str = Roster::NAME;
@@ -16,7 +16,7 @@
 enum Without {
     Nothing,
     /// The receiver's fence.
-    Fence,
+    FencingGuard,
     /// The margin for clocks that differ.
     Margin,
     /// The comparison, as a take is applied, with what it was judged on.
@@ -44,12 +44,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     /// On its way through the keepers' log, with when it was asked for by the candidate's own clock: a take, which
-    /// was judged on this epoch and beat, or a renewal.
+    /// was judged on this epoch and renewals, or a renewal.
     Take {
         from: usize,
         sent: Duration,
         epoch: u64,
-        beat: u64,
+        renewals: u64,
     },
     Renew {
         from: usize,
@@ -69,7 +69,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    seat: Seat,
+    participant: LeaseParticipant,
     /// Milliseconds of its clock in a tick.
     rate: u64,
     asked: bool,
@@ -84,11 +84,11 @@
     tick: u64,
     keeper_rate: u64,
     processes: Vec<Process>,
-    record: Record,
-    judge: Judge,
+    record: LeaseRecord,
+    expiry: LeaseExpiry,
     /// In flight, each with how often it may still be delivered.
     messages: Vec<(Message, u8)>,
-    fence: Fence,
+    fence: FencingGuard,
     /// Epochs of the acts that took effect, in their order.
     effects: Vec<u64>,
 }
@@ -115,24 +115,24 @@
 }
 
 impl Fleet {
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> LeaseTerms {
         let drift = if self.without == Without::Margin { 0.0 } else { 0.1 };
-        Terms { lease: Duration::from_millis(TICK), drift }
+        LeaseTerms { lease: Duration::from_millis(TICK), drift }
     }
 
     /// What the leading keeper does with a command.
     fn apply(&self, state: &mut State, mut command: Command) -> Reply {
         let lease = state.record.lease(DUTY);
         match &mut command {
-            Command::Take { epoch, beat, .. } if self.without == Without::Comparison => {
-                (*epoch, *beat) = (lease.epoch, lease.beat);
+            Command::Acquire { epoch, renewals, .. } if self.without == Without::Comparison => {
+                (*epoch, *renewals) = (lease.epoch, lease.renewals);
             }
             Command::Write { epoch, .. } if self.without == Without::WriteComparison => *epoch = lease.epoch,
             _ => {}
         }
         let reply = state.record.apply(&command);
         let now = state.clock(state.keeper_rate);
-        state.judge.look(&state.record, now);
+        state.expiry.observe(&state.record, now);
         reply
     }
 
@@ -147,12 +147,14 @@
 
     /// What a candidate or an owner asks: a take is judged by the leading keeper's clock, and goes into the log.
     fn asked(&self, state: &mut State, from: usize, sent: Duration, renews: Option<u64>) {
-        let (now, who) = (state.clock(state.keeper_rate), format!("p{from}"));
+        let (now, owner) = (state.clock(state.keeper_rate), format!("p{from}"));
         if let Some(epoch) = renews {
             return state.send(Message::Renew { from, sent, epoch });
         }
-        match state.judge.take(&state.record, DUTY, &who, now, &self.terms()) {
-            Ok(Command::Take { epoch, beat, .. }) => state.send(Message::Take { from, sent, epoch, beat }),
+        match state.expiry.acquire(&state.record, DUTY, &owner, now, &self.terms()) {
+            Ok(Command::Acquire { epoch, renewals, .. }) => {
+                state.send(Message::Take { from, sent, epoch, renewals })
+            }
             Ok(_) => {}
             Err(reply) => self.answer(state, from, sent, &reply),
         }
@@ -161,13 +163,13 @@
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::Renew { from, sent, epoch } => {
-                let who = format!("p{from}");
-                let reply = self.apply(state, Command::Renew { duty: DUTY.into(), who, epoch });
+                let owner = format!("p{from}");
+                let reply = self.apply(state, Command::Renew { role: DUTY.into(), owner, epoch });
                 self.answer(state, from, sent, &reply);
             }
-            Message::Take { from, sent, epoch, beat } => {
-                let who = format!("p{from}");
-                let reply = self.apply(state, Command::Take { duty: DUTY.into(), who, epoch, beat });
+            Message::Take { from, sent, epoch, renewals } => {
+                let owner = format!("p{from}");
+                let reply = self.apply(state, Command::Acquire { role: DUTY.into(), owner, epoch, renewals });
                 self.answer(state, from, sent, &reply);
             }
             Message::Answer { to, sent, granted, fenced } => {
@@ -177,18 +179,18 @@
                     (_, epoch) => Reply::Fenced { epoch: epoch.unwrap_or_default() },
                 };
                 let sent = if self.without == Without::Question { now } else { sent };
-                state.processes[to].seat.answered(sent, &reply, now, &self.terms());
+                state.processes[to].participant.reply_received(sent, &reply, now, &self.terms());
                 state.processes[to].asked = false;
             }
             Message::Act { epoch } if self.to_record => {
-                let write = Command::Write { duty: DUTY.into(), epoch, text: String::new() };
+                let write = Command::Write { role: DUTY.into(), epoch, text: String::new() };
                 if matches!(self.apply(state, write), Reply::Written { .. }) {
                     state.effects.push(epoch);
                 }
             }
             Message::Act { epoch } => {
-                let lets = state.fence.lets(&Stamp { duty: DUTY.into(), epoch });
-                if lets || self.without == Without::Fence {
+                let lets = state.fence.admits(&FencingToken { role: DUTY.into(), epoch });
+                if lets || self.without == Without::FencingGuard {
                     state.effects.push(epoch);
                 }
             }
@@ -206,7 +208,7 @@
             .map(|ends| {
                 let rate = |bit: usize| if ends >> bit & 1 == 0 { 9 } else { 11 };
                 let process = |i| Process {
-                    seat: Seat::default(),
+                    participant: LeaseParticipant::default(),
                     rate: rate(i),
                     asked: false,
                     asks: 0,
@@ -217,10 +219,10 @@
                     tick: 0,
                     keeper_rate: rate(self.candidates),
                     processes: (0..self.candidates).map(process).collect(),
-                    record: Record::default(),
-                    judge: Judge::default(),
+                    record: LeaseRecord::default(),
+                    expiry: LeaseExpiry::default(),
                     messages: Vec::new(),
-                    fence: Fence::default(),
+                    fence: FencingGuard::default(),
                     effects: Vec::new(),
                 }
             })
@@ -235,7 +237,7 @@
             if !p.asked && p.asks < self.asks {
                 actions.push(Action::Ask(i));
             }
-            if !p.acted && p.ready.is_none() && p.seat.epoch().is_some() {
+            if !p.acted && p.ready.is_none() && p.participant.epoch().is_some() {
                 actions.push(Action::Check(i));
             }
             if p.ready.is_some() {
@@ -255,15 +257,15 @@
             Action::Ask(i) => {
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
-                process.seat.at(now, &self.terms());
+                process.participant.tick(now, &self.terms());
                 (process.asked, process.asks) = (true, process.asks + 1);
-                let renews = process.seat.epoch();
+                let renews = process.participant.epoch();
                 self.asked(&mut state, i, now, renews);
             }
             Action::Check(i) => {
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
-                let stamp = process.seat.permit::<Roster>(now).and_then(|permit| permit.stamp(now));
+                let stamp = process.participant.permit::<Roster>(now).and_then(|permit| permit.token(now));
                 process.ready = Some(stamp?.epoch);
             }
             Action::Send(i) => {
@@ -286,7 +288,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("one owner at a time", |_, state| {
-                let owns = |p: &&Process| p.seat.permit::<Roster>(state.clock(p.rate)).is_some();
+                let owns = |p: &&Process| p.participant.permit::<Roster>(state.clock(p.rate)).is_some();
                 state.processes.iter().filter(owns).count() <= 1
             }),
             Property::<Self>::always("no act after one of a later epoch", |_, state| {
@@ -340,7 +342,7 @@
 #[test]
 fn without_each_part_of_the_protection_the_run_that_breaks_it_is_found() {
     for (without, breaks) in [
-        (Without::Fence, "no act after one of a later epoch"),
+        (Without::FencingGuard, "no act after one of a later epoch"),
         (Without::Margin, "one owner at a time"),
         (Without::Comparison, "one owner at a time"),
         (Without::Question, "one owner at a time"),
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -1,7 +1,7 @@
 //! The record under any commands in any order, and its form on the wire and on a disk.
 
-use ashvane_fleet::record::{DUTIES_MOST, NAME_MOST, TABLE_MOST};
-use ashvane_fleet::{Command, Record, Reply};
+use ashvane_fleet::{Command, LeaseRecord, Reply};
+use ashvane_fleet::{MAX_NAME_LENGTH, MAX_ROLES, MAX_TABLE_LENGTH};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
@@ -10,24 +10,24 @@
 impl Arbitrary for Any {
     fn arbitrary(g: &mut Gen) -> Any {
         let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("one")).to_owned();
-        let duty = if u8::arbitrary(g) == 0 {
+        let role = if u8::arbitrary(g) == 0 {
             format!("d{}", u8::arbitrary(g))
         } else {
-            of(g, &["roster", "list", "", &"x".repeat(NAME_MOST + 1)])
+            of(g, &["roster", "list", "", &"x".repeat(MAX_NAME_LENGTH + 1)])
         };
-        let (who, epoch, beat) =
+        let (owner, epoch, renewals) =
             (of(g, &["a", "b", "c", ""]), u64::from(u8::arbitrary(g) % 6), u64::from(u8::arbitrary(g) % 4));
         Any(match u8::arbitrary(g) % 5 {
-            0 | 1 => Command::Take { duty, who, epoch, beat },
-            2 => Command::Renew { duty, who, epoch },
-            3 => Command::Give { duty, who, epoch },
+            0 | 1 => Command::Acquire { role, owner, epoch, renewals },
+            2 => Command::Renew { role, owner, epoch },
+            3 => Command::Release { role, owner, epoch },
             _ => {
                 let text = if u8::arbitrary(g) == 0 {
-                    "x".repeat(TABLE_MOST + 1)
+                    "x".repeat(MAX_TABLE_LENGTH + 1)
                 } else {
                     of(g, &["", "é\n\"", "{}"])
                 };
-                Command::Write { duty, epoch, text }
+                Command::Write { role, epoch, text }
             }
         })
     }
@@ -35,38 +35,38 @@
 
 /// What must hold after each command, whatever came before.
 fn holds(commands: Vec<Any>) -> bool {
-    let mut record = Record::default();
+    let mut record = LeaseRecord::default();
     for Any(command) in commands {
-        let (before, duty) = (record.clone(), command.duty().to_owned());
+        let (before, role) = (record.clone(), command.role().to_owned());
         let reply = record.apply(&command);
-        let (old, new) = (before.lease(&duty), record.lease(&duty));
-        let grows = new.epoch >= old.epoch && (new.epoch > old.epoch || new.beat >= old.beat);
-        let table = record.tables.get(&duty);
-        // A table is never of a later epoch than its duty, and never goes back.
+        let (old, new) = (before.lease(&role), record.lease(&role));
+        let grows = new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
+        let table = record.tables.get(&role);
+        // A table is never of a later epoch than its role, and never goes back.
         let tables = table.is_none_or(|t| t.epoch <= new.epoch)
             && before
                 .tables
-                .get(&duty)
+                .get(&role)
                 .is_none_or(|old| table.is_some_and(|t| (t.epoch, t.version) >= (old.epoch, old.version)));
         let told = match (&reply, &command) {
-            (Reply::Granted { epoch }, Command::Take { who, .. }) => {
-                *epoch == old.epoch + 1 && new.owner.as_ref() == Some(who)
+            (Reply::Granted { epoch }, Command::Acquire { owner, .. }) => {
+                *epoch == old.epoch + 1 && new.owner.as_ref() == Some(owner)
             }
-            (Reply::Granted { epoch }, Command::Renew { who, .. }) => {
-                *epoch == old.epoch && old.owner.as_ref() == Some(who)
+            (Reply::Granted { epoch }, Command::Renew { owner, .. }) => {
+                *epoch == old.epoch && old.owner.as_ref() == Some(owner)
             }
-            (Reply::Given, Command::Give { .. }) => new.owner.is_none(),
+            (Reply::Released, Command::Release { .. }) => new.owner.is_none(),
             (Reply::Written { version }, Command::Write { epoch, .. }) => {
                 *epoch == old.epoch && old.owner.is_some() && table.is_some_and(|t| t.version == *version)
             }
             // What is not granted changes nothing.
             (Reply::Fenced { epoch }, _) => *epoch == old.epoch && record == before,
-            (Reply::Refused { .. }, _) => record == before,
+            (Reply::Rejected { .. }, _) => record == before,
             _ => false,
         };
-        let bounded = record.duties.len() <= DUTIES_MOST;
+        let bounded = record.leases.len() <= MAX_ROLES;
         let text = serde_json::to_string(&(&command, &reply, &record)).expect("text");
-        let back: (Command, Reply, Record) = serde_json::from_str(&text).expect("it is read again");
+        let back: (Command, Reply, LeaseRecord) = serde_json::from_str(&text).expect("it is read again");
         if !(grows && tables && told && bounded && back == (command, reply, record.clone())) {
             return false;
         }
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -1,14 +1,15 @@
-//! The link to the keepers: calls at the pace that the fleet's package says, this gatherer's seat at the roster, and
+//! The link to the keepers: calls at the schedule that the fleet's package says, this gatherer's participant at the roster, and
 //! its rounds as the roster's owner. HTTP/1.1 with JSON. What is decided is decided in `ashvane-fleet`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ashvane_config::FleetSettings;
-use ashvane_fleet::record::{Lease, NAME_MOST, Reply, Table};
-use ashvane_fleet::roster::{Heard, Reader, Roster};
-use ashvane_fleet::seat::Turn;
-use ashvane_fleet::{Duty as _, Fence, Pace, Permit, Seat, Stamp, Terms};
+use ashvane_fleet::roster::{LastHeard, Roster, RosterReader};
+use ashvane_fleet::{
+    CallSchedule, FencingGuard, FencingToken, Lease, LeaseParticipant, LeaseTerms, MAX_NAME_LENGTH, Permit,
+    Reply, SingletonRole as _, Table, Transition,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::Request;
@@ -59,7 +60,7 @@
     Elsewhere { leader: Option<u64> },
 }
 
-/// What is asked of whoever leads the keepers about this gatherer's own seat. Acts of an owner are not among it: they
+/// What is asked of whoever leads the keepers about this gatherer's own participant. Acts of an owner are not among it: they
 /// need a permit.
 enum Asked {
     Take,
@@ -110,15 +111,15 @@
     name: String,
     numbers: Vec<u64>,
     addresses: Vec<SocketAddr>,
-    terms: Terms,
+    terms: LeaseTerms,
     every: Duration,
     line: Line,
     events: mpsc::Sender<Event>,
-    pace: Pace,
-    seat: Seat,
+    schedule: CallSchedule,
+    participant: LeaseParticipant,
     roster: Roster,
-    reader: Reader,
-    fence: Fence,
+    reader: RosterReader,
+    fence: FencingGuard,
     /// The keeper that leads, as a place in the list, as far as is known.
     leader: Option<usize>,
     /// How long the last call took.
@@ -140,19 +141,19 @@
             settings.keepers.iter().map(|(n, a)| (*n, *a)).unzip();
         let short = |most: usize| name.chars().take(most).collect::<String>();
         Keepers {
-            who: format!("{}@{}", short(NAME_MOST / 8), began.as_nanos()),
-            name: short(NAME_MOST / 4),
-            pace: Pace::new(every, addresses.len(), seed, began),
+            who: format!("{}@{}", short(MAX_NAME_LENGTH / 8), began.as_nanos()),
+            name: short(MAX_NAME_LENGTH / 4),
+            schedule: CallSchedule::new(every, addresses.len(), seed, began),
             numbers,
             addresses,
             terms,
             every,
-            line: Line { client, limit: terms.call_most().min(CALL_MOST) },
+            line: Line { client, limit: terms.max_call_duration().min(CALL_MOST) },
             events,
-            seat: Seat::default(),
+            participant: LeaseParticipant::default(),
             roster: Roster::new(every),
-            reader: Reader::default(),
-            fence: Fence::default(),
+            reader: RosterReader::default(),
+            fence: FencingGuard::default(),
             leader: None,
             took: Duration::MAX,
             renew_at: Duration::MAX,
@@ -165,18 +166,18 @@
     pub(crate) async fn run(mut self, mut phase: watch::Receiver<Phase>) {
         loop {
             let at = now();
-            if let Some(turn) = self.seat.at(at, &self.terms) {
+            if let Some(turn) = self.participant.tick(at, &self.terms) {
                 self.turned(turn);
             }
             if at >= self.renew_at {
                 self.renew().await;
             } else if at >= self.round_at {
                 self.round().await;
-            } else if at >= self.pace.next().0 {
+            } else if at >= self.schedule.next().at {
                 self.call().await;
             }
             self.tell().await;
-            let next = self.pace.next().0.min(self.renew_at).min(self.round_at);
+            let next = self.schedule.next().at.min(self.renew_at).min(self.round_at);
             let ending = async {
                 let draining = |phase: &Phase| matches!(phase, Phase::Draining | Phase::Closing);
                 if phase.wait_for(draining).await.is_err() {
@@ -192,21 +193,21 @@
 
     /// The usual call: that this gatherer is alive, for what the keepers know.
     async fn call(&mut self) {
-        let (began, at) = (now(), self.pace.next().1);
-        self.pace.called(began);
-        let seeks = self.seat.seeks(self.took.min(self.line.limit), began, &self.terms);
+        let (began, at) = (now(), self.schedule.next().keeper);
+        self.schedule.call_made(began);
+        let seeks = self.participant.is_seeking(self.took.min(self.line.limit), began, &self.terms);
         let body = json!({"name": self.name, "seeks": seeks.then_some(Roster::NAME)});
         match self.line.send::<Told>(self.addresses[at], "/v1/call", Some(body)).await {
             Ok(told) => {
                 self.took = now() - began;
                 self.know(&told);
-                if told.free && self.seat.seeks(self.took, now(), &self.terms) {
+                if told.free && self.participant.is_seeking(self.took, now(), &self.terms) {
                     self.ask(Asked::Take).await;
                 }
             }
             Err(Failed { words, .. }) => {
                 log::debug!("keeper {}: {words}", self.numbers[at]);
-                self.pace.failed();
+                self.schedule.keeper_failed();
                 self.leader = self.leader.filter(|leader| *leader != at);
             }
         }
@@ -220,19 +221,19 @@
     fn know(&mut self, told: &Told) {
         self.leader = self.place(told.leader).or(self.leader);
         let Some(table) = told.tables.get(Roster::NAME) else { return };
-        let stamp = Stamp { duty: Roster::NAME.to_owned(), epoch: table.epoch };
+        let token = FencingToken { role: Roster::NAME.to_owned(), epoch: table.epoch };
         let before = self.fence.highest(Roster::NAME);
-        if !self.fence.lets(&stamp) {
+        if !self.fence.admits(&token) {
             return;
         }
         if table.epoch > before {
             let holds = told.duties.get(Roster::NAME).map_or(0, |lease| lease.epoch);
             log::info!(duty = Roster::NAME, epoch = table.epoch, holds = holds; "follows");
         }
-        self.reader.told(table, now());
+        self.reader.table_received(table, now());
     }
 
-    /// Asks the leading keeper about this gatherer's seat; what it says goes there, with when it was asked.
+    /// Asks the leading keeper about this gatherer's participant; what it says goes there, with when it was asked.
     async fn ask(&mut self, asked: Asked) -> Option<Reply> {
         let (duty, who) = (Roster::NAME, &self.who);
         let asked = match asked {
@@ -245,16 +246,16 @@
 
     /// An act of the roster's owner: its table. The permit is looked at last of all.
     async fn write(&mut self, permit: Permit<Roster>, text: &str) {
-        let Some(Stamp { duty, epoch }) = permit.stamp(now()) else { return };
-        self.ask_leader(json!({"write": {"duty": duty, "epoch": epoch, "text": text}})).await;
+        let Some(FencingToken { role, epoch }) = permit.token(now()) else { return };
+        self.ask_leader(json!({"write": {"duty": role, "epoch": epoch, "text": text}})).await;
     }
 
     async fn ask_leader(&mut self, asked: Value) -> Option<Reply> {
-        let at = self.leader.unwrap_or(self.pace.next().1);
+        let at = self.leader.unwrap_or(self.schedule.next().keeper);
         let began = now();
         match self.line.send::<Answered>(self.addresses[at], "/v1/ask", Some(asked)).await {
             Ok(Answered::Reply(reply)) => {
-                let turn = self.seat.answered(began, &reply, now(), &self.terms);
+                let turn = self.participant.reply_received(began, &reply, now(), &self.terms);
                 turn.into_iter().for_each(|turn| self.turned(turn));
                 return Some(reply);
             }
@@ -265,42 +266,42 @@
                 log::debug!("keeper {}: {words}", self.numbers[at]);
                 self.leader = None;
                 if heard {
-                    self.seat.unanswered();
+                    self.participant.call_unanswered();
                 }
             }
         }
         if self.leader.is_none() {
-            self.pace.failed();
+            self.schedule.keeper_failed();
         }
         None
     }
 
-    fn turned(&mut self, turn: Turn) {
+    fn turned(&mut self, turn: Transition) {
         match turn {
-            Turn::TakenUp { epoch } => {
+            Transition::Acquired { epoch } => {
                 log::info!(duty = Roster::NAME, epoch = epoch; "owns");
-                self.roster.taken_up(epoch);
-                self.renew_at = now() + self.terms.renews_after();
+                self.roster.acquired(epoch);
+                self.renew_at = now() + self.terms.renewal_interval();
                 self.round_at = now();
             }
-            Turn::GivenUp => {
+            Transition::Lost => {
                 log::info!(duty = Roster::NAME; "gives up");
-                self.roster.given_up();
+                self.roster.lost();
                 (self.renew_at, self.round_at) = (Duration::MAX, Duration::MAX);
             }
         }
     }
 
     async fn renew(&mut self) {
-        let Some(epoch) = self.seat.epoch() else { return };
-        if !self.seat.asks(now(), &self.terms) {
+        let Some(epoch) = self.participant.epoch() else { return };
+        if !self.participant.may_renew(now(), &self.terms) {
             // What is left of its time is left for what was asked to be answered.
             self.renew_at = Duration::MAX;
             return;
         }
         let granted = matches!(self.ask(Asked::Renew(epoch)).await, Some(Reply::Granted { .. }));
-        if self.seat.epoch().is_some() {
-            self.renew_at = now() + if granted { self.terms.renews_after() } else { AGAIN };
+        if self.participant.epoch().is_some() {
+            self.renew_at = now() + if granted { self.terms.renewal_interval() } else { AGAIN };
         }
     }
 
@@ -312,7 +313,7 @@
         let (mut asking, mut seen) = (JoinSet::new(), Vec::new());
         for address in self.addresses.iter().copied() {
             let line = self.line.clone();
-            asking.spawn_local(async move { line.send::<Heard>(address, "/v1/heard", None).await });
+            asking.spawn_local(async move { line.send::<LastHeard>(address, "/v1/heard", None).await });
         }
         // The renewal goes first.
         let until = self.renew_at.saturating_sub(began);
@@ -326,7 +327,7 @@
             return;
         }
         let Some(text) = self.roster.round(&seen) else { return };
-        if let Some(permit) = self.seat.permit::<Roster>(now()) {
+        if let Some(permit) = self.participant.permit::<Roster>(now()) {
             self.write(permit, &text).await;
         }
     }
@@ -342,9 +343,9 @@
     }
 
     async fn hand_over(&mut self) {
-        let Some(epoch) = self.seat.epoch() else { return };
+        let Some(epoch) = self.participant.epoch() else { return };
         // First it stops, then it says so.
-        let turn = self.seat.give_up();
+        let turn = self.participant.release();
         self.turned(turn);
         let giving = async {
             while self.ask(Asked::Give(epoch)).await.is_none() {
--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -1,13 +1,13 @@
 //! The disk: the log, the vote and the latest snapshot in one redb file, each write durable before it counts; and
 //! the record that the log makes, in memory.
 
-use std::fmt::Debug;
+use std::fmt::{self, Debug};
 use std::io::Cursor;
 use std::ops::RangeBounds;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ashvane_fleet::{Judge, Record, Reply};
+use ashvane_fleet::{LeaseExpiry, LeaseRecord, Reply};
 use openraft::storage::{LogFlushed, LogState, RaftLogStorage, RaftStateMachine, Snapshot};
 use openraft::{
     AnyError, BasicNode, Entry, EntryPayload, LogId, OptionalSend, RaftLogReader, RaftSnapshotBuilder,
@@ -19,124 +19,158 @@
 
 use crate::{Types, clock};
 
-const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
-const VOTE: &str = "vote";
-const COMMITTED: &str = "committed";
-const PURGED: &str = "purged";
-const SNAPSHOT: &str = "snapshot";
+/// Entries of the log, by index.
+const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+/// Everything else, by the keys below.
+const META_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
+const VOTE_KEY: &str = "vote";
+const COMMITTED_KEY: &str = "committed";
+const PURGED_KEY: &str = "purged";
+const SNAPSHOT_KEY: &str = "snapshot";
 /// Memory that the database may use for its pages, in bytes.
-const CACHE: usize = 4 << 20;
+const CACHE_SIZE: usize = 4 << 20;
 
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+type DatabaseError = Box<dyn std::error::Error + Send + Sync>;
 type Stored<T> = Result<T, StorageError<u64>>;
 type Meta = SnapshotMeta<u64, BasicNode>;
 
+/// Why a database cannot be opened.
+#[derive(Debug)]
+pub struct OpenStoreError {
+    path: PathBuf,
+    reason: DatabaseError,
+}
+
+impl fmt::Display for OpenStoreError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.path.display(), self.reason)
+    }
+}
+
+impl std::error::Error for OpenStoreError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        Some(&*self.reason)
+    }
+}
+
 /// What the log has made so far.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Applied {
+pub struct AppliedState {
+    /// The last entry that was applied.
     pub last: Option<LogId<u64>>,
+    /// The keepers.
     pub membership: StoredMembership<u64, BasicNode>,
-    pub record: Record,
+    /// The leases and tables.
+    pub record: LeaseRecord,
 }
 
+/// A snapshot as it stands on disk.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct StoredSnapshot {
     meta: Meta,
     data: Vec<u8>,
 }
 
+/// What a keeper has in memory of the record.
 #[derive(Default)]
-pub struct State {
-    pub applied: Applied,
-    pub judge: Judge,
+pub struct StoreState {
+    /// What the log has made so far.
+    pub applied: AppliedState,
+    /// When leases expire by this keeper's clock.
+    pub expiry: LeaseExpiry,
     snapshots: u64,
 }
 
+/// The disk of one keeper. Clones share it.
 #[derive(Clone)]
-pub struct Store {
+pub struct KeeperStore {
     database: Arc<Database>,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<StoreState>>,
     /// What is agreed is printed.
     trace: bool,
 }
 
 /// Runs what waits for the disk without holding up the other tasks of this thread.
-fn on_disk<T>(work: impl FnOnce() -> Result<T, Fault>) -> Result<T, Fault> {
+fn blocking<T>(work: impl FnOnce() -> Result<T, DatabaseError>) -> Result<T, DatabaseError> {
     tokio::task::block_in_place(work)
 }
 
-fn read_fault(fault: Fault) -> StorageError<u64> {
-    StorageIOError::read(AnyError::from_dyn(&*fault, None)).into()
+fn read_error(reason: DatabaseError) -> StorageError<u64> {
+    StorageIOError::read(AnyError::from_dyn(&*reason, None)).into()
 }
 
-fn write_fault(fault: Fault) -> StorageError<u64> {
-    StorageIOError::write(AnyError::from_dyn(&*fault, None)).into()
+fn write_error(reason: DatabaseError) -> StorageError<u64> {
+    StorageIOError::write(AnyError::from_dyn(&*reason, None)).into()
 }
 
-impl Store {
-    /// Opens the file, or makes it. One with a torn last write is as it was before that write.
-    pub fn open(path: &Path, trace: bool) -> Result<Store, String> {
-        let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-        let database = Database::builder().set_cache_size(CACHE).create(path).map_err(|e| named(&e))?;
-        let store = Store { database: Arc::new(database), state: Arc::default(), trace };
-        let tables = || -> Result<Option<Kept>, Fault> {
-            let write = store.database.begin_write()?;
-            write.open_table(LOG)?;
-            write.open_table(META)?;
-            write.commit()?;
-            store.meta(SNAPSHOT)
-        };
-        if let Some(kept) = tables().map_err(|e| named(&e))? {
-            store.adopt(&kept).map_err(|e| named(&e))?;
+impl KeeperStore {
+    /// Opens the file, or makes it. One with a torn last write is as it was before that write. With `trace`, what is agreed
+    /// is printed on standard error, one JSON object a line.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be opened or read.
+    pub fn open(path: &Path, trace: bool) -> Result<KeeperStore, OpenStoreError> {
+        KeeperStore::try_open(path, trace).map_err(|reason| OpenStoreError { path: path.to_owned(), reason })
+    }
+
+    fn try_open(path: &Path, trace: bool) -> Result<KeeperStore, DatabaseError> {
+        let database = Database::builder().set_cache_size(CACHE_SIZE).create(path)?;
+        let store = KeeperStore { database: Arc::new(database), state: Arc::default(), trace };
+        let write = store.database.begin_write()?;
+        write.open_table(LOG_TABLE)?;
+        write.open_table(META_TABLE)?;
+        write.commit()?;
+        if let Some(snapshot) = store.meta(SNAPSHOT_KEY)? {
+            store.adopt(&snapshot)?;
         }
         Ok(store)
     }
 
     /// What the log has made so far.
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, StoreState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn adopt(&self, kept: &Kept) -> Result<(), Fault> {
-        let applied: Applied = serde_json::from_slice(&kept.data)?;
+    fn adopt(&self, snapshot: &StoredSnapshot) -> Result<(), DatabaseError> {
+        let applied: AppliedState = serde_json::from_slice(&snapshot.data)?;
         let mut state = self.state();
         state.applied = applied;
-        let State { applied, judge, .. } = &mut *state;
-        judge.look(&applied.record, clock::now());
+        let StoreState { applied, expiry, .. } = &mut *state;
+        expiry.observe(&applied.record, clock::now());
         Ok(())
     }
 
-    fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, Fault> {
-        let table = self.database.begin_read()?.open_table(META)?;
+    fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, DatabaseError> {
+        let table = self.database.begin_read()?.open_table(META_TABLE)?;
         let bytes = table.get(key)?;
         Ok(bytes.map(|bytes| serde_json::from_slice(bytes.value())).transpose()?)
     }
 
-    fn set_meta<T: Serialize>(&self, key: &str, value: &T) -> Result<(), Fault> {
+    fn set_meta<T: Serialize>(&self, key: &str, value: &T) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
-        write.open_table(META)?.insert(key, serde_json::to_vec(value)?.as_slice())?;
+        write.open_table(META_TABLE)?.insert(key, serde_json::to_vec(value)?.as_slice())?;
         Ok(write.commit()?)
     }
 
-    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, Fault> {
-        let table = self.database.begin_read()?.open_table(LOG)?;
+    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, DatabaseError> {
+        let table = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let entries = table.range((range.start_bound().cloned(), range.end_bound().cloned()))?;
         entries.map(|entry| Ok(serde_json::from_slice(entry?.1.value())?)).collect()
     }
 
-    fn log_state(&self) -> Result<LogState<Types>, Fault> {
-        let table = self.database.begin_read()?.open_table(LOG)?;
+    fn log_state(&self) -> Result<LogState<Types>, DatabaseError> {
+        let table = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let last = table.last()?.map(|(_, bytes)| serde_json::from_slice::<Entry<Types>>(bytes.value()));
-        let last_purged_log_id: Option<LogId<u64>> = self.meta(PURGED)?;
+        let last_purged_log_id: Option<LogId<u64>> = self.meta(PURGED_KEY)?;
         let last_log_id = last.transpose()?.map(|entry| entry.log_id).or(last_purged_log_id);
         Ok(LogState { last_purged_log_id, last_log_id })
     }
 
-    fn insert(&self, entries: Vec<Entry<Types>>) -> Result<(), Fault> {
+    fn insert(&self, entries: Vec<Entry<Types>>) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         {
-            let mut table = write.open_table(LOG)?;
+            let mut table = write.open_table(LOG_TABLE)?;
             for entry in entries {
                 table.insert(entry.log_id.index, serde_json::to_vec(&entry)?.as_slice())?;
             }
@@ -144,52 +178,53 @@
         Ok(write.commit()?)
     }
 
-    fn remove(&self, range: impl RangeBounds<u64>, purged: Option<LogId<u64>>) -> Result<(), Fault> {
+    fn remove(&self, range: impl RangeBounds<u64>, purged: Option<LogId<u64>>) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         {
             let bounds = (range.start_bound().cloned(), range.end_bound().cloned());
-            write.open_table(LOG)?.retain_in(bounds, |_, _| false)?;
+            write.open_table(LOG_TABLE)?.retain_in(bounds, |_, _| false)?;
             if let Some(purged) = purged {
-                write.open_table(META)?.insert(PURGED, serde_json::to_vec(&purged)?.as_slice())?;
+                write.open_table(META_TABLE)?.insert(PURGED_KEY, serde_json::to_vec(&purged)?.as_slice())?;
             }
         }
         Ok(write.commit()?)
     }
 }
 
-impl RaftLogReader<Types> for Store {
+impl RaftLogReader<Types> for KeeperStore {
     async fn try_get_log_entries<R: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self, range: R,
     ) -> Stored<Vec<Entry<Types>>> {
-        on_disk(|| self.entries(range)).map_err(read_fault)
+        blocking(|| self.entries(range)).map_err(read_error)
     }
 }
 
-impl RaftLogStorage<Types> for Store {
-    type LogReader = Store;
+impl RaftLogStorage<Types> for KeeperStore {
+    type LogReader = KeeperStore;
 
     async fn get_log_state(&mut self) -> Stored<LogState<Types>> {
-        on_disk(|| self.log_state()).map_err(read_fault)
+        blocking(|| self.log_state()).map_err(read_error)
     }
 
-    async fn get_log_reader(&mut self) -> Store {
+    async fn get_log_reader(&mut self) -> KeeperStore {
         self.clone()
     }
 
     async fn save_vote(&mut self, vote: &Vote<u64>) -> Stored<()> {
-        on_disk(|| self.set_meta(VOTE, vote)).map_err(write_fault)
+        blocking(|| self.set_meta(VOTE_KEY, vote)).map_err(write_error)
     }
 
     async fn read_vote(&mut self) -> Stored<Option<Vote<u64>>> {
-        on_disk(|| self.meta(VOTE)).map_err(read_fault)
+        blocking(|| self.meta(VOTE_KEY)).map_err(read_error)
     }
 
     async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> Stored<()> {
-        on_disk(|| self.set_meta(COMMITTED, &committed)).map_err(write_fault)
+        blocking(|| self.set_meta(COMMITTED_KEY, &committed)).map_err(write_error)
     }
 
     async fn read_committed(&mut self) -> Stored<Option<LogId<u64>>> {
-        let committed: Option<Option<LogId<u64>>> = on_disk(|| self.meta(COMMITTED)).map_err(read_fault)?;
+        let committed: Option<Option<LogId<u64>>> =
+            blocking(|| self.meta(COMMITTED_KEY)).map_err(read_error)?;
         Ok(committed.flatten())
     }
 
@@ -199,21 +234,21 @@
         I::IntoIter: OptionalSend,
     {
         let entries = entries.into_iter().collect();
-        on_disk(|| self.insert(entries)).map_err(write_fault)?;
+        blocking(|| self.insert(entries)).map_err(write_error)?;
         callback.log_io_completed(Ok(()));
         Ok(())
     }
 
     async fn truncate(&mut self, from: LogId<u64>) -> Stored<()> {
-        on_disk(|| self.remove(from.index.., None)).map_err(write_fault)
+        blocking(|| self.remove(from.index.., None)).map_err(write_error)
     }
 
     async fn purge(&mut self, until: LogId<u64>) -> Stored<()> {
-        on_disk(|| self.remove(..=until.index, Some(until))).map_err(write_fault)
+        blocking(|| self.remove(..=until.index, Some(until))).map_err(write_error)
     }
 }
 
-impl RaftSnapshotBuilder<Types> for Store {
+impl RaftSnapshotBuilder<Types> for KeeperStore {
     async fn build_snapshot(&mut self) -> Stored<Snapshot<Types>> {
         let (applied, number) = {
             let mut state = self.state();
@@ -228,17 +263,17 @@
                 last_membership: applied.membership.clone(),
                 snapshot_id: format!("{index}-{number}"),
             };
-            let kept = Kept { meta, data };
-            self.set_meta(SNAPSHOT, &kept)?;
-            Ok(kept)
+            let snapshot = StoredSnapshot { meta, data };
+            self.set_meta(SNAPSHOT_KEY, &snapshot)?;
+            Ok(snapshot)
         };
-        let Kept { meta, data } = on_disk(build).map_err(write_fault)?;
+        let StoredSnapshot { meta, data } = blocking(build).map_err(write_error)?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(data)) })
     }
 }
 
-impl RaftStateMachine<Types> for Store {
-    type SnapshotBuilder = Store;
+impl RaftStateMachine<Types> for KeeperStore {
+    type SnapshotBuilder = KeeperStore;
 
     async fn applied_state(&mut self) -> Stored<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>)> {
         let state = self.state();
@@ -251,7 +286,7 @@
         I::IntoIter: OptionalSend,
     {
         let mut state = self.state();
-        let State { applied, judge, .. } = &mut *state;
+        let StoreState { applied, expiry, .. } = &mut *state;
         let mut replies = Vec::new();
         for entry in entries {
             applied.last = Some(entry.log_id);
@@ -259,26 +294,26 @@
                 EntryPayload::Normal(command) => {
                     let reply = applied.record.apply(&command);
                     if self.trace {
-                        let (at, duty) = (entry.log_id.index, command.duty());
-                        let lease = applied.record.lease(duty);
+                        let (at, role) = (entry.log_id.index, command.role());
+                        let lease = applied.record.lease(role);
                         let line =
-                            serde_json::json!({"at": at, "duty": duty, "holds": lease, "reply": reply});
+                            serde_json::json!({"at": at, "duty": role, "holds": lease, "reply": reply});
                         eprintln!("{line}");
                     }
                     reply
                 }
                 EntryPayload::Membership(membership) => {
                     applied.membership = StoredMembership::new(Some(entry.log_id), membership);
-                    Reply::Given
+                    Reply::Released
                 }
-                EntryPayload::Blank => Reply::Given,
+                EntryPayload::Blank => Reply::Released,
             });
         }
-        judge.look(&applied.record, clock::now());
+        expiry.observe(&applied.record, clock::now());
         Ok(replies)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Store {
+    async fn get_snapshot_builder(&mut self) -> KeeperStore {
         self.clone()
     }
 
@@ -287,17 +322,16 @@
     }
 
     async fn install_snapshot(&mut self, meta: &Meta, snapshot: Box<Cursor<Vec<u8>>>) -> Stored<()> {
-        let kept = Kept { meta: meta.clone(), data: snapshot.into_inner() };
+        let snapshot = StoredSnapshot { meta: meta.clone(), data: snapshot.into_inner() };
         let install = || {
-            self.set_meta(SNAPSHOT, &kept)?;
-            self.adopt(&kept)
+            self.set_meta(SNAPSHOT_KEY, &snapshot)?;
+            self.adopt(&snapshot)
         };
-        on_disk(install).map_err(write_fault)
+        blocking(install).map_err(write_error)
     }
 
     async fn get_current_snapshot(&mut self) -> Stored<Option<Snapshot<Types>>> {
-        let kept: Option<Kept> = on_disk(|| self.meta(SNAPSHOT)).map_err(read_fault)?;
-        let snapshot = |kept: Kept| Snapshot { meta: kept.meta, snapshot: Box::new(Cursor::new(kept.data)) };
-        Ok(kept.map(snapshot))
+        let stored: Option<StoredSnapshot> = blocking(|| self.meta(SNAPSHOT_KEY)).map_err(read_error)?;
+        Ok(stored.map(|stored| Snapshot { meta: stored.meta, snapshot: Box::new(Cursor::new(stored.data)) }))
     }
 }
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -1,19 +1,20 @@
-//! A keeper: one of three or five processes that keep, together, who owns which duty of a fleet.
+//! A keeper: one of three or five processes that keep, together, who owns which role of a fleet.
 //!
-//! Job: to replicate the record of `ashvane-fleet` by Raft (openraft), keep it on a disk (redb), and answer
-//! gatherers over HTTP/1.1 with JSON. May know: the record and its judge, openraft, redb, sockets. Must not know:
-//! what a duty is for, queries, gatherers' insides.
-
-#![expect(
-    missing_docs,
-    clippy::missing_errors_doc,
-    reason = "not done yet: The control and state code reads as well as it works"
-)]
+//! | module | its one job |
+//! | --- | --- |
+//! | [`messages`] | what gatherers and keepers exchange |
+//! | [`keeper_server`] | answers gatherers and the other keepers, over HTTP/1.1 with JSON |
+//! | [`keeper_network`] | the messages of Raft (openraft) between keepers |
+//! | [`keeper_store`] | the log, the vote and the latest snapshot on disk (redb), and the record that the log makes |
+//! | [`clock`] | the machine's clock that also runs while it sleeps |
+//!
+//! The record and its rules are `ashvane-fleet`'s. Nothing here knows what a role is for.
 
 pub mod clock;
-pub mod network;
-pub mod server;
-pub mod store;
+pub mod keeper_network;
+pub mod keeper_server;
+pub mod keeper_store;
+pub mod messages;
 
 use std::io::Cursor;
 
@@ -29,4 +30,5 @@
         AsyncRuntime = openraft::TokioRuntime,
 );
 
+/// The Raft of one keeper.
 pub type Raft = openraft::Raft<Types>;
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,18 +1,23 @@
-//! ashvane-keeper: one of the three or five that keep who owns which duty of a fleet.
+//! ashvane-keeper: one of the three or five that keep who owns which role of a fleet.
 
 use std::collections::BTreeMap;
+use std::fmt;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashvane_fleet::Terms;
-use ashvane_fleet::terms::keepers_faults;
-use ashvane_keeper::network::{Ways, http, post};
-use ashvane_keeper::server::{Keeper, Replace};
-use ashvane_keeper::store::Store;
+use ashvane_fleet::{KeepersFault, LeaseTerms, TermsFault, keepers_faults};
+use ashvane_keeper::Raft;
+use ashvane_keeper::keeper_network::{KeeperNetwork, PostError, PostResponse, http_client, post};
+use ashvane_keeper::keeper_server::KeeperServer;
+use ashvane_keeper::keeper_store::{KeeperStore, OpenStoreError};
+use ashvane_keeper::messages::ReplaceRequest;
+use openraft::error::Fatal;
 use openraft::{BasicNode, Config, SnapshotPolicy};
+use pico_args::Arguments;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -35,189 +40,316 @@
 Status 0 when told to end, 1 when it cannot go on (the reason is the last line), 2 for a fault in what was asked for.
 ";
 
-/// Elections begin after a silence of so many milliseconds, drawn from here, and leaders speak so often.
-const ELECTION_MS: (u64, u64) = (400, 800);
+/// An election begins after a silence of at least this many milliseconds, ...
+const MIN_ELECTION_MS: u64 = 400;
+/// ... and of at most this many.
+const MAX_ELECTION_MS: u64 = 800;
+/// How often leaders speak, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
-/// Log entries between two snapshots, and those that are kept behind one for keepers that lag.
-const SNAPSHOT_EVERY: u64 = 5000;
-const KEPT_BEHIND: u64 = 500;
-/// The usual lease, in milliseconds, and how far a clock's rate may be off.
-const LEASE_MS: u64 = 3000;
-const DRIFT: f64 = 0.01;
-/// Statuses.
-const CANNOT: u8 = 1;
-const USAGE: u8 = 2;
-
-struct Serve {
+/// Log entries between two snapshots.
+const SNAPSHOT_INTERVAL: u64 = 5000;
+/// Log entries that are kept behind a snapshot, for keepers that lag.
+const KEPT_ENTRIES: u64 = 500;
+/// The usual lease, in milliseconds.
+const DEFAULT_LEASE_MS: u64 = 3000;
+/// How far a clock's rate may be off usually, as a fraction.
+const DEFAULT_DRIFT: f64 = 0.01;
+/// Time for an orderly end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+/// The exit status of a keeper that cannot go on.
+const STATUS_FAILED: u8 = 1;
+/// The exit status of a fault in what was asked for.
+const STATUS_USAGE: u8 = 2;
+
+struct ServeOptions {
     id: u64,
     listen: SocketAddr,
     data: PathBuf,
     keepers: BTreeMap<u64, SocketAddr>,
-    terms: Terms,
-    join: bool,
+    terms: LeaseTerms,
+    joins: bool,
     trace: bool,
 }
 
-enum Asked {
-    Serve(Serve),
-    Replace { at: SocketAddr, replace: Replace },
+enum CommandLine {
+    Serve(ServeOptions),
+    Replace { at: SocketAddr, request: ReplaceRequest },
     Version,
     Help,
 }
 
+/// What is wrong with what was asked for.
+#[derive(Debug)]
+enum UsageError {
+    Argument(pico_args::Error),
+    Terms(TermsFault),
+    NotNamed(u64),
+    UnknownCommand(String),
+    UnknownArgument(std::ffi::OsString),
+}
+
+impl fmt::Display for UsageError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            UsageError::Argument(reason) => reason.fmt(f),
+            UsageError::Terms(fault) => fault.fmt(f),
+            UsageError::NotNamed(id) => write!(f, "--keepers does not name keeper {id} itself"),
+            UsageError::UnknownCommand(other) => {
+                write!(f, "unknown command {other:?}; see ashvane-keeper help")
+            }
+            UsageError::UnknownArgument(other) => {
+                write!(f, "unknown argument {other:?}; see ashvane-keeper help")
+            }
+        }
+    }
+}
+
+impl From<pico_args::Error> for UsageError {
+    fn from(reason: pico_args::Error) -> Self {
+        UsageError::Argument(reason)
+    }
+}
+
+/// What is wrong with `--keepers` or `--in`.
+#[derive(Debug)]
+enum KeepersArgumentError {
+    NoKeeper(String),
+    NumberTwice(Vec<KeepersFault>),
+    Faults(Vec<KeepersFault>),
+}
+
+impl fmt::Display for KeepersArgumentError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let joined = |faults: &[KeepersFault]| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+        match self {
+            KeepersArgumentError::NoKeeper(text) => {
+                write!(f, "{text:?} is not a keeper as 1=127.0.0.1:9401")
+            }
+            KeepersArgumentError::NumberTwice(faults) => {
+                let mut words = joined(faults);
+                words.push("a number is given twice".to_owned());
+                write!(f, "--keepers: {}", words.join("; "))
+            }
+            KeepersArgumentError::Faults(faults) => write!(f, "--keepers: {}", joined(faults).join("; ")),
+        }
+    }
+}
+
+/// Why a keeper, or a call to one, cannot go on.
+#[derive(Debug)]
+enum RunError {
+    DataFolder {
+        path: PathBuf,
+        reason: io::Error,
+    },
+    Signals(io::Error),
+    Listen {
+        address: SocketAddr,
+        reason: io::Error,
+    },
+    Store(OpenStoreError),
+    Config(Box<openraft::ConfigError>),
+    Start(Box<Fatal<u64>>),
+    Initialize(Box<Fatal<u64>>),
+    Raft(Box<Fatal<u64>>),
+    RaftStopped,
+    ServerStopped(io::Result<()>),
+    Runtime(io::Error),
+    Call(PostError),
+    /// The keeper has rejected the call, with these words.
+    Rejected(String),
+}
+
+impl fmt::Display for RunError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RunError::DataFolder { path, reason } => write!(f, "{}: {reason}", path.display()),
+            RunError::Signals(reason) => write!(f, "no signals: {reason}"),
+            RunError::Listen { address, reason } => write!(f, "cannot listen on {address}: {reason}"),
+            RunError::Store(reason) => reason.fmt(f),
+            RunError::Config(reason) => reason.fmt(f),
+            RunError::Start(reason) => write!(f, "cannot start: {reason}"),
+            RunError::Initialize(reason) => reason.fmt(f),
+            RunError::Raft(reason) => write!(f, "cannot go on: {reason}"),
+            RunError::RaftStopped => f.write_str("cannot go on: the record's keeper has stopped"),
+            RunError::ServerStopped(ended) => write!(f, "does not listen any more: {ended:?}"),
+            RunError::Runtime(reason) => reason.fmt(f),
+            RunError::Call(reason) => reason.fmt(f),
+            RunError::Rejected(words) => f.write_str(words),
+        }
+    }
+}
+
 /// A keeper's number and where it is.
-fn keeper(text: &str) -> Result<(u64, SocketAddr), String> {
-    let wrong = || format!("{text:?} is not a keeper as 1=127.0.0.1:9401");
+fn parse_keeper(text: &str) -> Result<(u64, SocketAddr), KeepersArgumentError> {
+    let wrong = || KeepersArgumentError::NoKeeper(text.to_owned());
     let (id, address) = text.split_once('=').ok_or_else(wrong)?;
     Ok((id.parse().map_err(|_| wrong())?, address.parse().map_err(|_| wrong())?))
 }
 
-fn keepers(text: &str) -> Result<BTreeMap<u64, SocketAddr>, String> {
-    let all: Vec<(u64, SocketAddr)> = text.split(',').map(keeper).collect::<Result<_, _>>()?;
+fn parse_keepers(text: &str) -> Result<BTreeMap<u64, SocketAddr>, KeepersArgumentError> {
+    let all: Vec<(u64, SocketAddr)> = text.split(',').map(parse_keeper).collect::<Result<_, _>>()?;
     let named: Vec<(u64, String)> = all.iter().map(|(id, address)| (*id, address.to_string())).collect();
-    let mut faults = keepers_faults(named.iter().map(|(id, address)| (*id, address.as_str())));
+    let faults = keepers_faults(named.iter().map(|(id, address)| (*id, address.as_str())));
     let keepers: BTreeMap<u64, SocketAddr> = all.iter().copied().collect();
     if keepers.len() < all.len() {
-        faults.push("a number is given twice".into());
+        return Err(KeepersArgumentError::NumberTwice(faults));
     }
-    if faults.is_empty() { Ok(keepers) } else { Err(format!("--keepers: {}", faults.join("; "))) }
+    if faults.is_empty() { Ok(keepers) } else { Err(KeepersArgumentError::Faults(faults)) }
 }
 
-fn asked() -> Result<Asked, String> {
-    let mut arguments = pico_args::Arguments::from_env();
-    let wrong = |e: pico_args::Error| e.to_string();
+fn parse_command_line() -> Result<CommandLine, UsageError> {
+    let mut arguments = Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
-        return Ok(Asked::Help);
+        return Ok(CommandLine::Help);
     }
-    let command = arguments.subcommand().map_err(wrong)?;
-    let asked = match command.as_deref() {
-        Some("serve") => {
-            let lease: Option<u64> = arguments.opt_value_from_str("--lease-ms").map_err(wrong)?;
-            let drift: Option<f64> = arguments.opt_value_from_str("--drift").map_err(wrong)?;
-            let lease = Duration::from_millis(lease.unwrap_or(LEASE_MS));
-            let terms = Terms { lease, drift: drift.unwrap_or(DRIFT) };
-            if let Some(fault) = terms.faults().first() {
-                return Err(fault.clone());
-            }
-            let serve = Serve {
-                id: arguments.value_from_str("--id").map_err(wrong)?,
-                listen: arguments.value_from_str("--listen").map_err(wrong)?,
-                data: arguments.value_from_str("--data").map_err(wrong)?,
-                keepers: arguments.value_from_fn("--keepers", keepers).map_err(wrong)?,
-                terms,
-                join: arguments.contains("--join"),
-                trace: arguments.contains("--trace"),
-            };
-            if !serve.keepers.contains_key(&serve.id) && !serve.join {
-                return Err(format!("--keepers does not name keeper {} itself", serve.id));
-            }
-            Asked::Serve(serve)
-        }
+    let command = match arguments.subcommand()?.as_deref() {
+        Some("serve") => CommandLine::Serve(parse_serve(&mut arguments)?),
         Some("replace") => {
-            let at = arguments.value_from_str("--at").map_err(wrong)?;
-            let out = arguments.value_from_str("--out").map_err(wrong)?;
-            let (new, address) = arguments.value_from_fn("--in", keeper).map_err(wrong)?;
-            Asked::Replace { at, replace: Replace { out, new, address } }
+            let at = arguments.value_from_str("--at")?;
+            let removed = arguments.value_from_str("--out")?;
+            let (added, address) = arguments.value_from_fn("--in", parse_keeper)?;
+            CommandLine::Replace { at, request: ReplaceRequest { removed, added, address } }
         }
-        Some("version") => Asked::Version,
-        Some("help") | None => Asked::Help,
-        Some(other) => return Err(format!("unknown command {other:?}; see ashvane-keeper help")),
+        Some("version") => CommandLine::Version,
+        Some("help") | None => CommandLine::Help,
+        Some(other) => return Err(UsageError::UnknownCommand(other.to_owned())),
     };
-    match arguments.finish().first() {
-        Some(unknown) => Err(format!("unknown argument {unknown:?}; see ashvane-keeper help")),
-        None => Ok(asked),
+    match arguments.finish().into_iter().next() {
+        Some(unknown) => Err(UsageError::UnknownArgument(unknown)),
+        None => Ok(command),
     }
 }
 
-fn config() -> Result<Arc<Config>, String> {
+fn parse_serve(arguments: &mut Arguments) -> Result<ServeOptions, UsageError> {
+    let lease_ms: Option<u64> = arguments.opt_value_from_str("--lease-ms")?;
+    let drift: Option<f64> = arguments.opt_value_from_str("--drift")?;
+    let lease = Duration::from_millis(lease_ms.unwrap_or(DEFAULT_LEASE_MS));
+    let terms = LeaseTerms { lease, drift: drift.unwrap_or(DEFAULT_DRIFT) };
+    if let Some(fault) = terms.faults().first() {
+        return Err(UsageError::Terms(*fault));
+    }
+    let options = ServeOptions {
+        id: arguments.value_from_str("--id")?,
+        listen: arguments.value_from_str("--listen")?,
+        data: arguments.value_from_str("--data")?,
+        keepers: arguments.value_from_fn("--keepers", parse_keepers)?,
+        terms,
+        joins: arguments.contains("--join"),
+        trace: arguments.contains("--trace"),
+    };
+    if !options.keepers.contains_key(&options.id) && !options.joins {
+        return Err(UsageError::NotNamed(options.id));
+    }
+    Ok(options)
+}
+
+fn raft_config() -> Result<Arc<Config>, RunError> {
     let config = Config {
         cluster_name: "ashvane".into(),
         heartbeat_interval: HEARTBEAT_MS,
-        election_timeout_min: ELECTION_MS.0,
-        election_timeout_max: ELECTION_MS.1,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_EVERY),
-        max_in_snapshot_log_to_keep: KEPT_BEHIND,
+        election_timeout_min: MIN_ELECTION_MS,
+        election_timeout_max: MAX_ELECTION_MS,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL),
+        max_in_snapshot_log_to_keep: KEPT_ENTRIES,
         ..Config::default()
     };
-    Ok(Arc::new(config.validate().map_err(|e| e.to_string())?))
-}
-
-async fn serve(asked: Serve) -> Result<(), String> {
-    let named = |e: std::io::Error| format!("{}: {e}", asked.data.display());
-    std::fs::create_dir_all(&asked.data).map_err(named)?;
-    let listen = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
-    let (mut interrupt, mut terminate) = (listen(SignalKind::interrupt())?, listen(SignalKind::terminate())?);
-    let listener = TcpListener::bind(asked.listen).await;
-    let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", asked.listen))?;
-    let store = Store::open(&asked.data.join("keeper.redb"), asked.trace)?;
-    let ways = Ways { me: asked.id, http: http(), peers: Arc::new(asked.keepers.clone()) };
-    let raft = ashvane_keeper::Raft::new(asked.id, config()?, ways, store.clone(), store.clone());
-    let raft = raft.await.map_err(|e| format!("cannot start: {e}"))?;
-    let keeper = Arc::new(Keeper::new(asked.id, asked.terms, raft.clone(), store));
+    Ok(Arc::new(config.validate().map_err(|reason| RunError::Config(Box::new(reason)))?))
+}
+
+async fn serve(options: ServeOptions) -> Result<(), RunError> {
+    std::fs::create_dir_all(&options.data)
+        .map_err(|reason| RunError::DataFolder { path: options.data.clone(), reason })?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
+    let address = options.listen;
+    let listener = TcpListener::bind(address).await.map_err(|reason| RunError::Listen { address, reason })?;
+    let store =
+        KeeperStore::open(&options.data.join("keeper.redb"), options.trace).map_err(RunError::Store)?;
+    let raft = start_raft(&options, &store).await?;
+    let keeper = Arc::new(KeeperServer::new(options.id, options.terms, raft.clone(), store));
     let serving = tokio::spawn(axum::serve(listener, keeper.router()).into_future());
-    if !asked.join && !raft.is_initialized().await.map_err(|e| e.to_string())? {
-        let node = |(id, address): (&u64, &SocketAddr)| (*id, BasicNode { addr: address.to_string() });
-        // All of them begin with the same members; which one is first makes no difference.
-        let _ = raft.initialize(asked.keepers.iter().map(node).collect::<BTreeMap<_, _>>()).await;
+    if !options.joins {
+        initialize(&raft, &options.keepers).await?;
     }
-    let mut metrics = raft.metrics();
-    let failed = async {
-        loop {
-            if let Err(fault) = &metrics.borrow_and_update().running_state {
-                return format!("cannot go on: {fault}");
-            }
-            if metrics.changed().await.is_err() {
-                return "cannot go on: the record's keeper has stopped".to_owned();
-            }
-        }
-    };
-    let ended = tokio::select! {
-        words = failed => Err(words),
+    let result = tokio::select! {
+        reason = raft_failure(&raft) => Err(reason),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
-        ended = serving => Err(format!("does not listen any more: {ended:?}")),
+        ended = serving => Err(RunError::ServerStopped(ended.unwrap_or(Ok(())))),
     };
-    let _ = tokio::time::timeout(Duration::from_secs(1), raft.shutdown()).await;
-    ended
-}
-
-async fn run(asked: Asked) -> Result<(), String> {
-    match asked {
-        Asked::Serve(asked) => serve(asked).await,
-        Asked::Replace { at, replace } => {
-            match post::<_, String>(&http(), at, "/v1/replace", &replace).await? {
-                (200, words) => {
-                    println!("{words}");
-                    Ok(())
-                }
-                (_, words) => Err(words),
-            }
-        }
-        Asked::Version => {
-            println!("ashvane-keeper {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+    // What is agreed is on disk already.
+    let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
+    result
+}
+
+async fn start_raft(options: &ServeOptions, store: &KeeperStore) -> Result<Raft, RunError> {
+    let peers = Arc::new(options.keepers.clone());
+    let network = KeeperNetwork { own: options.id, http: http_client(), peers };
+    Raft::new(options.id, raft_config()?, network, store.clone(), store.clone())
+        .await
+        .map_err(|reason| RunError::Start(Box::new(reason)))
+}
+
+/// Gives Raft its first members, unless its log has members already.
+async fn initialize(raft: &Raft, keepers: &BTreeMap<u64, SocketAddr>) -> Result<(), RunError> {
+    if raft.is_initialized().await.map_err(|reason| RunError::Initialize(Box::new(reason)))? {
+        return Ok(());
+    }
+    let node = |(id, address): (&u64, &SocketAddr)| (*id, BasicNode { addr: address.to_string() });
+    let members: BTreeMap<u64, BasicNode> = keepers.iter().map(node).collect();
+    // All of them begin with the same members; which one is first makes no difference.
+    let _ = raft.initialize(members).await;
+    Ok(())
+}
+
+/// Waits until Raft cannot go on.
+async fn raft_failure(raft: &Raft) -> RunError {
+    let mut metrics = raft.metrics();
+    loop {
+        if let Err(reason) = &metrics.borrow_and_update().running_state {
+            return RunError::Raft(Box::new(reason.clone()));
         }
-        Asked::Help => {
-            print!("{HELP}");
-            Ok(())
+        if metrics.changed().await.is_err() {
+            return RunError::RaftStopped;
         }
     }
 }
 
+async fn replace(at: SocketAddr, request: &ReplaceRequest) -> Result<(), RunError> {
+    let response = post::<_, String>(&http_client(), at, "/v1/replace", request).await;
+    let PostResponse { status, body } = response.map_err(RunError::Call)?;
+    if status != 200 {
+        return Err(RunError::Rejected(body));
+    }
+    println!("{body}");
+    Ok(())
+}
+
+async fn run(command: CommandLine) -> Result<(), RunError> {
+    match command {
+        CommandLine::Serve(options) => return serve(options).await,
+        CommandLine::Replace { at, request } => return replace(at, &request).await,
+        CommandLine::Version => println!("ashvane-keeper {}", env!("CARGO_PKG_VERSION")),
+        CommandLine::Help => print!("{HELP}"),
+    }
+    Ok(())
+}
+
 fn main() -> ExitCode {
-    let asked = match asked() {
-        Ok(asked) => asked,
-        Err(words) => {
-            eprintln!("ashvane-keeper: {words}");
-            return ExitCode::from(USAGE);
+    let command = match parse_command_line() {
+        Ok(command) => command,
+        Err(reason) => {
+            eprintln!("ashvane-keeper: {reason}");
+            return ExitCode::from(STATUS_USAGE);
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    match runtime.map_err(|e| e.to_string()).and_then(|runtime| runtime.block_on(run(asked))) {
+    match runtime.map_err(RunError::Runtime).and_then(|runtime| runtime.block_on(run(command))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprintln!("ashvane-keeper: {words}");
-            ExitCode::from(CANNOT)
+        Err(reason) => {
+            eprintln!("ashvane-keeper: {reason}");
+            ExitCode::from(STATUS_FAILED)
         }
     }
 }
--- a/crates/keeper/tests/golden.rs
+++ b/crates/keeper/tests/golden.rs
@@ -4,12 +4,11 @@
 
 use std::path::PathBuf;
 
-use ashvane_fleet::record::{Lease, Table};
-use ashvane_fleet::roster::{Alive, Heard};
-use ashvane_fleet::{Command, Record, Reply, Stamp};
+use ashvane_fleet::roster::{AliveGatherers, LastHeard};
+use ashvane_fleet::{Command, FencingToken, Lease, LeaseRecord, Reply, Table};
 use ashvane_keeper::Types;
-use ashvane_keeper::server::{Answered, Asked, Call, Replace, Told};
-use ashvane_keeper::store::Applied;
+use ashvane_keeper::keeper_store::AppliedState;
+use ashvane_keeper::messages::{CallRequest, CallResponse, LeaseRequest, LeaseResponse, ReplaceRequest};
 use openraft::{CommittedLeaderId, Entry, EntryPayload, LogId};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -43,28 +42,28 @@
 
 fn commands() -> Vec<Command> {
     vec![
-        Command::Take { duty: roster(), who: who(), epoch: 3, beat: 7 },
-        Command::Renew { duty: roster(), who: who(), epoch: 4 },
-        Command::Give { duty: roster(), who: who(), epoch: 4 },
-        Command::Write { duty: roster(), epoch: 4, text: "{}".to_owned() },
+        Command::Acquire { role: roster(), owner: who(), epoch: 3, renewals: 7 },
+        Command::Renew { role: roster(), owner: who(), epoch: 4 },
+        Command::Release { role: roster(), owner: who(), epoch: 4 },
+        Command::Write { role: roster(), epoch: 4, text: "{}".to_owned() },
     ]
 }
 
 fn replies() -> Vec<Reply> {
     vec![
         Reply::Granted { epoch: 4 },
-        Reply::Given,
+        Reply::Released,
         Reply::Written { version: 9 },
         Reply::Fenced { epoch: 5 },
-        Reply::Refused { why: "too many duties".to_owned() },
+        Reply::Rejected { reason: "too many duties".to_owned() },
     ]
 }
 
-fn record() -> Record {
-    let owned = Lease { owner: Some(who()), epoch: 4, beat: 12 };
+fn record() -> LeaseRecord {
+    let owned = Lease { owner: Some(who()), epoch: 4, renewals: 12 };
     let table = Table { epoch: 4, version: 2, text: "{\"names\":[]}".to_owned() };
-    Record {
-        duties: [(roster(), owned), ("list".to_owned(), Lease::default())].into(),
+    LeaseRecord {
+        leases: [(roster(), owned), ("list".to_owned(), Lease::default())].into(),
         tables: [(roster(), table)].into(),
     }
 }
@@ -73,33 +72,39 @@
 fn the_record_and_its_commands_keep_their_form() {
     assert_golden("commands", &commands());
     assert_golden("replies", &replies());
-    assert_golden("record", &[Record::default(), record()]);
-    assert_golden("stamp", &[Stamp { duty: roster(), epoch: 4 }]);
-    assert_golden("heard", &[Heard([(who(), 120)].into())]);
-    assert_golden("alive", &[Alive { names: [who(), "n2".to_owned()].into() }]);
+    assert_golden("record", &[LeaseRecord::default(), record()]);
+    assert_golden("stamp", &[FencingToken { role: roster(), epoch: 4 }]);
+    assert_golden("heard", &[LastHeard([(who(), 120)].into())]);
+    assert_golden("alive", &[AliveGatherers { names: [who(), "n2".to_owned()].into() }]);
 }
 
 #[test]
 fn the_messages_between_gatherers_and_keepers_keep_their_form() {
-    assert_golden("call", &[Call { name: who(), seeks: None }, Call { name: who(), seeks: Some(roster()) }]);
-    let Record { duties, tables } = record();
-    let told = Told { keeper: 1, leader: Some(2), free: true, duties, tables };
+    assert_golden(
+        "call",
+        &[
+            CallRequest { name: who(), sought_role: None },
+            CallRequest { name: who(), sought_role: Some(roster()) },
+        ],
+    );
+    let LeaseRecord { leases, tables } = record();
+    let told = CallResponse { keeper: 1, leader: Some(2), is_offered: true, leases, tables };
     assert_golden("told", &[told]);
     let asked = vec![
-        Asked::Take { duty: roster(), who: who() },
-        Asked::Renew { duty: roster(), who: who(), epoch: 4 },
-        Asked::Give { duty: roster(), who: who(), epoch: 4 },
-        Asked::Write { duty: roster(), epoch: 4, text: "{}".to_owned() },
+        LeaseRequest::Acquire { role: roster(), owner: who() },
+        LeaseRequest::Renew { role: roster(), owner: who(), epoch: 4 },
+        LeaseRequest::Release { role: roster(), owner: who(), epoch: 4 },
+        LeaseRequest::Write { role: roster(), epoch: 4, text: "{}".to_owned() },
     ];
     assert_golden("asked", &asked);
-    let answered: Vec<Answered> = replies()
+    let answered: Vec<LeaseResponse> = replies()
         .into_iter()
-        .map(Answered::Reply)
-        .chain([Answered::Elsewhere { leader: Some(3) }, Answered::Elsewhere { leader: None }])
+        .map(LeaseResponse::Reply)
+        .chain([LeaseResponse::NotAgreed { leader: Some(3) }, LeaseResponse::NotAgreed { leader: None }])
         .collect();
     assert_golden("answered", &answered);
     let address = "127.0.0.1:9404".parse().expect("an address");
-    assert_golden("replace", &[Replace { out: 1, new: 4, address }]);
+    assert_golden("replace", &[ReplaceRequest { removed: 1, added: 4, address }]);
 }
 
 #[test]
@@ -110,6 +115,6 @@
     let mut entries: Vec<Entry<Types>> = commands().into_iter().zip(1..).map(entry).collect();
     entries.push(Entry { log_id: log_id(9), payload: EntryPayload::Blank });
     assert_golden("entries", &entries);
-    let applied = Applied { last: Some(log_id(9)), record: record(), ..Applied::default() };
-    assert_golden("snapshot", &[Applied::default(), applied]);
+    let applied = AppliedState { last: Some(log_id(9)), record: record(), ..AppliedState::default() };
+    assert_golden("snapshot", &[AppliedState::default(), applied]);
 }
--- a/crates/keeper/tests/keepers.rs
+++ b/crates/keeper/tests/keepers.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use ashvane_fleet::Reply;
-use ashvane_keeper::network::{Http, http, post};
-use ashvane_keeper::server::{Answered, Asked, Call, Told};
+use ashvane_keeper::keeper_network::{HttpClient, PostResponse, http_client, post};
+use ashvane_keeper::messages::{CallRequest, CallResponse, LeaseRequest, LeaseResponse};
 use tokio::time::{sleep, timeout};
 
 /// How long a test waits for what must come, and for one call.
@@ -20,7 +20,7 @@
     folder: PathBuf,
     addresses: BTreeMap<u64, SocketAddr>,
     children: BTreeMap<u64, Child>,
-    http: Http,
+    http: HttpClient,
 }
 
 impl Drop for Keepers {
@@ -46,7 +46,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let addresses = (1..=count).map(|id| (id, free(name))).collect();
-        let mut keepers = Keepers { folder, addresses, children: BTreeMap::new(), http: http() };
+        let mut keepers = Keepers { folder, addresses, children: BTreeMap::new(), http: http_client() };
         (1..=count).for_each(|id| keepers.start(id, &[]));
         keepers
     }
@@ -73,25 +73,29 @@
         }
     }
 
-    async fn told(&self, id: u64) -> Option<Told> {
-        let call = Call { name: "g".into(), seeks: None };
+    async fn answer_to_call(&self, id: u64) -> Option<CallResponse> {
+        let call = CallRequest { name: "g".into(), sought_role: None };
         timeout(CALL, post(&self.http, self.addresses[&id], "/v1/call", &call))
             .await
             .ok()?
             .ok()
-            .map(|(_, told)| told)
+            .map(|response| response.body)
     }
 
     /// Asks whoever leads, again and again until there is a reply.
-    async fn ask(&self, asked: Asked) -> Reply {
+    async fn ask(&self, asked: LeaseRequest) -> Reply {
         let end = Instant::now() + PATIENCE;
         let mut at = 1;
         loop {
             assert!(Instant::now() < end, "no reply to {asked:?}");
-            let call = post::<_, Answered>(&self.http, self.addresses[&at], "/v1/ask", &asked);
+            let call = post::<_, LeaseResponse>(&self.http, self.addresses[&at], "/v1/ask", &asked);
             match timeout(CALL, call).await {
-                Ok(Ok((_, Answered::Reply(reply)))) => return reply,
-                Ok(Ok((_, Answered::Elsewhere { leader: Some(leader) }))) if leader != at => at = leader,
+                Ok(Ok(PostResponse { body: LeaseResponse::Reply(reply), .. })) => return reply,
+                Ok(Ok(PostResponse { body: LeaseResponse::NotAgreed { leader: Some(leader) }, .. }))
+                    if leader != at =>
+                {
+                    at = leader
+                }
                 _ => {
                     at = at % self.addresses.len() as u64 + 1;
                     sleep(Duration::from_millis(30)).await;
@@ -104,7 +108,7 @@
         let end = Instant::now() + PATIENCE;
         loop {
             for id in self.children.keys() {
-                if let Some(leader) = self.told(*id).await.and_then(|told| told.leader)
+                if let Some(leader) = self.answer_to_call(*id).await.and_then(|told| told.leader)
                     && self.children.contains_key(&leader)
                 {
                     return leader;
@@ -116,16 +120,16 @@
     }
 }
 
-fn take(who: &str) -> Asked {
-    Asked::Take { duty: DUTY.into(), who: who.into() }
+fn take(owner: &str) -> LeaseRequest {
+    LeaseRequest::Acquire { role: DUTY.into(), owner: owner.into() }
 }
 
-fn renew(who: &str, epoch: u64) -> Asked {
-    Asked::Renew { duty: DUTY.into(), who: who.into(), epoch }
+fn renew(owner: &str, epoch: u64) -> LeaseRequest {
+    LeaseRequest::Renew { role: DUTY.into(), owner: owner.into(), epoch }
 }
 
-fn write(epoch: u64, text: &str) -> Asked {
-    Asked::Write { duty: DUTY.into(), epoch, text: text.into() }
+fn write(epoch: u64, text: &str) -> LeaseRequest {
+    LeaseRequest::Write { role: DUTY.into(), epoch, text: text.into() }
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -148,14 +152,14 @@
     assert_eq!(keepers.ask(renew("a", 1)).await, Reply::Fenced { epoch: 2 });
     assert_eq!(keepers.ask(write(2, "by b")).await, Reply::Written { version: 2 });
     // Handed over, the next one has it at once.
-    let give = Asked::Give { duty: DUTY.into(), who: "b".into(), epoch: 2 };
-    assert_eq!(keepers.ask(give).await, Reply::Given);
+    let give = LeaseRequest::Release { role: DUTY.into(), owner: "b".into(), epoch: 2 };
+    assert_eq!(keepers.ask(give).await, Reply::Released);
     assert_eq!(keepers.ask(write(2, "by b, late")).await, Reply::Fenced { epoch: 2 });
     assert_eq!(keepers.ask(take("c")).await, Reply::Granted { epoch: 3 });
     let long = "x".repeat(70_000);
-    assert!(matches!(keepers.ask(write(3, &long)).await, Reply::Refused { .. }));
-    let nameless = Asked::Renew { duty: String::new(), who: "c".into(), epoch: 3 };
-    assert!(matches!(keepers.ask(nameless).await, Reply::Refused { .. }));
+    assert!(matches!(keepers.ask(write(3, &long)).await, Reply::Rejected { .. }));
+    let nameless = LeaseRequest::Renew { role: String::new(), owner: "c".into(), epoch: 3 };
+    assert!(matches!(keepers.ask(nameless).await, Reply::Rejected { .. }));
 }
 
 /// Guards against a record that goes back when a keeper dies in the middle of a write. KILLS=500 by hand.
@@ -195,7 +199,7 @@
         keepers.start(id, &[]);
         // Whoever leads has all that was agreed; a keeper that has just started may be behind, never ahead.
         for id in 1..=3 {
-            let told = keepers.told(id).await;
+            let told = keepers.answer_to_call(id).await;
             let table = told.and_then(|told| told.tables.get(DUTY).cloned()).unwrap_or_default();
             assert!(table.version <= version && table.epoch <= epoch, "keeper {id} has {table:?}");
         }
@@ -205,7 +209,7 @@
     loop {
         let mut same = 0;
         for id in 1..=3 {
-            let table = keepers.told(id).await.and_then(|told| told.tables.get(DUTY).cloned());
+            let table = keepers.answer_to_call(id).await.and_then(|told| told.tables.get(DUTY).cloned());
             same += u32::from(table.is_some_and(|table| table.version >= version));
         }
         if same == 3 {
@@ -230,7 +234,7 @@
         let keepers = keepers.clone();
         tasks.spawn(async move {
             let (duty, who) = (format!("duty-{task}"), format!("owner-{task}"));
-            let take = Asked::Take { duty: duty.clone(), who: who.clone() };
+            let take = LeaseRequest::Acquire { role: duty.clone(), owner: who.clone() };
             let mut reply = keepers.ask(take.clone()).await;
             let mut done = 0;
             while done < each {
@@ -238,11 +242,11 @@
                     reply = keepers.ask(take.clone()).await;
                     continue;
                 };
-                let renew = Asked::Renew { duty: duty.clone(), who: who.clone(), epoch };
+                let renew = LeaseRequest::Renew { role: duty.clone(), owner: who.clone(), epoch };
                 let asking =
-                    post::<_, Answered>(&keepers.http, keepers.addresses[&leader], "/v1/ask", &renew);
+                    post::<_, LeaseResponse>(&keepers.http, keepers.addresses[&leader], "/v1/ask", &renew);
                 reply = match asking.await {
-                    Ok((_, Answered::Reply(reply))) => reply,
+                    Ok(PostResponse { body: LeaseResponse::Reply(reply), .. }) => reply,
                     _ => keepers.ask(renew).await,
                 };
                 done += 1;
@@ -344,7 +348,7 @@
     assert!(longest < Duration::from_secs(4), "a pause of {longest:?}");
     assert!(matches!(keepers.ask(write(epoch, "after")).await, Reply::Written { .. }));
     let end = Instant::now() + PATIENCE;
-    while keepers.told(4).await.is_none_or(|told| !told.tables.contains_key(DUTY)) {
+    while keepers.answer_to_call(4).await.is_none_or(|told| !told.tables.contains_key(DUTY)) {
         assert!(Instant::now() < end, "the new one has the record");
         sleep(Duration::from_millis(20)).await;
     }
--- a/crates/keeper/tests/store.rs
+++ b/crates/keeper/tests/store.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use ashvane_keeper::Types;
-use ashvane_keeper::store::Store;
+use ashvane_keeper::keeper_store::KeeperStore;
 use openraft::StorageError;
 use openraft::testing::{StoreBuilder, Suite};
 
@@ -20,12 +20,12 @@
 
 struct Builder;
 
-impl StoreBuilder<Types, Store, Store, Folder> for Builder {
-    async fn build(&self) -> Result<(Folder, Store, Store), StorageError<u64>> {
+impl StoreBuilder<Types, KeeperStore, KeeperStore, Folder> for Builder {
+    async fn build(&self) -> Result<(Folder, KeeperStore, KeeperStore), StorageError<u64>> {
         let number = STORES.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("ashvane-store-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let store = Store::open(&folder.join("keeper.redb"), false).expect("a store");
+        let store = KeeperStore::open(&folder.join("keeper.redb"), false).expect("a store");
         Ok((Folder(folder), store.clone(), store))
     }
 }
--- a/crates/script/src/schema.rs
+++ b/crates/script/src/schema.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use ashvane_config::{CapSettings, Fault, FleetSettings, LogForm, Settings};
-use ashvane_fleet::terms::{DRIFT_MOST, LEASE_LEAST, LEASE_MOST, keepers_faults};
+use ashvane_fleet::{MAX_DRIFT, MAX_LEASE, MIN_LEASE, keepers_faults};
 use ashvane_memory::{Limits, Purpose};
 use serde_json::Value as Json;
 
@@ -183,7 +183,7 @@
             keepers.iter().map(|(n, a): (&u64, &SocketAddr)| (*n, a.to_string())).collect();
         if named.len() == members.len() {
             let faults = keepers_faults(named.iter().map(|(number, address)| (*number, address.as_str())));
-            faults.into_iter().for_each(|words| self.wrong("keepers", words));
+            faults.into_iter().for_each(|fault| self.wrong("keepers", fault.to_string()));
         }
         keepers
     }
@@ -192,9 +192,9 @@
         self.keys(&["keepers", "lease_ms", "drift_ppm", "every_ms"]);
         self.required("keepers");
         let keepers = self.keepers();
-        let (least, most) = (LEASE_LEAST.as_millis() as u64, LEASE_MOST.as_millis() as u64);
+        let (least, most) = (MIN_LEASE.as_millis() as u64, MAX_LEASE.as_millis() as u64);
         let lease_ms = self.count("lease_ms", least, most, "milliseconds").unwrap_or(LEASE_MS);
-        let drift_most = (DRIFT_MOST * 1e6) as u64;
+        let drift_most = (MAX_DRIFT * 1e6) as u64;
         let drift_ppm = self.count("drift_ppm", 0, drift_most, "parts of a million").unwrap_or(DRIFT_PPM);
         // A candidate that calls more seldom than a lease would leave the duty without an owner for as long.
         let every_ms = self.count("every_ms", EVERY_LEAST_MS, lease_ms, "milliseconds").unwrap_or(EVERY_MS);
