--- a/crates/node/tests/glossary.rs
+++ b/crates/node/tests/glossary.rs
@@ -1,5 +1,5 @@
 //! Each name in the third column of `docs/GLOSSARY.md`, and each type, constant or method that `docs/ARCHITECTURE.md` names,
-//! stands in the code.
+//! stands in the code, and each log line that `docs/system/operators.md` explains is logged.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -68,3 +68,38 @@
     let missing: BTreeSet<&String> = names.iter().filter(|name| !words.contains(*name)).collect();
     assert!(names.len() > 60 && missing.is_empty(), "{} names, of which {missing:?}", names.len());
 }
+
+/// The text of all sources of the program.
+fn sources_of_program() -> String {
+    let mut files = vec![PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src")];
+    let mut text = String::new();
+    while let Some(path) = files.pop() {
+        if path.is_dir() {
+            files.extend(std::fs::read_dir(path).expect("a folder").flatten().map(|entry| entry.path()));
+        } else {
+            text.push_str(&std::fs::read_to_string(path).expect("a source file"));
+        }
+    }
+    text
+}
+
+#[test]
+fn the_operators_page_explains_each_log_line() {
+    let page = std::fs::read_to_string(repository().join("docs/system/operators.md")).expect("the page");
+    let (_, logs) = page.split_once("## Logs").expect("a part on logs");
+    let rows = logs.lines().filter(|line| line.starts_with("| `"));
+    let explained: BTreeSet<&str> = rows
+        .filter_map(|row| row.split('|').nth(1))
+        .flat_map(|cell| cell.split('`').skip(1).step_by(2))
+        .collect();
+    let sources = sources_of_program();
+    let is_logged = |line: &&&str| sources.contains(&format!("\"{line}\""));
+    let not_logged: Vec<&&str> = explained.iter().filter(|line| !is_logged(line)).collect();
+    assert!(not_logged.is_empty(), "explained, but not logged: {not_logged:?}");
+
+    let macros = ["info!(", "warn!(", "error!("];
+    let calls = macros.iter().flat_map(|name| sources.split(*name).skip(1));
+    let logged: BTreeSet<&str> = calls.filter_map(|call| call.split('"').nth(1)).collect();
+    let not_explained: Vec<&&str> = logged.iter().filter(|line| !explained.contains(**line)).collect();
+    assert!(logged.len() > 15 && not_explained.is_empty(), "not explained: {not_explained:?}");
+}
