--- a/crates/fleet/src/lease_record.rs
+++ b/crates/fleet/src/lease_record.rs
@@ -26,6 +26,12 @@
     pub renewals: u64,
 }
 
+impl Lease {
+    fn is_held_by(&self, owner: &str, epoch: u64) -> bool {
+        self.epoch == epoch && self.owner.as_deref() == Some(owner)
+    }
+}
+
 /// What an owner wrote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
@@ -72,45 +78,54 @@
         if let Some(reason) = self.rejects(command) {
             return Reply::Rejected { reason: reason.to_owned() };
         }
-        let lease = self.lease(command.role());
-        let fenced = Reply::Fenced { epoch: lease.epoch };
-        let is_owned_by =
-            |owner: &String, epoch: u64| lease.epoch == epoch && lease.owner.as_ref() == Some(owner);
         match command {
-            Command::Acquire { role, owner, epoch, renewals } => {
-                if lease.epoch != *epoch || lease.renewals != *renewals {
-                    return fenced;
-                }
-                let epoch = lease.epoch + 1;
-                self.set_lease(role, Lease { owner: Some(owner.clone()), epoch, renewals: 0 });
-                Reply::Granted { epoch }
-            }
-            Command::Renew { role, owner, epoch } => {
-                if !is_owned_by(owner, *epoch) {
-                    return fenced;
-                }
-                let renewals = lease.renewals + 1;
-                self.set_lease(role, Lease { renewals, ..lease });
-                Reply::Granted { epoch: *epoch }
-            }
-            Command::Release { role, owner, epoch } => {
-                if !is_owned_by(owner, *epoch) {
-                    return fenced;
-                }
-                // The renewals rise as well: what was judged before is not what holds now.
-                let renewals = lease.renewals + 1;
-                self.set_lease(role, Lease { owner: None, epoch: *epoch, renewals });
-                Reply::Released
-            }
-            Command::Write { role, epoch, text } => {
-                if lease.epoch != *epoch || lease.owner.is_none() {
-                    return fenced;
-                }
-                let table = self.tables.entry(role.clone()).or_default();
-                *table = Table { epoch: *epoch, version: table.version + 1, text: text.clone() };
-                Reply::Written { version: table.version }
-            }
+            Command::Acquire { role, owner, epoch, renewals } => self.acquire(role, owner, *epoch, *renewals),
+            Command::Renew { role, owner, epoch } => self.renew(role, owner, *epoch),
+            Command::Release { role, owner, epoch } => self.release(role, owner, *epoch),
+            Command::Write { role, epoch, text } => self.write(role, *epoch, text),
+        }
+    }
+
+    /// Granted only if the lease is still the one that was judged to be expired.
+    fn acquire(&mut self, role: &str, owner: &str, epoch: u64, renewals: u64) -> Reply {
+        let expired = self.lease(role);
+        if expired.epoch != epoch || expired.renewals != renewals {
+            return Reply::Fenced { epoch: expired.epoch };
+        }
+        let epoch = expired.epoch + 1;
+        self.set_lease(role, Lease { owner: Some(owner.to_owned()), epoch, renewals: 0 });
+        Reply::Granted { epoch }
+    }
+
+    fn renew(&mut self, role: &str, owner: &str, epoch: u64) -> Reply {
+        let lease = self.lease(role);
+        if !lease.is_held_by(owner, epoch) {
+            return Reply::Fenced { epoch: lease.epoch };
+        }
+        let renewals = lease.renewals + 1;
+        self.set_lease(role, Lease { renewals, ..lease });
+        Reply::Granted { epoch }
+    }
+
+    fn release(&mut self, role: &str, owner: &str, epoch: u64) -> Reply {
+        let lease = self.lease(role);
+        if !lease.is_held_by(owner, epoch) {
+            return Reply::Fenced { epoch: lease.epoch };
+        }
+        // The renewals rise as well: what was judged before is not what holds now.
+        let renewals = lease.renewals + 1;
+        self.set_lease(role, Lease { owner: None, epoch, renewals });
+        Reply::Released
+    }
+
+    fn write(&mut self, role: &str, epoch: u64, text: &str) -> Reply {
+        let lease = self.lease(role);
+        if lease.epoch != epoch || lease.owner.is_none() {
+            return Reply::Fenced { epoch: lease.epoch };
         }
+        let table = self.tables.entry(role.to_owned()).or_default();
+        *table = Table { epoch, version: table.version + 1, text: text.to_owned() };
+        Reply::Written { version: table.version }
     }
 
     fn set_lease(&mut self, role: &str, lease: Lease) {
--- a/crates/keeper/src/keeper_store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -191,6 +191,33 @@
     }
 }
 
+impl KeeperStore {
+    /// Applies one entry of the log. Entries that are no command have a reply that nobody reads.
+    fn apply_entry(&self, applied: &mut AppliedState, entry: Entry<Types>) -> Reply {
+        applied.last = Some(entry.log_id);
+        match entry.payload {
+            EntryPayload::Normal(command) => {
+                let reply = applied.record.apply(&command);
+                if self.trace {
+                    print_trace(entry.log_id.index, command.role(), &applied.record, &reply);
+                }
+                reply
+            }
+            EntryPayload::Membership(membership) => {
+                applied.membership = StoredMembership::new(Some(entry.log_id), membership);
+                Reply::Released
+            }
+            EntryPayload::Blank => Reply::Released,
+        }
+    }
+}
+
+/// Prints what is agreed: the entry's index, the role, its lease from then on, and the reply.
+fn print_trace(index: u64, role: &str, record: &LeaseRecord, reply: &Reply) {
+    let line = serde_json::json!({"at": index, "duty": role, "holds": record.lease(role), "reply": reply});
+    eprintln!("{line}");
+}
+
 impl RaftLogReader<Types> for KeeperStore {
     async fn try_get_log_entries<R: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self, range: R,
@@ -287,28 +314,7 @@
     {
         let mut state = self.state();
         let StoreState { applied, expiry, .. } = &mut *state;
-        let mut replies = Vec::new();
-        for entry in entries {
-            applied.last = Some(entry.log_id);
-            replies.push(match entry.payload {
-                EntryPayload::Normal(command) => {
-                    let reply = applied.record.apply(&command);
-                    if self.trace {
-                        let (at, role) = (entry.log_id.index, command.role());
-                        let lease = applied.record.lease(role);
-                        let line =
-                            serde_json::json!({"at": at, "duty": role, "holds": lease, "reply": reply});
-                        eprintln!("{line}");
-                    }
-                    reply
-                }
-                EntryPayload::Membership(membership) => {
-                    applied.membership = StoredMembership::new(Some(entry.log_id), membership);
-                    Reply::Released
-                }
-                EntryPayload::Blank => Reply::Released,
-            });
-        }
+        let replies = entries.into_iter().map(|entry| self.apply_entry(applied, entry)).collect();
         expiry.observe(&applied.record, clock::now());
         Ok(replies)
     }
