--- /dev/null
+++ b/crates/node/src/engine/config_events.rs
@@ -0,0 +1,50 @@
+//! The configuration: requested of a peer that announced a newer one, and put in force.
+
+use std::time::Duration;
+
+use ashvane_quorum::VersionedConfig;
+
+use super::{AnnouncedVersion, Command, Engine, LinkId, LogEvent};
+use crate::links::Message;
+
+impl Engine {
+    pub(super) fn config_requested(&mut self, link: LinkId, above: u64) {
+        let newer = self.config.chosen().filter(|chosen| chosen.version > above).cloned();
+        if let Some(config) = newer {
+            self.send(vec![link], Message::Config(config));
+        }
+    }
+
+    pub(super) fn request_config_if_newer(&mut self, announced: AnnouncedVersion, now: Duration) {
+        let above = self.version();
+        if announced.version <= above {
+            return;
+        }
+        if self.config_fetch.should_request(announced, self.update_source, &self.links, now) {
+            self.links.config_requested(announced.link);
+            self.send(vec![announced.link], Message::RequestConfig { above });
+        }
+    }
+
+    pub(super) fn config_received(&mut self, link: LinkId, config: VersionedConfig, now: Duration) {
+        self.config_fetch.received(link);
+        self.config_chosen(config, now);
+        if let Some(next) = self.config_fetch.next_after(self.version()) {
+            self.request_config_if_newer(next, now);
+        }
+    }
+
+    /// A configuration was chosen: from here on it is in force here.
+    pub(super) fn config_chosen(&mut self, chosen: VersionedConfig, now: Duration) {
+        let version = chosen.version;
+        let config = match self.config.apply(chosen, now) {
+            Ok(Some(config)) => config,
+            Ok(None) => return,
+            Err(reason) => return self.log(LogEvent::ConfigUnusable { version, reason }),
+        };
+        self.log(LogEvent::ConfigInForce { version });
+        self.commands.push(Command::ConfigureDataPlane(config));
+        self.send_digest(self.links.one_per_peer(), now);
+        self.sync_if_verified();
+    }
+}
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -18,10 +18,13 @@
 //! | singleton roles | [`OrphanMonitorRole`], [`MembershipRole`] |
 //! | hints for the next start | [`ServerHints`] |
 //!
-//! The engine itself only passes events to the concerns and joins what they decide.
+//! The engine itself only passes events to the concerns and joins what they decide: in `tick` those of time, in the files
+//! that end in `_events` all others.
 
 mod anti_entropy;
 mod command;
+mod comparison_events;
+mod config_events;
 mod config_fetch;
 mod config_in_force;
 mod dialer;
@@ -29,6 +32,7 @@
 mod link_events;
 mod link_table;
 mod log_event;
+mod membership_events;
 mod membership_role;
 mod operations;
 mod orphan_monitor_role;
@@ -39,15 +43,18 @@
 mod server_events;
 mod server_hints;
 mod status_report;
+mod tick;
+mod update_events;
 mod update_queue;
+mod verification_events;
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane_gossip::{Digest, Directory, Node, OrphanMonitorTerm, Server, Update};
+use ashvane_gossip::{Digest, Directory, Node, Server, Update};
 use ashvane_identifiers::{Address, DiskId, ServerId};
-use ashvane_quorum::membership_manager::{MembershipPolicy, MembershipView, ReplicaReport};
+use ashvane_quorum::membership_manager::MembershipPolicy;
 use ashvane_quorum::{Membership, Replica};
 
 pub use self::anti_entropy::{AntiEntropy, RepairContext};
@@ -287,151 +294,4 @@
         let hosts = self.seeds.iter().filter_map(host);
         hosts.map(|host| format!("{host}:{}", self.internal_port).into()).collect()
     }
-
-    /// Looks at all that depends on time. To be called each [`TICK_INTERVAL`](crate::agent::TICK_INTERVAL).
-    pub fn tick(&mut self, now: Duration) {
-        self.connect_to_peers(now);
-        self.select_update_source(now);
-        self.detect_failures(now);
-        self.claim_orphan_monitor_if_due(now);
-        self.detect_lost_servers(now);
-        self.answer_verifications(now);
-        self.count_wait();
-        self.refresh_register(now);
-        self.report_replica();
-        self.change_membership_if_due(now);
-        self.save_servers_if_due(now);
-        if self.anti_entropy.is_digest_due(now) {
-            let links = self.links.iter().map(|(id, _)| id).collect();
-            self.send_digest(links, now);
-        }
-    }
-
-    fn connect_to_peers(&mut self, now: Duration) {
-        self.dialer.expire(now);
-        let is_useful = |link: &Link| match self.register {
-            Some(_) => link.is_to_control_node(),
-            None => self.readiness.is_useful_to_gateway(link, now),
-        };
-        let is_isolated = !self.links.iter().any(|(_, link)| is_useful(link));
-        let context = DialContext {
-            directory: &self.directory,
-            links: &self.links,
-            max_failures: self.max_failures,
-            seeds: &self.seed_addresses(),
-            is_isolated,
-        };
-        for address in self.dialer.addresses_to_dial(context) {
-            if self.dialer.begin(&address, now) {
-                self.commands.push(Command::Connect(address));
-            }
-        }
-    }
-
-    fn detect_failures(&mut self, now: Duration) {
-        let has_contact = self.quorum_contact(now).exists();
-        for name in self.failure_detector.tick(has_contact, &self.links, now) {
-            let updates = self.directory.mark_down(&name, now);
-            if !updates.is_empty() {
-                self.log(LogEvent::NodeFailed { name });
-            }
-            self.spread(updates, None, now);
-        }
-    }
-
-    fn claim_orphan_monitor_if_due(&mut self, now: Duration) {
-        let is_first = self.is_control_node()
-            && self.quorum_contact(now).exists()
-            && is_first_control_node(&self.directory, &self.links);
-        let is_claimable = self.orphan_monitor.is_claimable(is_first, &self.directory);
-        if !is_claimable || !self.directory.has_orphans(now) {
-            return;
-        }
-        let Some(term) = self.directory.next_orphan_monitor_term() else { return };
-        self.orphan_monitor.claim_started();
-        self.apply_updates(vec![Update::OrphanMonitor(term.clone())], None, now);
-        self.commands.push(Command::ClaimOrphanMonitor(term));
-    }
-
-    /// A quorum has applied the term of a claim, or has not in time.
-    pub fn orphan_monitor_claim_ended(&mut self, term: OrphanMonitorTerm, is_acknowledged: bool) {
-        if is_acknowledged {
-            self.log(LogEvent::OrphanMonitorClaimed { term: term.clone() });
-        }
-        self.orphan_monitor.claim_ended(term, is_acknowledged);
-    }
-
-    fn detect_lost_servers(&mut self, now: Duration) {
-        let has_contact = self.quorum_contact(now).exists();
-        let authority = self.orphan_monitor.authority(has_contact, &self.directory);
-        let updates = self.directory.tick(&authority, now);
-        self.spread(updates, None, now);
-    }
-
-    fn count_wait(&mut self) {
-        if self.readiness.tick() == WaitState::GivenUp {
-            self.log(LogEvent::QuorumWaitGivenUp);
-        }
-    }
-
-    fn save_servers_if_due(&mut self, now: Duration) {
-        if self.is_control_node() && self.server_hints.should_save(self.directory.revision(), now) {
-            let servers = self.directory.running_servers().cloned().collect();
-            self.commands.push(Command::SaveServers(servers));
-        }
-    }
-
-    /// What this process reports of its own disk.
-    fn replica_report(&self) -> Option<ReplicaReport> {
-        let register = self.register.as_ref()?;
-        Some(ReplicaReport { progress: register.synced(), is_shutting_down: self.is_shutting_down })
-    }
-
-    /// Tells the other control nodes what this disk holds, where that has changed.
-    fn report_replica(&mut self) {
-        let Some(report) = self.replica_report() else { return };
-        if self.membership_role.report_changed(report) {
-            let control_nodes = self.links.to_control_nodes().map(|(id, _)| id).collect();
-            self.send(control_nodes, Message::ReplicaReport(report));
-        }
-    }
-
-    /// Sees to it that the members are replicas that live, where that is this process's role.
-    fn change_membership_if_due(&mut self, now: Duration) {
-        if !self.is_control_node() {
-            return;
-        }
-        let live = live_replicas(&self.directory, &self.links, self.replica_report(), now);
-        let membership = self.membership().unwrap_or_default();
-        let own = self.own_disk().cloned().unwrap_or_default();
-        let view = MembershipView { membership: &membership, live: &live };
-        let Some(next) = self.membership_role.plan_change(&own, view, now) else { return };
-        let disks = next.iter().map(|member| member.disk.clone()).collect();
-        self.log(LogEvent::MembershipChanging { epoch: membership.epoch + 1, disks });
-        self.membership_role.change_started();
-        let Some(register) = &mut self.register else { return };
-        let started = register.change_membership(membership, next, now);
-        self.perform(started.commands, now);
-        self.commands.push(Command::AwaitMembershipChange(started.outcome));
-    }
-
-    /// A membership change of this process has ended; none if it took too long.
-    pub fn membership_change_ended(&mut self, membership: Option<Membership>, now: Duration) {
-        if let Some(membership) = membership {
-            self.log(LogEvent::MembershipChanged { epoch: membership.epoch });
-            self.apply_updates(vec![Update::Membership(membership)], None, now);
-        }
-        self.membership_role.change_ended();
-    }
-
-    /// Whether this process, which is shutting down, leaves nothing undone in the membership.
-    #[must_use]
-    pub fn may_shut_down(&self, now: Duration) -> bool {
-        let Some(register) = &self.register else { return true };
-        let live = live_replicas(&self.directory, &self.links, self.replica_report(), now);
-        let membership = self.membership().unwrap_or_default();
-        let own = self.own_disk().cloned().unwrap_or_default();
-        let view = MembershipView { membership: &membership, live: &live };
-        self.membership_role.may_shut_down(&own, register, view)
-    }
 }
--- /dev/null
+++ b/crates/node/src/engine/update_events.rs
@@ -0,0 +1,96 @@
+//! Updates: applied where they are newer, spread to those that have not heard them.
+
+use std::time::Duration;
+
+use ashvane_gossip::Update;
+
+use super::{Command, Engine, FlushTime, Link, LinkId, QueuedUpdates, UpdateOrigin};
+use crate::links::Message;
+
+impl Engine {
+    pub(super) fn updates_received(
+        &mut self, link: LinkId, number: u64, updates: Vec<Update>, now: Duration,
+    ) {
+        let is_answer_wanted = number > 0;
+        let wanted = is_answer_wanted.then(|| updates.clone());
+        self.apply_updates(updates, Some(link), now);
+        if let Some(updates) = wanted {
+            let is_applied = updates.iter().all(|update| self.directory.has_applied(update));
+            let epoch = self.directory.membership().epoch;
+            self.send(vec![link], Message::UpdateApplied { number, is_applied, epoch });
+        }
+    }
+
+    /// Applies updates that are newer, and spreads them. Whoever sends as running what is gone is told so over the same
+    /// link.
+    pub(super) fn apply_updates(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
+        if let Some(link) = from {
+            self.refute(link, &updates);
+        }
+        let changed: Vec<Update> =
+            updates.into_iter().flat_map(|update| self.directory.apply(update, now)).collect();
+        let is_membership_changed = changed.iter().any(|update| matches!(update, Update::Membership(_)));
+        self.spread(changed, from, now);
+        if is_membership_changed {
+            self.acknowledgements_need_next_membership();
+        }
+    }
+
+    fn refute(&mut self, link: LinkId, updates: &[Update]) {
+        let refutations: Vec<Update> =
+            updates.iter().filter_map(|update| self.directory.refutation_of(update)).collect();
+        if !refutations.is_empty() {
+            self.send(vec![link], Message::Update { number: 0, updates: refutations });
+        }
+    }
+
+    /// Tells others what changed here; `from` is the link over which it came.
+    pub(super) fn spread(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
+        if updates.is_empty() {
+            return;
+        }
+        if self.has_data_plane {
+            let gateways = self.directory.gateways_sharing_budgets(now);
+            self.commands.push(Command::UpdateDataPlane { updates: updates.clone(), gateways });
+        }
+        self.server_hints.observe(&updates);
+        let is_from_control_node =
+            from.and_then(|link| self.links.get(link)).is_some_and(Link::is_to_control_node);
+        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Here };
+        self.update_queue.push(updates, origin);
+        self.flush_updates(now);
+    }
+
+    /// Sends the updates that wait, or asks for a timer.
+    pub fn flush_updates(&mut self, now: Duration) {
+        match self.update_queue.flush_time(now) {
+            FlushTime::Nothing => {}
+            FlushTime::At(time) => self.commands.push(Command::FlushUpdatesAt(time)),
+            FlushTime::Now => {
+                let queued = self.update_queue.take(now);
+                self.send_updates(queued);
+            }
+        }
+    }
+
+    /// Control nodes tell each other what is new to one of them, and their subscribers; a gateway tells its update source.
+    /// Whoever is missed finds out by the next digests.
+    fn send_updates(&mut self, queued: QueuedUpdates) {
+        let QueuedUpdates { for_all, for_subscribers } = queued;
+        let to_all = match self.is_control_node() {
+            true => self.links.to_control_nodes().map(|(id, _)| id).collect(),
+            false => self.update_source.into_iter().collect(),
+        };
+        if !for_all.is_empty() {
+            self.send(to_all, Message::Update { number: 0, updates: for_all.clone() });
+        }
+        if !self.is_control_node() {
+            return;
+        }
+        let is_subscriber = |link: &Link| !link.is_to_control_node() && link.is_subscribed;
+        let subscribers =
+            self.links.iter().filter(|(_, link)| is_subscriber(link)).map(|(id, _)| id).collect();
+        let updates = for_all.into_iter().chain(for_subscribers).collect();
+        self.send(subscribers, Message::Update { number: 0, updates });
+    }
+}
--- /dev/null
+++ b/crates/node/src/engine/verification_events.rs
@@ -0,0 +1,56 @@
+//! Questions of gateways that start, whether a control node is in contact with a quorum, and the answers.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use ashvane_gossip::Digest;
+
+use super::{Command, Engine, LinkId, VerificationQuestion};
+use crate::links::Message;
+
+impl Engine {
+    /// A gateway that starts asks each control node that it is linked to.
+    pub(super) fn verify_control_nodes(&mut self, now: Duration) {
+        for id in self.readiness.links_to_verify(&self.links, now) {
+            let number = self.next_message_number();
+            self.send(vec![id], Message::VerifyQuorum { number });
+            if let Some(link) = self.links.get_mut(id) {
+                link.verification = Some(VerificationQuestion { number, asked_at: now });
+            }
+        }
+    }
+
+    /// Asks, or answers those that ask.
+    pub(super) fn answer_verifications(&mut self, now: Duration) {
+        self.verify_control_nodes(now);
+        if !self.quorum_contact(now).has_caught_up() {
+            return;
+        }
+        if let Some(questions) = self.verification_questions.begin() {
+            self.commands.push(Command::VerifyQuorum(questions));
+        }
+    }
+
+    /// The register was read for these questions, or could not be. Those that get no answer ask again.
+    pub fn verification_ended(&mut self, questions: BTreeMap<LinkId, u64>, has_read: bool, now: Duration) {
+        if has_read && self.quorum_contact(now).has_caught_up() {
+            let digest = self.digest(now);
+            for (link, number) in questions {
+                self.send(vec![link], Message::QuorumVerified { number, digest });
+            }
+        }
+        self.verification_questions.end();
+        self.answer_verifications(now);
+    }
+
+    /// A control node has compared itself with a quorum after this gateway asked it, and knew this.
+    pub(super) fn quorum_verified(&mut self, id: LinkId, number: u64, digest: Digest, now: Duration) {
+        let Some(link) = self.links.get_mut(id) else { return };
+        if link.verification.is_none_or(|question| question.number != number) {
+            return;
+        }
+        link.verified_version = Some(digest.version);
+        link.has_compared = false;
+        self.digest_received(id, digest, now);
+    }
+}
