--- a/crates/node/src/agent/commands.rs
+++ b/crates/node/src/agent/commands.rs
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, sleep_until};
 
 use super::Agent;
-use crate::engine::{Command, Engine, LinkId, OnceSynced, SyncedResponse, UnsyncedResponse};
-use crate::links::{self, Message, codec};
+use crate::engine::{Command, Engine, OnceSynced, SyncedResponse, UnsyncedResponse};
+use crate::links::{self, LinkId, Message, codec};
 
 impl Agent {
     pub(super) fn execute(self: &Rc<Self>, commands: Vec<Command>) {
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -23,16 +23,13 @@
 use crate::config::Config;
 use crate::data_plane::DataPlane;
 use crate::disk::Disk;
-use crate::engine::{Engine, LinkId, Receipt, StatusContext, Traffic};
+use crate::engine::{Engine, Receipt, StatusContext, Traffic};
 use crate::links::codec::DecodeError;
-use crate::links::{ConnectionHandler, ConnectionState, Direction, Message, MessageQueue, Transport};
+use crate::links::{ConnectionHandler, ConnectionState, Direction, LinkId, Message, MessageQueue, Transport};
 use crate::settings::Settings;
 
 pub use operator_calls::{NoQuorum, PutOutcome};
 
-/// How often a process looks at its links, its servers and its roles.
-pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
-
 /// What a control node has on its disk.
 pub struct LocalReplica {
     /// The replica as the disk has it.
@@ -152,7 +149,7 @@
         self.engine.borrow().may_shut_down(self.now())
     }
 
-    /// To be called each [`TICK_INTERVAL`].
+    /// To be called each [`TICK_INTERVAL`](crate::engine::TICK_INTERVAL).
     pub fn tick(self: &Rc<Self>) {
         self.handle(Engine::tick);
     }
--- a/crates/node/src/engine/command.rs
+++ b/crates/node/src/engine/command.rs
@@ -10,9 +10,9 @@
 use ashvane_quorum::{Outcome, Response};
 use tokio::sync::oneshot;
 
-use super::{LinkId, LogEvent, UnsyncedResponse};
+use super::{LogEvent, UnsyncedResponse};
 use crate::config::Config;
-use crate::links::Message;
+use crate::links::{LinkId, Message};
 
 /// What is done with a response of the own replica once its state is on disk.
 #[derive(Clone, Debug)]
--- a/crates/node/src/engine/comparison_events.rs
+++ b/crates/node/src/engine/comparison_events.rs
@@ -4,8 +4,8 @@
 
 use ashvane_gossip::{BucketDigests, Digest, RankSummary};
 
-use super::{AnnouncedVersion, Engine, LinkId, LogEvent, RepairContext};
-use crate::links::Message;
+use super::{AnnouncedVersion, Engine, LogEvent, RepairContext};
+use crate::links::{LinkId, Message};
 
 impl Engine {
     pub(super) fn send_digest(&mut self, links: Vec<LinkId>, now: Duration) {
--- a/crates/node/src/engine/config_events.rs
+++ b/crates/node/src/engine/config_events.rs
@@ -4,8 +4,8 @@
 
 use ashvane_quorum::VersionedConfig;
 
-use super::{AnnouncedVersion, Command, Engine, LinkId, LogEvent};
-use crate::links::Message;
+use super::{AnnouncedVersion, Command, Engine, LogEvent};
+use crate::links::{LinkId, Message};
 
 impl Engine {
     pub(super) fn config_requested(&mut self, link: LinkId, above: u64) {
--- a/crates/node/src/engine/config_fetch.rs
+++ b/crates/node/src/engine/config_fetch.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{LinkId, LinkTable};
+use super::LinkTable;
+use crate::links::LinkId;
 
 /// Time after which a configuration that was requested and has not come is requested of another process.
 const REQUEST_ELSEWHERE_AFTER: Duration = Duration::from_millis(400);
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -5,8 +5,8 @@
 use ashvane_gossip::{Node, Update, select_peers};
 use ashvane_identifiers::Address;
 
-use super::{Command, Engine, LinkId, RequestPath, UpdateAnswer};
-use crate::links::{Direction, Message};
+use super::{Command, Engine, RequestPath, UpdateAnswer};
+use crate::links::{Direction, LinkId, Message};
 
 impl Engine {
     /// A peer has presented itself on a new connection.
--- a/crates/node/src/engine/link_table.rs
+++ b/crates/node/src/engine/link_table.rs
@@ -1,7 +1,6 @@
 //! The links to other processes, as this process keeps them.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::time::Duration;
 
 use ashvane_gossip::Node;
@@ -9,23 +8,7 @@
 use ashvane_quorum::membership_manager::ReplicaReport;
 
 use crate::links::codec::DecodeError;
-use crate::links::{Direction, Message, PEER_TIMEOUT};
-
-/// Identifies a link: one connection to one incarnation of a peer. Never given again within an incarnation of this process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(u64);
-
-impl From<u64> for LinkId {
-    fn from(number: u64) -> Self {
-        LinkId(number)
-    }
-}
-
-impl fmt::Display for LinkId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.fmt(f)
-    }
-}
+use crate::links::{Direction, LinkId, Message, PEER_TIMEOUT};
 
 /// The question whether a control node is in contact with a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -191,7 +174,7 @@
     /// A peer has presented itself.
     pub fn open(&mut self, peer: Node, direction: Direction, now: Duration) -> LinkId {
         self.last_id += 1;
-        let id = LinkId(self.last_id);
+        let id = LinkId::from(self.last_id);
         let link = Link {
             peer,
             direction,
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -63,9 +63,7 @@
 pub use self::config_in_force::{ConfigInForce, UnusableConfig};
 pub use self::dialer::{DialContext, Dialer};
 pub use self::failure_detector::FailureDetector;
-pub use self::link_table::{
-    Link, LinkId, LinkTable, Receipt, Traffic, TrafficCounters, VerificationQuestion,
-};
+pub use self::link_table::{Link, LinkTable, Receipt, Traffic, TrafficCounters, VerificationQuestion};
 pub use self::log_event::LogEvent;
 pub use self::membership_role::{MembershipRole, live_replicas, newest_membership};
 pub use self::orphan_monitor_role::{OrphanMonitorRole, is_first_control_node};
@@ -82,9 +80,12 @@
 pub use self::update_queue::{FlushTime, QueuedUpdates, UpdateOrigin, UpdateQueue};
 
 use crate::config::Config;
-use crate::links::Message;
+use crate::links::{LinkId, Message};
 use crate::settings::Settings;
 
+/// How often a process looks at its links, its servers and its roles: [`Engine::tick`].
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
+
 /// What one process knows of the system and decides for it.
 pub struct Engine {
     /// How many machines may fail at once.
--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -8,10 +8,10 @@
 use tokio::sync::oneshot;
 
 use super::{
-    Command, Engine, LinkId, OnceSynced, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
+    Command, Engine, OnceSynced, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
     SyncedResponse, UnsyncedResponse,
 };
-use crate::links::Message;
+use crate::links::{LinkId, Message};
 
 impl Engine {
     /// Starts to have a configuration chosen. None where that cannot end: this is no control node, or no quorum of the
--- a/crates/node/src/engine/quorum_acknowledgement.rs
+++ b/crates/node/src/engine/quorum_acknowledgement.rs
@@ -2,12 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use crate::links::LinkId;
 use ashvane_gossip::Update;
 use ashvane_quorum::{DiskId, Membership};
 use tokio::sync::oneshot;
 
-use super::LinkId;
-
 /// A control node that is linked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkedReplica {
--- a/crates/node/src/engine/readiness.rs
+++ b/crates/node/src/engine/readiness.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Link, LinkId, LinkTable};
-use crate::agent::TICK_INTERVAL;
+use super::{Link, LinkTable, TICK_INTERVAL};
+use crate::links::LinkId;
 
 /// Time after which a gateway asks a control node again whether it is in contact with a quorum: a read of the register takes
 /// less.
--- a/crates/node/src/engine/register.rs
+++ b/crates/node/src/engine/register.rs
@@ -4,6 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::links::LinkId;
 use ashvane_identifiers::Address;
 use ashvane_quorum::membership_manager::ReplicaProgress;
 use ashvane_quorum::{
@@ -12,8 +13,6 @@
 };
 use tokio::sync::oneshot;
 
-use super::LinkId;
-
 /// Time after which a call of an operator is answered that its outcome is not known: callers go on elsewhere after a second
 /// without an answer.
 pub const OPERATION_TIMEOUT: Duration = Duration::from_millis(700);
--- a/crates/node/src/engine/server_events.rs
+++ b/crates/node/src/engine/server_events.rs
@@ -6,8 +6,8 @@
 use ashvane_identifiers::ServerId;
 use tokio::sync::oneshot;
 
-use super::{Engine, LinkId, LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
-use crate::links::Message;
+use super::{Engine, LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+use crate::links::{LinkId, Message};
 
 /// An update that waits for a quorum of the members to apply it.
 pub struct PendingAcknowledgement {
--- a/crates/node/src/engine/tick.rs
+++ b/crates/node/src/engine/tick.rs
@@ -7,7 +7,7 @@
 use super::{Command, DialContext, Engine, Link, LogEvent, WaitState, is_first_control_node};
 
 impl Engine {
-    /// Looks at all that depends on time. To be called each [`TICK_INTERVAL`](crate::agent::TICK_INTERVAL).
+    /// Looks at all that depends on time. To be called each [`TICK_INTERVAL`](super::TICK_INTERVAL).
     pub fn tick(&mut self, now: Duration) {
         self.connect_to_peers(now);
         self.select_update_source(now);
--- a/crates/node/src/engine/update_events.rs
+++ b/crates/node/src/engine/update_events.rs
@@ -4,8 +4,8 @@
 
 use ashvane_gossip::Update;
 
-use super::{Command, Engine, FlushTime, Link, LinkId, QueuedUpdates, UpdateOrigin};
-use crate::links::Message;
+use super::{Command, Engine, FlushTime, Link, QueuedUpdates, UpdateOrigin};
+use crate::links::{LinkId, Message};
 
 impl Engine {
     pub(super) fn updates_received(
--- a/crates/node/src/engine/verification_events.rs
+++ b/crates/node/src/engine/verification_events.rs
@@ -5,8 +5,8 @@
 
 use ashvane_gossip::Digest;
 
-use super::{Command, Engine, LinkId, VerificationQuestion};
-use crate::links::Message;
+use super::{Command, Engine, VerificationQuestion};
+use crate::links::{LinkId, Message};
 
 impl Engine {
     /// A gateway that starts asks each control node that it is linked to.
--- a/crates/node/src/links/connection.rs
+++ b/crates/node/src/links/connection.rs
@@ -12,8 +12,7 @@
 use tokio::time::timeout;
 
 use super::codec::{self, DecodeError};
-use super::{Message, Transport};
-use crate::engine::LinkId;
+use super::{LinkId, Message, Transport};
 
 /// A peer that sends nothing for this long is taken for lost: it sends digests each second.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(2600);
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -10,11 +10,13 @@
 pub mod codec;
 
 mod connection;
+mod link_id;
 mod message;
 mod transport;
 
 pub use connection::{
     ConnectionHandler, ConnectionState, Direction, MessageQueue, PEER_TIMEOUT, connect, run,
 };
+pub use link_id::LinkId;
 pub use message::Message;
 pub use transport::{Connecting, Halves, TcpTransport, Transport, split_socket};
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -18,9 +18,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, Interval, MissedTickBehavior, interval, sleep};
 
-use crate::agent::{Agent, AgentParts, LocalReplica, TICK_INTERVAL};
+use crate::agent::{Agent, AgentParts, LocalReplica};
 use crate::data_plane::DataPlane;
 use crate::disk::Disk;
+use crate::engine::TICK_INTERVAL;
 use crate::front::{self, Door};
 use crate::links::{self, Direction, TcpTransport, split_socket};
 use crate::settings::Settings;
--- a/crates/node/tests/engine.rs
+++ b/crates/node/tests/engine.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Directory, Node, Update};
-use ashvane_node::engine::{LinkId, LinkTable};
-use ashvane_node::links::Direction;
+use ashvane_node::engine::LinkTable;
+use ashvane_node::links::{Direction, LinkId};
 use ashvane_quorum::{Member, Membership};
 
 const fn ms(ms: u64) -> Duration {
--- a/crates/node/tests/engine/events.rs
+++ b/crates/node/tests/engine/events.rs
@@ -2,8 +2,8 @@
 
 use ashvane_gossip::{Digest, Update};
 use ashvane_identifiers::Address;
-use ashvane_node::engine::{Command, Engine, LinkId};
-use ashvane_node::links::{Direction, Message};
+use ashvane_node::engine::{Command, Engine};
+use ashvane_node::links::{Direction, LinkId, Message};
 use ashvane_node::settings::Settings;
 use ashvane_quorum::Replica;
 
--- a/crates/node/tests/engine/roles.rs
+++ b/crates/node/tests/engine/roles.rs
@@ -1,7 +1,7 @@
 //! Contact with a quorum, readiness, the singleton roles, hints.
 
 use ashvane_gossip::{Liveness, LivenessAuthority, OrphanMonitorTerm, Server, ServerState, Update};
-use ashvane_node::agent::TICK_INTERVAL;
+use ashvane_node::engine::TICK_INTERVAL;
 use ashvane_node::engine::{
     LinkTable, OrphanMonitorRole, QuorumContact, Readiness, ServerHints, VerificationQuestion,
     VerificationQuestions, WaitState, is_first_control_node,
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -7,12 +7,10 @@
 
 use ashvane_gossip::Node;
 use ashvane_identifiers::Address;
-use ashvane_node::engine::{
-    LinkId, LinkTable, Receipt, Register, RegisterCommands, RequestPath, StartedOperation,
-};
+use ashvane_node::engine::{LinkTable, Receipt, Register, RegisterCommands, RequestPath, StartedOperation};
 use ashvane_node::links::codec::DecodeError;
 use ashvane_node::links::{
-    self, Connecting, ConnectionHandler, ConnectionState, Direction, Message, MessageQueue, Transport,
+    self, Connecting, ConnectionHandler, ConnectionState, Direction, LinkId, Message, MessageQueue, Transport,
 };
 use ashvane_quorum::{
     ContentDigest, Member, Membership, Outcome, Replica, SubmissionStatus, VersionedConfig,
--- a/crates/node/tests/quorum_acknowledgement.rs
+++ b/crates/node/tests/quorum_acknowledgement.rs
@@ -1,7 +1,8 @@
 //! Which answers make up the majority that an acknowledgement waits for.
 
 use ashvane_gossip::{OrphanMonitorTerm, Update};
-use ashvane_node::engine::{LinkId, LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+use ashvane_node::engine::{LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+use ashvane_node::links::LinkId;
 use ashvane_quorum::{DiskId, Member, Membership};
 use tokio::sync::oneshot::{self, Receiver};
 
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -11,9 +11,10 @@
 use std::time::Duration;
 
 use ashvane_gossip::{Heartbeat, ServerState};
-use ashvane_node::agent::{Agent, AgentParts, LocalReplica, PutOutcome, TICK_INTERVAL};
+use ashvane_node::agent::{Agent, AgentParts, LocalReplica, PutOutcome};
 use ashvane_node::data_plane::DataPlane;
 use ashvane_node::disk::{Disk, StoredState};
+use ashvane_node::engine::TICK_INTERVAL;
 use ashvane_node::front::Door;
 use ashvane_node::links::{Connecting, Transport};
 use ashvane_node::program::{own_node, recover_replica};
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -13,8 +13,9 @@
 use std::time::Duration;
 
 use ashvane_identifiers::Address;
-use ashvane_node::agent::{Agent, AgentParts, LocalReplica, TICK_INTERVAL};
+use ashvane_node::agent::{Agent, AgentParts, LocalReplica};
 use ashvane_node::disk::{Disk, StoredState};
+use ashvane_node::engine::TICK_INTERVAL;
 use ashvane_node::front::Door;
 use ashvane_node::links::{self, Connecting, Halves, Transport};
 use ashvane_node::program::{GracefulShutdown, own_node, recover_replica};
