--- a/crates/keeper/src/keeper_store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -86,8 +86,16 @@
 pub struct KeeperStore {
     database: Arc<Database>,
     state: Arc<Mutex<StoreState>>,
-    /// What is agreed is printed.
-    trace: bool,
+    trace: Trace,
+}
+
+/// Whether what is agreed is printed on standard error, one JSON object a line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Trace {
+    /// Each command, with the lease from then on and the reply.
+    On,
+    /// Nothing.
+    Off,
 }
 
 /// Runs what waits for the disk without holding up the other tasks of this thread.
@@ -104,17 +112,16 @@
 }
 
 impl KeeperStore {
-    /// Opens the file, or makes it. One with a torn last write is as it was before that write. With `trace`, what is agreed
-    /// is printed on standard error, one JSON object a line.
+    /// Opens the file, or makes it. One with a torn last write is as it was before that write.
     ///
     /// # Errors
     ///
     /// Where the file cannot be opened or read.
-    pub fn open(path: &Path, trace: bool) -> Result<KeeperStore, OpenStoreError> {
+    pub fn open(path: &Path, trace: Trace) -> Result<KeeperStore, OpenStoreError> {
         KeeperStore::try_open(path, trace).map_err(|reason| OpenStoreError { path: path.to_owned(), reason })
     }
 
-    fn try_open(path: &Path, trace: bool) -> Result<KeeperStore, DatabaseError> {
+    fn try_open(path: &Path, trace: Trace) -> Result<KeeperStore, DatabaseError> {
         let database = Database::builder().set_cache_size(CACHE_SIZE).create(path)?;
         let store = KeeperStore { database: Arc::new(database), state: Arc::default(), trace };
         let write = store.database.begin_write()?;
@@ -198,7 +205,7 @@
         match entry.payload {
             EntryPayload::Normal(command) => {
                 let reply = applied.record.apply(&command);
-                if self.trace {
+                if self.trace == Trace::On {
                     print_trace(entry.log_id.index, command.role(), &applied.record, &reply);
                 }
                 reply
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -13,7 +13,7 @@
 use ashvane_keeper::Raft;
 use ashvane_keeper::keeper_network::{KeeperNetwork, PostError, PostResponse, http_client, post};
 use ashvane_keeper::keeper_server::KeeperServer;
-use ashvane_keeper::keeper_store::{KeeperStore, OpenStoreError};
+use ashvane_keeper::keeper_store::{KeeperStore, OpenStoreError, Trace};
 use ashvane_keeper::messages::ReplaceRequest;
 use openraft::error::Fatal;
 use openraft::{BasicNode, Config, SnapshotPolicy};
@@ -68,7 +68,7 @@
     keepers: BTreeMap<u64, SocketAddr>,
     terms: LeaseTerms,
     joins: bool,
-    trace: bool,
+    trace: Trace,
 }
 
 enum CommandLine {
@@ -236,7 +236,7 @@
         keepers: arguments.value_from_fn("--keepers", parse_keepers)?,
         terms,
         joins: arguments.contains("--join"),
-        trace: arguments.contains("--trace"),
+        trace: if arguments.contains("--trace") { Trace::On } else { Trace::Off },
     };
     if !options.keepers.contains_key(&options.id) && !options.joins {
         return Err(UsageError::NotNamed(options.id));
--- a/crates/keeper/tests/store.rs
+++ b/crates/keeper/tests/store.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use ashvane_keeper::Types;
-use ashvane_keeper::keeper_store::KeeperStore;
+use ashvane_keeper::keeper_store::{KeeperStore, Trace};
 use openraft::StorageError;
 use openraft::testing::{StoreBuilder, Suite};
 
@@ -25,7 +25,7 @@
         let number = STORES.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("ashvane-store-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let store = KeeperStore::open(&folder.join("keeper.redb"), false).expect("a store");
+        let store = KeeperStore::open(&folder.join("keeper.redb"), Trace::Off).expect("a store");
         Ok((Folder(folder), store.clone(), store))
     }
 }
--- a/crates/node/src/agent/commands.rs
+++ b/crates/node/src/agent/commands.rs
@@ -10,7 +10,9 @@
 use tokio::time::{sleep, sleep_until};
 
 use super::Agent;
-use crate::engine::{Command, Engine, OnceSynced, SyncedResponse, UnsyncedResponse};
+use crate::engine::{
+    ClaimResult, Command, Engine, OnceSynced, SyncedResponse, UnsyncedResponse, VerificationRead,
+};
 use crate::links::{self, LinkId, Message, codec};
 
 impl Agent {
@@ -45,12 +47,18 @@
                 agent.handle(|engine, _| engine.background_read_ended());
             }),
             Command::VerifyQuorum(questions) => self.spawn(async move |agent| {
-                let has_read = agent.read_newest().await.is_ok();
-                agent.handle(|engine, now| engine.verification_ended(questions, has_read, now));
+                let read = match agent.read_newest().await {
+                    Ok(_) => VerificationRead::Succeeded,
+                    Err(_) => VerificationRead::Failed,
+                };
+                agent.handle(|engine, now| engine.verification_ended(questions, read, now));
             }),
             Command::ClaimOrphanMonitor(term) => self.spawn(async move |agent| {
-                let applied = agent.await_quorum(Update::OrphanMonitor(term.clone())).await;
-                agent.handle(|engine, _| engine.orphan_monitor_claim_ended(term, applied.is_ok()));
+                let result = match agent.await_quorum(Update::OrphanMonitor(term.clone())).await {
+                    Ok(()) => ClaimResult::Acknowledged,
+                    Err(_) => ClaimResult::Unacknowledged,
+                };
+                agent.handle(|engine, _| engine.orphan_monitor_claim_ended(term, result));
             }),
             Command::AwaitMembershipChange(outcome) => self.await_membership_change(outcome),
             Command::UpdateDataPlane { updates, gateways } => {
@@ -93,8 +101,8 @@
 
     fn connect(self: &Rc<Self>, address: Address) {
         self.spawn(async move |agent| {
-            let was_linked = links::connect(address.clone(), agent.clone()).await;
-            agent.handle(|engine, now| engine.connection_attempt_ended(&address, was_linked, now));
+            let end = links::connect(address.clone(), agent.clone()).await;
+            agent.handle(|engine, now| engine.connection_ended(&address, end, now));
         });
     }
 
--- a/crates/node/src/engine/dialer.rs
+++ b/crates/node/src/engine/dialer.rs
@@ -7,6 +7,7 @@
 use ashvane_identifiers::Address;
 
 use super::LinkTable;
+use crate::links::ConnectionEnd;
 
 /// Pause before a process to which no connection came up is called again.
 const REDIAL_DELAY: Duration = Duration::from_millis(200);
@@ -50,9 +51,9 @@
     }
 
     /// An attempt has ended, and with it the link if it led to one.
-    pub fn ended(&mut self, address: &Address, was_linked: bool, now: Duration) {
+    pub fn connection_ended(&mut self, address: &Address, end: ConnectionEnd, now: Duration) {
         self.in_progress.remove(address);
-        if !was_linked {
+        if end == ConnectionEnd::NeverLinked {
             self.unreachable_until.insert(address.clone(), now + UNREACHABLE_FOR);
         }
     }
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -6,7 +6,7 @@
 use ashvane_identifiers::Address;
 
 use super::{Command, Engine, RequestPath, UpdateAnswer};
-use crate::links::{Direction, LinkId, Message};
+use crate::links::{ConnectionEnd, Direction, LinkId, Message};
 
 impl Engine {
     /// A peer has presented itself on a new connection.
@@ -40,8 +40,8 @@
     }
 
     /// An attempt to connect has ended, and with it the link if it led to one.
-    pub fn connection_attempt_ended(&mut self, address: &Address, was_linked: bool, now: Duration) {
-        self.dialer.ended(address, was_linked, now);
+    pub fn connection_ended(&mut self, address: &Address, end: ConnectionEnd, now: Duration) {
+        self.dialer.connection_ended(address, end, now);
     }
 
     /// A gateway has one control node that sends it updates: the first of its peers that is linked, and is in contact with a
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -66,7 +66,7 @@
 pub use self::link_table::{Link, LinkTable, Receipt, Traffic, TrafficCounters, VerificationQuestion};
 pub use self::log_event::LogEvent;
 pub use self::membership_role::{MembershipRole, live_replicas, newest_membership};
-pub use self::orphan_monitor_role::{OrphanMonitorRole, is_first_control_node};
+pub use self::orphan_monitor_role::{ClaimResult, OrphanMonitorRole, is_first_control_node};
 pub use self::quorum_acknowledgement::{LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
 pub use self::quorum_contact::QuorumContact;
 pub use self::readiness::{Readiness, VerificationQuestions, WaitState};
@@ -78,6 +78,7 @@
 pub use self::server_hints::ServerHints;
 pub use self::status_report::StatusContext;
 pub use self::update_queue::{FlushTime, QueuedUpdates, UpdateOrigin, UpdateQueue};
+pub use self::verification_events::VerificationRead;
 
 use crate::config::Config;
 use crate::links::{LinkId, Message};
--- a/crates/node/src/engine/orphan_monitor_role.rs
+++ b/crates/node/src/engine/orphan_monitor_role.rs
@@ -5,6 +5,15 @@
 
 use super::LinkTable;
 
+/// How a claim of the role has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClaimResult {
+    /// A quorum of the members has applied its term.
+    Acknowledged,
+    /// None has in time.
+    Unacknowledged,
+}
+
 /// This process's part in the role.
 #[derive(Debug, Default)]
 pub struct OrphanMonitorRole {
@@ -48,9 +57,9 @@
         self.is_claiming = true;
     }
 
-    /// The claim has ended: a quorum of the members has applied its term, or has not in time.
-    pub fn claim_ended(&mut self, term: OrphanMonitorTerm, is_acknowledged: bool) {
-        if is_acknowledged {
+    /// The claim has ended.
+    pub fn claim_ended(&mut self, term: OrphanMonitorTerm, result: ClaimResult) {
+        if result == ClaimResult::Acknowledged {
             self.held = Some(term);
         }
         self.is_claiming = false;
--- a/crates/node/src/engine/tick.rs
+++ b/crates/node/src/engine/tick.rs
@@ -4,7 +4,7 @@
 
 use ashvane_gossip::{OrphanMonitorTerm, Update};
 
-use super::{Command, DialContext, Engine, Link, LogEvent, WaitState, is_first_control_node};
+use super::{ClaimResult, Command, DialContext, Engine, Link, LogEvent, WaitState, is_first_control_node};
 
 impl Engine {
     /// Looks at all that depends on time. To be called each [`TICK_INTERVAL`](super::TICK_INTERVAL).
@@ -73,11 +73,11 @@
     }
 
     /// A quorum has applied the term of a claim, or has not in time.
-    pub fn orphan_monitor_claim_ended(&mut self, term: OrphanMonitorTerm, is_acknowledged: bool) {
-        if is_acknowledged {
+    pub fn orphan_monitor_claim_ended(&mut self, term: OrphanMonitorTerm, result: ClaimResult) {
+        if result == ClaimResult::Acknowledged {
             self.log(LogEvent::OrphanMonitorClaimed { term: term.clone() });
         }
-        self.orphan_monitor.claim_ended(term, is_acknowledged);
+        self.orphan_monitor.claim_ended(term, result);
     }
 
     fn detect_lost_servers(&mut self, now: Duration) {
--- a/crates/node/src/engine/verification_events.rs
+++ b/crates/node/src/engine/verification_events.rs
@@ -8,6 +8,15 @@
 use super::{Command, Engine, VerificationQuestion};
 use crate::links::{LinkId, Message};
 
+/// How the read of the register that answers questions has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum VerificationRead {
+    /// A quorum has answered.
+    Succeeded,
+    /// None has in time.
+    Failed,
+}
+
 impl Engine {
     /// A gateway that starts asks each control node that it is linked to.
     pub(super) fn verify_control_nodes(&mut self, now: Duration) {
@@ -32,8 +41,10 @@
     }
 
     /// The register was read for these questions, or could not be. Those that get no answer ask again.
-    pub fn verification_ended(&mut self, questions: BTreeMap<LinkId, u64>, has_read: bool, now: Duration) {
-        if has_read && self.quorum_contact(now).has_caught_up() {
+    pub fn verification_ended(
+        &mut self, questions: BTreeMap<LinkId, u64>, read: VerificationRead, now: Duration,
+    ) {
+        if read == VerificationRead::Succeeded && self.quorum_contact(now).has_caught_up() {
             let digest = self.digest(now);
             for (link, number) in questions {
                 self.send(vec![link], Message::QuorumVerified { number, digest });
--- a/crates/node/src/links/connection.rs
+++ b/crates/node/src/links/connection.rs
@@ -69,19 +69,32 @@
     fn connection_closed(self: &Rc<Self>, link: LinkId);
 }
 
-/// Connects to a process and carries the connection to its end. Whether the peer ever presented itself.
-pub async fn connect<H: ConnectionHandler>(address: Address, handler: Rc<H>) -> bool {
+/// How a connection, or an attempt to make one, has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionEnd {
+    /// The peer never presented itself.
+    NeverLinked,
+    /// It was linked, and is no longer.
+    Unlinked,
+}
+
+/// Connects to a process and carries the connection to its end.
+pub async fn connect<H: ConnectionHandler>(address: Address, handler: Rc<H>) -> ConnectionEnd {
     let connecting = handler.transport().connect(address);
-    let Ok(Some((read, write))) = timeout(CONNECT_TIMEOUT, connecting).await else { return false };
+    let Ok(Some((read, write))) = timeout(CONNECT_TIMEOUT, connecting).await else {
+        return ConnectionEnd::NeverLinked;
+    };
     run(read, write, Direction::Outgoing, handler).await
 }
 
-/// Carries a connection to its end. Whether the peer ever presented itself.
+/// Carries a connection to its end.
 pub async fn run<H: ConnectionHandler>(
     read: impl AsyncRead + Unpin, mut write: impl AsyncWrite + Unpin, direction: Direction, handler: Rc<H>,
-) -> bool {
+) -> ConnectionEnd {
     let mut reader = BufReader::with_capacity(READ_BUFFER, read);
-    let Some(peer) = shake_hands(&mut reader, &mut write, &*handler).await else { return false };
+    let Some(peer) = shake_hands(&mut reader, &mut write, &*handler).await else {
+        return ConnectionEnd::NeverLinked;
+    };
     let (queue, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let link = handler.connection_opened(peer, direction, queue);
     // In this order, so that a simulated day is the same each time.
@@ -91,7 +104,7 @@
         () = send(write, queued) => {}
     }
     handler.connection_closed(link);
-    true
+    ConnectionEnd::Unlinked
 }
 
 /// Says hello and waits for the peer's.
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -15,7 +15,7 @@
 mod transport;
 
 pub use connection::{
-    ConnectionHandler, ConnectionState, Direction, MessageQueue, PEER_TIMEOUT, connect, run,
+    ConnectionEnd, ConnectionHandler, ConnectionState, Direction, MessageQueue, PEER_TIMEOUT, connect, run,
 };
 pub use link_id::LinkId;
 pub use message::Message;
--- a/crates/node/tests/engine/connections.rs
+++ b/crates/node/tests/engine/connections.rs
@@ -6,7 +6,7 @@
     AntiEntropy, DialContext, Dialer, FailureDetector, FlushTime, LinkTable, RepairContext, UpdateOrigin,
     UpdateQueue,
 };
-use ashvane_node::links::Direction;
+use ashvane_node::links::{ConnectionEnd, Direction};
 
 use super::{control_node, directory, gateway, link_to, ms};
 
@@ -39,11 +39,11 @@
     let mut dialer = Dialer::default();
     let address: Address = "a:7080".into();
     assert!(dialer.begin(&address, ms(0)) && !dialer.begin(&address, ms(5000)), "the first is under way");
-    dialer.ended(&address, false, ms(5000));
+    dialer.connection_ended(&address, ConnectionEnd::NeverLinked, ms(5000));
     assert!(dialer.begin(&address, ms(5000)));
-    dialer.ended(&address, false, ms(5100));
+    dialer.connection_ended(&address, ConnectionEnd::NeverLinked, ms(5100));
     assert!(!dialer.begin(&address, ms(5199)) && dialer.begin(&address, ms(5200)));
-    dialer.ended(&address, true, ms(5200));
+    dialer.connection_ended(&address, ConnectionEnd::Unlinked, ms(5200));
     dialer.link_closed(&address);
     assert!(dialer.begin(&address, ms(5201)), "it may only have restarted");
 
@@ -59,7 +59,7 @@
     let mut dialer = Dialer::default();
     let first = dialer.addresses_to_dial(context);
     assert_eq!(first.len(), 1, "one more than may fail");
-    dialer.ended(&first[0], false, ms(0));
+    dialer.connection_ended(&first[0], ConnectionEnd::NeverLinked, ms(0));
     let second = dialer.addresses_to_dial(context);
     assert!(second.len() == 1 && second != first);
     dialer.expire(ms(2500));
--- a/crates/node/tests/engine/roles.rs
+++ b/crates/node/tests/engine/roles.rs
@@ -1,10 +1,9 @@
 //! Contact with a quorum, readiness, the singleton roles, hints.
 
 use ashvane_gossip::{Liveness, LivenessAuthority, OrphanMonitorTerm, Server, ServerState, Update};
-use ashvane_node::engine::TICK_INTERVAL;
 use ashvane_node::engine::{
-    LinkTable, OrphanMonitorRole, QuorumContact, Readiness, ServerHints, VerificationQuestion,
-    VerificationQuestions, WaitState, is_first_control_node,
+    ClaimResult, LinkTable, OrphanMonitorRole, QuorumContact, Readiness, ServerHints, TICK_INTERVAL,
+    VerificationQuestion, VerificationQuestions, WaitState, is_first_control_node,
 };
 
 use super::{control_node, directory, gateway, link_to, membership, ms};
@@ -86,7 +85,7 @@
     assert!(!role.is_claimable(true, &known), "a claim is under way");
     let term = known.next_orphan_monitor_term().expect("a term");
     known.apply(Update::OrphanMonitor(term.clone()), ms(0));
-    role.claim_ended(term.clone(), true);
+    role.claim_ended(term.clone(), ClaimResult::Acknowledged);
     assert!(role.is_held(&known) && !role.is_claimable(true, &known));
     assert_eq!(role.authority(true, &known), LivenessAuthority::MonitoredAndOrphans(term.clone()));
     assert_eq!(role.authority(false, &known), LivenessAuthority::None, "it may be partitioned off");
