--- a/crates/node/src/engine/quorum_acknowledgement.rs
+++ b/crates/node/src/engine/quorum_acknowledgement.rs
@@ -2,11 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::links::LinkId;
 use ashvane_gossip::Update;
 use ashvane_quorum::{DiskId, Membership};
 use tokio::sync::oneshot;
 
+use crate::links::LinkId;
+
 /// A control node that is linked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkedReplica {
--- a/crates/node/src/engine/register.rs
+++ b/crates/node/src/engine/register.rs
@@ -4,7 +4,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::links::LinkId;
 use ashvane_identifiers::Address;
 use ashvane_quorum::membership_manager::ReplicaProgress;
 use ashvane_quorum::{
@@ -13,6 +12,8 @@
 };
 use tokio::sync::oneshot;
 
+use crate::links::LinkId;
+
 /// Time after which a call of an operator is answered that its outcome is not known: callers go on elsewhere after a second
 /// without an answer.
 pub const OPERATION_TIMEOUT: Duration = Duration::from_millis(700);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The version that the own replica has accepted; 0 before the first one.
+    /// The version that the own replica has accepted; none before the first one.
     #[must_use]
     pub fn accepted_version(&self) -> Option<u64> {
         self.replica.accepted_config().map(|config| config.version)
