--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -38,22 +38,22 @@
 }
 
 impl Host for Wire {
-    fn call(&mut self, part: u64, server: &str, limit: Duration) {
+    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
         // On the wire 0 means no limit, and a negative one expires straight away.
-        let us = if limit.is_zero() { -1 } else { limit.as_micros() as i64 };
+        let us = if timeout.is_zero() { -1 } else { timeout.as_micros() as i64 };
         self.line(format_args!("attempt\t{part}\t{us}\t{server}"));
     }
 
-    fn call_off(&mut self, part: u64, call: u32) {
+    fn cancel_call(&mut self, part: u64, call: u32) {
         self.line(format_args!("retract\t{part}\t{call}"));
     }
 
-    fn answer(&mut self, query: u64, whole: bool) {
-        self.line(format_args!("respond\t{query}\t{}", u8::from(whole)));
+    fn answer(&mut self, query: u64, complete: bool) {
+        self.line(format_args!("respond\t{query}\t{}", u8::from(complete)));
     }
 
-    fn reject(&mut self, query: u64, back_after: Option<Duration>) {
-        match back_after {
+    fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
+        match retry_after {
             Some(after) => self.line(format_args!("bounce\t{query}\t{}", after.as_micros())),
             None => self.line(format_args!("bounce\t{query}\t-")),
         }
@@ -63,11 +63,11 @@
         self.line(format_args!("finish_error\t{query}"));
     }
 
-    fn wake(&mut self, token: u64, after: Duration) {
-        self.line(format_args!("arm\t{token}\t{}", after.as_micros()));
+    fn set_timer(&mut self, token: u64, delay: Duration) {
+        self.line(format_args!("arm\t{token}\t{}", delay.as_micros()));
     }
 
-    fn watch_list(&mut self) {
+    fn watch_server_list(&mut self) {
         self.line(format_args!("track\t1"));
     }
 }
@@ -146,7 +146,7 @@
             "target_instance" => {
                 let instance = f.parsed("gatherer_id")?;
                 self.instance = Some(instance);
-                self.gatherers.get_mut(&instance).iter_mut().for_each(|g| g.at(self.now));
+                self.gatherers.get_mut(&instance).iter_mut().for_each(|g| g.advance_to(self.now));
                 return Ok(false);
             }
             "list" => return self.list(&mut f).map(|()| false),
@@ -209,16 +209,16 @@
                     "C" | "F" => true,
                     "D" => false,
                     "X" => {
-                        gatherer.iter_mut().for_each(|g| g.list_failed());
+                        gatherer.iter_mut().for_each(|g| g.server_list_failed());
                         return Ok(());
                     }
                     other => return Err(format!("unknown scope {other:?}")),
                 };
                 let rows = number.and_then(|n| self.lists.get(&n)).ok_or("unknown list")?;
                 let Some(g) = gatherer else { return Ok(()) };
-                g.list_begins(all);
+                g.begin_server_list(all);
                 for (server, health, cell, zone, started) in rows {
-                    g.server_listed(server, *health, *cell, *zone, *started);
+                    g.update_server(server, *health, *cell, *zone, *started);
                 }
             }
             "ask" => {
@@ -234,14 +234,14 @@
                 let _bits: u64 = f.parsed("state_bits")?;
                 let Some(g) = gatherer else { return Ok(()) };
                 if shard < 0 {
-                    g.query_came(id, number, vertical, tenant, key, until, heft.max(0.0) as usize);
+                    g.query_arrived(id, number, vertical, tenant, key, until, heft.max(0.0) as usize);
                 } else {
-                    g.part_came(id, number, shard as u32, heft);
+                    g.part_arrived(id, number, shard as u32, heft);
                 }
             }
             "ring" => {
                 let token = f.parsed("ctx")?;
-                gatherer.iter_mut().for_each(|g| g.woke(token));
+                gatherer.iter_mut().for_each(|g| g.timer_fired(token));
             }
             "settled" => {
                 let id = f.parsed("msg_id")?;
@@ -249,22 +249,22 @@
                 let outcome = match f.text("result")? {
                     "completed" => Outcome::Completed,
                     "errored" => Outcome::Errored,
-                    "saturated" => Outcome::TurnedAway,
+                    "saturated" => Outcome::Rejected,
                     "overdue" => Outcome::TimedOut,
                     "refused_conn" => Outcome::Unreachable,
-                    "severed" => Outcome::Broken,
-                    "recalled" => Outcome::CalledOff,
+                    "severed" => Outcome::ConnectionLost,
+                    "recalled" => Outcome::Cancelled,
                     "superseded" => Outcome::NeverSent,
                     other => return Err(format!("unknown result {other:?}")),
                 };
                 let server = f.text("server")?;
                 let _latency: Option<i64> = f.maybe("latency_us")?;
                 let over: u8 = f.maybe("no_more")?.unwrap_or(0);
-                gatherer.iter_mut().for_each(|g| g.settled(id, call, outcome, server, over == 1));
+                gatherer.iter_mut().for_each(|g| g.call_ended(id, call, outcome, server, over == 1));
             }
             "abandoned" => {
                 let id = f.parsed("msg_id")?;
-                gatherer.iter_mut().for_each(|g| g.abandoned(id));
+                gatherer.iter_mut().for_each(|g| g.query_abandoned(id));
             }
             // Only streamed verticals, peers and probes bring these; no gatherer here has any.
             "started" | "inbox" | "probe_done" => {}
--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -176,7 +176,7 @@
             phase: phases,
             ledger: ledger.clone(),
             answers: Arc::new(Answers::new(ledger.clone())),
-            back_after: config.settings.back_after,
+            back_after: config.settings.max_retry_after,
         };
         let watching = Discovery {
             address,
--- a/crates/gatherer/src/routing/admit.rs
+++ b/crates/gatherer/src/routing/admit.rs
@@ -15,9 +15,9 @@
         self.next_id += 1 + query.parts.len() as u64;
         let until = self.clock.at(arrived + query.wait);
         let (vertical, tenant, key) = (query.vertical, query.tenant, query.key.as_deref());
-        self.gatherer.query_came(id, id, vertical, tenant, key, until, query.parts.len());
+        self.gatherer.query_arrived(id, id, vertical, tenant, key, until, query.parts.len());
         for (part, p) in (id + 1..).zip(&query.parts) {
-            self.gatherer.part_came(part, id, p.shard, p.weight);
+            self.gatherer.part_arrived(part, id, p.shard, p.weight);
         }
         self.book.take(id, query, room, ticket, reply);
         self.carry_out();
--- a/crates/gatherer/src/routing/book.rs
+++ b/crates/gatherer/src/routing/book.rs
@@ -83,7 +83,7 @@
 
 impl Book {
     pub(super) fn new(network: &Network, settings: &Settings, ledger: Ledger) -> Self {
-        let needs: Vec<f64> = settings.verticals.iter().map(|v| v.need.clamp(0.0, 1.0)).collect();
+        let needs: Vec<f64> = settings.verticals.iter().map(|v| v.required_weight.clamp(0.0, 1.0)).collect();
         let usual = vec![Usual::default(); needs.len()];
         let (held, ids, tickets) = Default::default();
         Book { held, ids, tickets, count: 0, most: network.most_held, ledger, needs, usual }
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -91,7 +91,7 @@
             clock: Clock { unix, start: now },
             tick: settings.tick,
             now,
-            back_after: settings.back_after,
+            back_after: settings.max_retry_after,
             next_id: 0,
             book: Book::new(network, settings, ledger.clone()),
             pool: Pool::new(network, most_lanes, events, ledger.clone()),
@@ -139,7 +139,7 @@
 
     fn turn(&mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, gone: &Left) {
         self.now = Instant::now();
-        self.gatherer.at(self.clock.at(self.now));
+        self.gatherer.advance_to(self.clock.at(self.now));
         self.pool.at(self.now);
         self.ledger.at(self.now - self.clock.start);
         let mut left = inbox.max_capacity();
@@ -155,7 +155,7 @@
         self.relay_ended();
         while let Some((_, token)) = self.wakes.first().copied().filter(|(at, _)| *at <= self.now) {
             self.wakes.pop_first();
-            self.gatherer.woke(token);
+            self.gatherer.timer_fired(token);
             self.carry_out();
         }
         self.pool.flush();
@@ -171,10 +171,10 @@
                 let _ = taken.send(self.listed(&list));
             }
             Event::ListFailed => {
-                self.gatherer.list_failed();
+                self.gatherer.server_list_failed();
                 self.carry_out();
             }
-            Event::Fleet(alive) => self.gatherer.fleet_is(alive),
+            Event::Fleet(alive) => self.gatherer.set_gatherer_count(alive),
             Event::Up(lane) => self.pool.up(lane),
             Event::Answered { lane, id, end, value, room } => {
                 self.answered(lane, &id, end, value);
@@ -187,7 +187,7 @@
 
     fn abandon(&mut self, queries: Vec<u64>) {
         for id in queries {
-            self.gatherer.abandoned(id);
+            self.gatherer.query_abandoned(id);
             self.carry_out();
             self.over(id, Final::Abort);
         }
@@ -198,9 +198,9 @@
         if self.servers.resize(self.pool.room_with(list, SERVER_BYTES)).is_err() {
             return false;
         }
-        self.gatherer.list_begins(list.all);
+        self.gatherer.begin_server_list(list.all);
         for s in &list.servers {
-            self.gatherer.server_listed(&s.id, s.health, s.cell, s.zone, s.started);
+            self.gatherer.update_server(&s.id, s.health, s.cell, s.zone, s.started);
         }
         self.carry_out();
         self.pool.listed(list);
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -93,7 +93,7 @@
     }
 
     pub(in crate::routing) fn call_off(&mut self, key: Key) {
-        self.give_up(key, Outcome::NeverSent, Outcome::CalledOff);
+        self.give_up(key, Outcome::NeverSent, Outcome::Cancelled);
     }
 
     /// A part's query has ended: what was not sent is not sent any more.
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -85,7 +85,7 @@
         let Some(c) = self.connections.remove(&lane) else { return };
         for (id, key) in &c.out {
             let unsent = c.lane.unwritten(id);
-            self.end(*key, if unsent { Outcome::Unreachable } else { Outcome::Broken });
+            self.end(*key, if unsent { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
         let Some(s) = self.servers.get_mut(&c.server) else { return };
         s.lanes.retain(|known| *known != lane);
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -11,14 +11,14 @@
         let outcome = match end {
             End::Done => Outcome::Completed,
             End::Failed => Outcome::Errored,
-            End::Full => Outcome::TurnedAway,
+            End::Full => Outcome::Rejected,
         };
         let Some(ended) = self.pool.answered(lane, id, outcome) else { return };
         let done = outcome == Outcome::Completed;
         let kept = if done { self.book.value(ended.key.0, value) } else { Ok(()) };
         if let Err(query) = kept {
             // Told before this part's end is, so that no answer is made without its value.
-            self.gatherer.out_of_room(query);
+            self.gatherer.result_buffer_full(query);
             self.carry_out();
         }
         self.settled(&ended);
@@ -34,7 +34,7 @@
     fn settled(&mut self, ended: &Ended) {
         let (part, call) = ended.key;
         let over = ended.outcome == Outcome::Completed;
-        self.gatherer.settled(part, call, ended.outcome, &ended.server, over);
+        self.gatherer.call_ended(part, call, ended.outcome, &ended.server, over);
         self.carry_out();
     }
 }
--- a/crates/gatherer/src/routing/route.rs
+++ b/crates/gatherer/src/routing/route.rs
@@ -30,31 +30,31 @@
 }
 
 impl Host for Hand {
-    fn call(&mut self, part: u64, server: &str, limit: Duration) {
-        self.note(Action::Call { part, server: server.into(), limit });
+    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
+        self.note(Action::Call { part, server: server.into(), limit: timeout });
     }
 
-    fn call_off(&mut self, part: u64, call: u32) {
+    fn cancel_call(&mut self, part: u64, call: u32) {
         self.note(Action::CallOff { part, call });
     }
 
-    fn answer(&mut self, query: u64, whole: bool) {
-        self.note(Action::End { query, last: Final::Answer { whole } });
+    fn answer(&mut self, query: u64, complete: bool) {
+        self.note(Action::End { query, last: Final::Answer { whole: complete } });
     }
 
-    fn reject(&mut self, query: u64, back_after: Option<Duration>) {
-        self.note(Action::End { query, last: Final::Reject(back_after) });
+    fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
+        self.note(Action::End { query, last: Final::Reject(retry_after) });
     }
 
     fn abort(&mut self, query: u64) {
         self.note(Action::End { query, last: Final::Abort });
     }
 
-    fn wake(&mut self, token: u64, after: Duration) {
-        self.note(Action::Wake { token, after });
+    fn set_timer(&mut self, token: u64, delay: Duration) {
+        self.note(Action::Wake { token, after: delay });
     }
 
-    fn watch_list(&mut self) {
+    fn watch_server_list(&mut self) {
         self.note(Action::WatchList);
     }
 }
--- a/crates/node/src/call_error.rs
+++ b/crates/node/src/call_error.rs
@@ -95,9 +95,9 @@
         match self {
             CallError::NoConnection { .. } => Outcome::Unreachable,
             CallError::PoolExhausted { .. } | CallError::NeverSent => Outcome::NeverSent,
-            CallError::Rejected { .. } | CallError::OtherServer => Outcome::TurnedAway,
+            CallError::Rejected { .. } | CallError::OtherServer => Outcome::Rejected,
             CallError::Failed { .. } => Outcome::Errored,
-            CallError::Unusable { .. } | CallError::Broken => Outcome::Broken,
+            CallError::Unusable { .. } | CallError::Broken => Outcome::ConnectionLost,
             CallError::TimedOut => Outcome::TimedOut,
         }
     }
--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings as Start, VerticalSettings};
+use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings as Start, VerticalSettings};
 use ashvane_gossip::{Directory, Server, ServerState, Update};
 use ashvane_quota::{GatewayCount, RetryAllowance, RetryBudget, RetryUsage, connections_per_gateway};
 use axum::http::HeaderValue;
@@ -67,24 +67,24 @@
 }
 
 impl Host for Hands {
-    fn call(&mut self, part: u64, server: &str, limit: Duration) {
-        self.acts.borrow_mut().push_back(Act::Call { part, server: server.into(), limit });
+    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
+        self.acts.borrow_mut().push_back(Act::Call { part, server: server.into(), limit: timeout });
     }
-    fn call_off(&mut self, _part: u64, _call: u32) {}
-    fn answer(&mut self, query: u64, _whole: bool) {
+    fn cancel_call(&mut self, _part: u64, _call: u32) {}
+    fn answer(&mut self, query: u64, _complete: bool) {
         self.acts.borrow_mut().push_back(Act::Answer(query));
     }
-    fn reject(&mut self, query: u64, back_after: Option<Duration>) {
-        self.acts.borrow_mut().push_back(Act::Reject(query, back_after));
+    fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
+        self.acts.borrow_mut().push_back(Act::Reject(query, retry_after));
     }
     fn abort(&mut self, query: u64) {
         self.acts.borrow_mut().push_back(Act::Abort(query));
     }
-    fn wake(&mut self, token: u64, after: Duration) {
-        self.acts.borrow_mut().push_back(Act::Wake(token, after));
+    fn set_timer(&mut self, token: u64, delay: Duration) {
+        self.acts.borrow_mut().push_back(Act::Wake(token, delay));
     }
-    fn watch_list(&mut self) {}
-    fn may_call_again(&self, shard: u32) -> bool {
+    fn watch_server_list(&mut self) {}
+    fn may_retry(&self, shard: u32) -> bool {
         let shares = self.shares.borrow();
         let gateways = shares.gateways.current();
         shares.retries.get(&shard).is_none_or(|r| r.allows_retry(shares.now, &shares.budget, gateways))
@@ -164,26 +164,26 @@
         let zone = settings.zones.iter().position(|z| *z == settings.zone).map(|z| z as u32);
         let start = Start {
             seed: fastrand::u64(..),
-            gatherers: 1,
+            gatherer_count: 1,
             zone,
             tick: TICK,
             verticals: Vec::new(),
             tenant_rates: Vec::new(),
-            cells: u32::MAX,
-            span: 1,
-            parts_a_call: 1,
-            call_cost: Duration::ZERO,
-            most_calls: 1,
-            second_copies: true,
+            cell_count: u32::MAX,
+            cells_per_shard: 1,
+            max_parts_per_call: 1,
+            call_overhead: Duration::ZERO,
+            max_calls_per_part: 1,
+            allow_hedging: true,
             // A call that is broken off takes its server's work along: the answer is let come.
-            call_off: false,
-            back_after: Some(BACK_AFTER),
-            ask_within: None,
-            budget: None,
-            cold_from: 1.0,
-            cold_time: Duration::ZERO,
+            allow_cancel: false,
+            max_retry_after: Some(BACK_AFTER),
+            max_list_request_interval: None,
+            retry_budget: None,
+            cold_capacity_share: 1.0,
+            warm_up_time: Duration::ZERO,
             overload_factor: 1.0,
-            fall_time: Duration::from_secs(1),
+            overload_window: Duration::from_secs(1),
         };
         let budget = RetryBudget {
             ratio: settings.retry_budget.ratio,
@@ -226,7 +226,7 @@
         self.shares.borrow_mut().now = now;
         {
             let mut gatherer = self.gatherer.borrow_mut();
-            gatherer.at(now);
+            gatherer.advance_to(now);
             what(&mut gatherer);
         }
         loop {
@@ -289,7 +289,7 @@
                 let later = wakes.split_off(&(Instant::now() + Duration::from_nanos(1), 0));
                 std::mem::replace(&mut *wakes, later).into_iter().map(|(_, token)| token).collect()
             };
-            self.tell(|g| due.iter().for_each(|token| g.woke(*token)));
+            self.tell(|g| due.iter().for_each(|token| g.timer_fired(*token)));
         }
     }
 
@@ -313,7 +313,7 @@
     pub fn gateways_changed(self: &Rc<Self>, count: usize) {
         let now = self.started.elapsed();
         self.shares.borrow_mut().gateways.observe(now, count);
-        self.tell(|g| g.fleet_is(u32::try_from(count).ok()));
+        self.tell(|g| g.set_gatherer_count(u32::try_from(count).ok()));
     }
 
     pub fn servers_changed(self: &Rc<Self>, directory: &Directory, updates: &[Update]) {
@@ -377,11 +377,11 @@
             return;
         }
         self.tell(|g| {
-            g.list_begins(false);
+            g.begin_server_list(false);
             for (s, health) in changed {
                 let cell = self.cell(&s.service.as_str().into());
                 let zone = self.zones.iter().position(|z| s.zone == z.as_str()).map(|z| z as u32);
-                g.server_listed(s.id.as_str(), health, cell, zone, None);
+                g.update_server(s.id.as_str(), health, cell, zone, None);
             }
         });
     }
@@ -400,8 +400,8 @@
             self.pool.is_gone(id);
             let cell = self.cell(&server.service.as_str().into());
             self.tell(|g| {
-                g.list_begins(false);
-                g.server_listed(id, Health::Gone, cell, None, None);
+                g.begin_server_list(false);
+                g.update_server(id, Health::Gone, cell, None, None);
             });
         }
     }
@@ -440,14 +440,18 @@
         let at = self.verticals.borrow().len();
         self.verticals.borrow_mut().insert(likeness, at);
         let settings = VerticalSettings {
-            need: 1.0,
-            floor: if services.len() > 1 { route.min_coverage } else { 1.0 },
-            follow_up: 0,
+            required_weight: 1.0,
+            min_weight: if services.len() > 1 { route.min_coverage } else { 1.0 },
+            follow_up_parts: 0,
             slo,
             late_utility: LATE_UTILITY,
-            effect: if route.is_idempotent { Effect::Repeatable } else { Effect::SideEffecting },
+            idempotency: if route.is_idempotent {
+                Idempotency::Idempotent
+            } else {
+                Idempotency::NonIdempotent
+            },
         };
-        self.tell(|g| g.vertical_is(at, &settings, route.max_attempts, true));
+        self.tell(|g| g.set_vertical(at, &settings, route.max_attempts, true));
         at
     }
 
@@ -486,9 +490,9 @@
         let until = until.saturating_duration_since(self.started);
         let weight = 1.0 / cells.len() as f64;
         self.tell(|g| {
-            g.query_came(first, first, vertical, None, Some(&key), until, cells.len());
+            g.query_arrived(first, first, vertical, None, Some(&key), until, cells.len());
             for (at, cell) in cells.iter().enumerate() {
-                g.part_came(first + 1 + at as u64, first, *cell, weight);
+                g.part_arrived(first + 1 + at as u64, first, *cell, weight);
             }
         });
         (first, answer)
@@ -497,7 +501,7 @@
     /// The client has left.
     pub fn left(self: &Rc<Self>, query: u64) {
         if self.take(query).is_some() {
-            self.tell(|g| g.abandoned(query));
+            self.tell(|g| g.query_abandoned(query));
         }
     }
 
@@ -567,7 +571,7 @@
             }
         };
         drop(queries);
-        self.tell(|g| g.settled(part, call, outcome, server, false));
+        self.tell(|g| g.call_ended(part, call, outcome, server, false));
     }
 
     /// Ends a query: what its calls still bring is for the module only.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashvane::{BudgetSettings, Effect, Settings, VerticalSettings};
+use ashvane::{Idempotency, RetryBudgetSettings, Settings, VerticalSettings};
 use serde_json::Value;
 
 /// A value somewhere in the settings, and the way to it for messages.
@@ -57,23 +57,23 @@
     }
 }
 
-fn effect(class: &At<'_>) -> Result<Effect, String> {
+fn effect(class: &At<'_>) -> Result<Idempotency, String> {
     match class.get("effect")?.text()? {
-        "retryable" => Ok(Effect::Repeatable),
-        "dedup" => Ok(Effect::Deduplicated(class.get("window_us")?.micros()?)),
-        "fragile" => Ok(Effect::SideEffecting),
+        "retryable" => Ok(Idempotency::Idempotent),
+        "dedup" => Ok(Idempotency::Deduplicated(class.get("window_us")?.micros()?)),
+        "fragile" => Ok(Idempotency::NonIdempotent),
         _ => Err(class.get("effect")?.wrong("a known effect")),
     }
 }
 
 fn vertical(class: &At<'_>, index: usize, fan: &At<'_>) -> Result<VerticalSettings, String> {
     Ok(VerticalSettings {
-        need: fan.get("class_need")?.row(index)?.number()?,
-        floor: fan.get("floor_by_class")?.row(index)?.number()?,
-        follow_up: fan.get("follow_up")?.row(index)?.count()?,
+        required_weight: fan.get("class_need")?.row(index)?.number()?,
+        min_weight: fan.get("floor_by_class")?.row(index)?.number()?,
+        follow_up_parts: fan.get("follow_up")?.row(index)?.count()?,
         slo: class.get("aim_us")?.micros()?,
         late_utility: class.get("late_share")?.number()?,
-        effect: effect(class)?,
+        idempotency: effect(class)?,
     })
 }
 
@@ -87,40 +87,40 @@
     let on_request = root.get("membership_mode")?.text()? == "on_request";
     let back = limits.get("retry_after")?.flag()?;
     let budget = match (rules.maybe("budget_span_us"), rules.maybe("extra_per_request")) {
-        (Some(span), Some(share)) => Some(BudgetSettings {
-            span: span.micros()?,
-            least: rules.maybe("min_extra").map_or(Ok(0.0), |n| n.number())?,
-            share: share.number()?,
+        (Some(span), Some(share)) => Some(RetryBudgetSettings {
+            window: span.micros()?,
+            min_retries: rules.maybe("min_extra").map_or(Ok(0.0), |n| n.number())?,
+            ratio: share.number()?,
         }),
         _ => None,
     };
     Ok(Settings {
         seed,
-        gatherers: root.get("balancers")?.count()?,
+        gatherer_count: root.get("balancers")?.count()?,
         zone: root.maybe("zone").map(|z| z.count()).transpose()?,
         tick: root.get("quantum_us")?.micros()?,
         verticals: verticals.collect::<Result<_, _>>()?,
         tenant_rates: tenants.iter().map(|t| t.get("quota_per_s")?.number()).collect::<Result<_, _>>()?,
-        cells: fan.get("positions")?.count()?,
-        span: fan.get("span")?.count()?,
-        parts_a_call: fan.get("parts_a_call")?.count()?.max(1) as usize,
-        call_cost: fan.maybe("overhead_us").map_or(Ok(Duration::ZERO), |cost| cost.micros())?,
-        most_calls: limits.get("max_attempts")?.count()?,
-        second_copies: limits.get("second_copies")?.flag()?,
-        call_off: limits.get("may_cancel")?.flag()?,
-        back_after: match (back, limits.maybe("max_retry_after_us")) {
+        cell_count: fan.get("positions")?.count()?,
+        cells_per_shard: fan.get("span")?.count()?,
+        max_parts_per_call: fan.get("parts_a_call")?.count()?.max(1) as usize,
+        call_overhead: fan.maybe("overhead_us").map_or(Ok(Duration::ZERO), |cost| cost.micros())?,
+        max_calls_per_part: limits.get("max_attempts")?.count()?,
+        allow_hedging: limits.get("second_copies")?.flag()?,
+        allow_cancel: limits.get("may_cancel")?.flag()?,
+        max_retry_after: match (back, limits.maybe("max_retry_after_us")) {
             (true, Some(most)) => Some(most.micros()?),
             _ => None,
         },
-        ask_within: match rules.maybe("must_ask_in_us") {
+        max_list_request_interval: match rules.maybe("must_ask_in_us") {
             Some(within) if on_request => Some(within.micros()?),
             _ => None,
         },
-        budget,
-        cold_from: rules.get("cold_from")?.number()?,
-        cold_time: rules.get("cold_us")?.micros()?,
+        retry_budget: budget,
+        cold_capacity_share: rules.get("cold_from")?.number()?,
+        warm_up_time: rules.get("cold_us")?.micros()?,
         overload_factor: rules.get("overload_factor")?.number()?,
-        fall_time: rules.get("fall_us")?.micros()?,
+        overload_window: rules.get("fall_us")?.micros()?,
     })
 }
 
@@ -162,7 +162,7 @@
     let tenants = root.maybe("projects").map(|t| t.rows()).transpose()?;
     let zones = root.maybe("zones").map(|z| z.rows()).transpose()?.unwrap_or_default();
     let at_least_one = |at: At<'_>| Ok::<_, String>(at.count()?.max(1));
-    let once = |c: &At<'_>| Ok::<_, String>(effect(c)? == Effect::SideEffecting);
+    let once = |c: &At<'_>| Ok::<_, String>(effect(c)? == Idempotency::NonIdempotent);
     Ok(Network {
         runs_once: classes.iter().map(once).collect::<Result<_, _>>()?,
         verticals: names(Some(classes))?,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::{BudgetSettings, Effect, Health, Host, Outcome, Settings, VerticalSettings};
+use crate::{Health, Host, Idempotency, Outcome, RetryBudgetSettings, Settings, VerticalSettings};
 
 /// Share of the SLO time after which a part is overdue. The design's start value.
 const THRESHOLD: f64 = 0.5;
@@ -102,7 +102,7 @@
     follow_up: u32,
     slo: Duration,
     late_utility: f64,
-    effect: Effect,
+    idempotency: Idempotency,
     most_calls: u32,
     /// Whether an answer's utility is the square of the weight that is in.
     squared: bool,
@@ -224,7 +224,7 @@
     ask_every: Option<Duration>,
     ask_wait: Duration,
     ask_at: Duration,
-    budget: Option<BudgetSettings>,
+    budget: Option<RetryBudgetSettings>,
     taken: VecDeque<Duration>,
     extras: VecDeque<Duration>,
     /// The most parts of one call that a home takes whatever its bound.
@@ -257,8 +257,8 @@
 
 impl Vertical {
     fn new(v: &VerticalSettings, most_calls: u32, squared: bool, now: Duration) -> Self {
-        let (need, floor, follow_up, slo) = (v.need, v.floor, v.follow_up, v.slo);
-        let (late_utility, effect) = (v.late_utility, v.effect);
+        let (need, floor, follow_up, slo) = (v.required_weight, v.min_weight, v.follow_up_parts, v.slo);
+        let (late_utility, idempotency) = (v.late_utility, v.idempotency);
         let (heard, answered, patience) = (now, false, slo.as_secs_f64());
         let first = patience * USUAL_AT_FIRST;
         let usual = [first, first * f64::from(follow_up.min(1))];
@@ -268,7 +268,7 @@
             follow_up,
             slo,
             late_utility,
-            effect,
+            idempotency,
             most_calls,
             squared,
             usual,
@@ -281,9 +281,9 @@
 
 impl<H: Host> Gatherer<H> {
     pub fn new(host: H, settings: &Settings, now: Duration) -> Self {
-        let most_calls = settings.most_calls.max(1);
+        let most_calls = settings.max_calls_per_part.max(1);
         let verticals = settings.verticals.iter().map(|v| Vertical::new(v, most_calls, false, now));
-        let gatherers = f64::from(settings.gatherers.max(1));
+        let gatherers = f64::from(settings.gatherer_count.max(1));
         let shortest = settings.verticals.iter().map(|v| v.slo).min().unwrap_or_default();
         let keep = KEEP.min(shortest.mul_f64(KEEP_SLO)).max(IMPAIRED_WINDOW);
         let tenants = settings.tenant_rates.iter().map(|share| (share.max(1e-6), Rate::default()));
@@ -309,26 +309,26 @@
             queries: BTreeMap::new(),
             dues: BTreeSet::new(),
             numbers: BTreeMap::new(),
-            cells: settings.cells.max(1),
-            span: settings.span,
-            second_copies: settings.second_copies,
-            call_off: settings.call_off,
-            back_after: settings.back_after,
+            cells: settings.cell_count.max(1),
+            span: settings.cells_per_shard,
+            second_copies: settings.allow_hedging,
+            call_off: settings.allow_cancel,
+            back_after: settings.max_retry_after,
             end_margin: settings.tick * 2,
-            ask_every: settings.ask_within.map(|t| t.mul_f64(ASK_SHARE)),
+            ask_every: settings.max_list_request_interval.map(|t| t.mul_f64(ASK_SHARE)),
             ask_wait: ASK_AGAIN,
             ask_at: now,
-            budget: settings.budget,
+            budget: settings.retry_budget,
             taken: VecDeque::new(),
             extras: VecDeque::new(),
-            shared_most: if settings.call_cost.is_zero() {
+            shared_most: if settings.call_overhead.is_zero() {
                 0
             } else {
-                SHARED_BOUND.min(settings.parts_a_call)
+                SHARED_BOUND.min(settings.max_parts_per_call)
             },
-            cold_from: settings.cold_from,
-            cold_time: settings.cold_time,
-            fall_time: settings.fall_time,
+            cold_from: settings.cold_capacity_share,
+            cold_time: settings.warm_up_time,
+            fall_time: settings.overload_window,
             cold_factor: settings.overload_factor,
             sends: Rate::default(),
             spares: Rate::default(),
@@ -341,7 +341,7 @@
     /// The time of what happens next to this gatherer. An overdue wake shows that it stood still: calls out
     /// count as young and teach nothing, lest their servers be taken for late. Does harm where wakes are
     /// always late: spares are late by as much.
-    pub fn at(&mut self, now: Duration) {
+    pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
         if self.dues.first().is_some_and(|(due, _)| self.now > *due + STARVED) {
             self.awake = self.now;
@@ -353,7 +353,7 @@
 
     /// A vertical that came or changed after the start: what was learnt of it stays while its SLO time does.
     /// Its parts may have so many leaf calls each; `squared`: a partial answer has the square of its weight.
-    pub fn vertical_is(&mut self, at: usize, settings: &VerticalSettings, most_calls: u32, squared: bool) {
+    pub fn set_vertical(&mut self, at: usize, settings: &VerticalSettings, most_calls: u32, squared: bool) {
         let mut new = Vertical::new(settings, most_calls.max(1), squared, self.now);
         match self.verticals.get_mut(at) {
             Some(v) => {
@@ -370,17 +370,17 @@
     }
 
     /// So many gatherers are alive, this one among them; none where only the settings tell.
-    pub fn fleet_is(&mut self, alive: Option<u32>) {
+    pub fn set_gatherer_count(&mut self, alive: Option<u32>) {
         self.even_share = alive.map_or(self.stated_share, |alive| 1.0 / f64::from(alive.max(1)));
     }
 
     /// A query came; its parts follow before time moves on.
     #[allow(clippy::too_many_arguments)]
-    pub fn query_came(
+    pub fn query_arrived(
         &mut self, id: u64, number: u64, vertical: usize, tenant: Option<usize>, key: Option<&str>,
         until: Duration, awaited: usize,
     ) {
-        let since = self.now.saturating_sub(self.budget.map_or(Duration::ZERO, |b| b.span));
+        let since = self.now.saturating_sub(self.budget.map_or(Duration::ZERO, |b| b.window));
         while self.taken.front().is_some_and(|t| *t < since) {
             self.taken.pop_front();
         }
@@ -398,7 +398,7 @@
     }
 
     /// A part of a query came; with the last one of a step, the step begins.
-    pub fn part_came(&mut self, id: u64, number: u64, shard: u32, weight: f64) {
+    pub fn part_arrived(&mut self, id: u64, number: u64, shard: u32, weight: f64) {
         self.taken.push_back(self.now);
         let Some(q) = self.queries.get_mut(&number) else { return };
         self.numbers.insert(id, number);
@@ -408,7 +408,7 @@
         }
     }
 
-    pub fn woke(&mut self, token: u64) {
+    pub fn timer_fired(&mut self, token: u64) {
         if token == LIST_TOKEN {
             return self.list_due();
         }
@@ -420,14 +420,14 @@
     }
 
     /// A leaf call ended.
-    pub fn settled(&mut self, part: u64, call: u32, outcome: Outcome, server: &str, over: bool) {
+    pub fn call_ended(&mut self, part: u64, call: u32, outcome: Outcome, server: &str, over: bool) {
         let known = self.learn(part, call, outcome, server);
         let Some(number) = self.numbers.get(&part).copied().filter(|_| known) else { return };
         let Some(q) = self.queries.get_mut(&number) else { return };
         let Some(p) = q.parts.iter_mut().find(|p| p.id == part && p.out > 0) else { return };
         p.out -= 1;
         p.unsent += u32::from(matches!(outcome, Outcome::Unreachable | Outcome::NeverSent));
-        p.maybe_ran |= !matches!(outcome, Outcome::TurnedAway | Outcome::Unreachable | Outcome::NeverSent);
+        p.maybe_ran |= !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent);
         if outcome == Outcome::Completed {
             p.done = true;
             let tried = std::mem::take(&mut p.tried);
@@ -439,7 +439,7 @@
     }
 
     /// The client left, or its time is over: the query needs nothing more.
-    pub fn abandoned(&mut self, id: u64) {
+    pub fn query_abandoned(&mut self, id: u64) {
         let Some(number) = self.numbers.get(&id).copied() else { return };
         let Some(q) = self.queries.get(&number).filter(|q| q.id == id) else { return };
         let v = &mut self.verticals[q.vertical];
@@ -451,7 +451,7 @@
     }
 
     /// Nothing can be held any more of what a query's parts brought: it is given up, as honestly as can be.
-    pub fn out_of_room(&mut self, id: u64) {
+    pub fn result_buffer_full(&mut self, id: u64) {
         let held = |n: &u64| self.queries.get(n).is_some_and(|q| q.id == id);
         if let Some(number) = self.numbers.get(&id).copied().filter(held) {
             self.give_up(number);
@@ -506,7 +506,7 @@
         if q.due.is_none_or(|due| next < due || due <= self.now) {
             q.due.replace(next).map(|before| self.dues.remove(&(before, number)));
             self.dues.insert((next, number));
-            self.host.wake(number, next.saturating_sub(self.now));
+            self.host.set_timer(number, next.saturating_sub(self.now));
         }
     }
 
@@ -547,6 +547,6 @@
     fn call_off_part(&mut self, part: u64, tried: &[ServerId]) {
         let servers = tried.iter().filter_map(|id| self.servers.get(id)).filter(|_| self.call_off);
         let calls = servers.flat_map(|s| s.calls.range((part, 0)..=(part, u32::MAX)));
-        calls.for_each(|((_, number), _)| self.host.call_off(part, *number));
+        calls.for_each(|((_, number), _)| self.host.cancel_call(part, *number));
     }
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -51,7 +51,7 @@
         let q = &self.queries[&number];
         let v = &self.verticals[q.vertical];
         let ran = q.step > 0 || q.parts.iter().any(|p| p.maybe_ran || p.out > 0);
-        if v.effect == Effect::Repeatable || !ran {
+        if v.idempotency == Idempotency::Idempotent || !ran {
             let wait = Duration::from_secs_f64(v.usual[0] * self.usual_pace);
             self.host.reject(q.id, self.back_after.map(|most| wait.min(most)));
         } else {
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -18,7 +18,7 @@
     /// fewest calls out. A shunned one gets a trial now and then.
     pub(super) fn place(&self, q: &Query, p: &Part) -> Option<(ServerId, f64)> {
         let v = &self.verticals[q.vertical];
-        let bears = p.calls == 0 && v.effect != Effect::SideEffecting;
+        let bears = p.calls == 0 && v.idempotency != Idempotency::NonIdempotent;
         let cell = |j| self.holders.get(&((p.shard % self.cells + j) % self.cells));
         let holders = (0..self.span).filter_map(cell).flatten().map(|id| (id, &self.servers[id]));
         let near = |s: &Server| s.zone == self.zone && self.zone_pace(s) <= NEAR * self.usual_pace;
--- a/src/decide/servers.rs
+++ b/src/decide/servers.rs
@@ -29,7 +29,7 @@
     }
 
     /// A list of servers begins, or of changes. Those gone before are forgotten once nothing is out there.
-    pub fn list_begins(&mut self, all: bool) {
+    pub fn begin_server_list(&mut self, all: bool) {
         self.ask_wait = ASK_AGAIN;
         self.ask_at = self.now + self.ask_every.unwrap_or_default();
         self.servers.retain(|_, s| s.health != Health::Gone || !s.calls.is_empty());
@@ -43,7 +43,7 @@
     }
 
     /// The list names a server. A start that we have not seen makes it new, and perhaps cold.
-    pub fn server_listed(
+    pub fn update_server(
         &mut self, id: &str, health: Health, cell: u32, zone: Option<u32>, started: Option<Duration>,
     ) {
         let started = started.filter(|t| *t + self.cold_time > self.now);
@@ -65,7 +65,7 @@
     }
 
     /// The list could not be had, or no longer follows its changes: ask again, ever more slowly.
-    pub fn list_failed(&mut self) {
+    pub fn server_list_failed(&mut self) {
         let Some(every) = self.ask_every else { return };
         self.ask_at = self.now + self.ask_wait.mul_f64(0.75 + self.rng.f64() / 2.0);
         self.ask_wait = (self.ask_wait * 2).min(every);
@@ -74,10 +74,10 @@
     pub(super) fn list_due(&mut self) {
         let Some(every) = self.ask_every else { return };
         if self.now >= self.ask_at {
-            self.host.watch_list();
+            self.host.watch_server_list();
             self.ask_at = self.now + every;
         }
-        self.host.wake(LIST_TOKEN, ASK_AGAIN);
+        self.host.set_timer(LIST_TOKEN, ASK_AGAIN);
     }
 
     /// Latency to expect of a part, in seconds, from a server that answers as usual.
@@ -128,7 +128,7 @@
         let ratio = took / expected;
         // What was out while this gatherer stood still says nothing of its server.
         let tells = c.sent >= self.awake && outcome != Outcome::NeverSent;
-        if !tells || (outcome == Outcome::CalledOff && ratio <= 1.0) {
+        if !tells || (outcome == Outcome::Cancelled && ratio <= 1.0) {
             return true;
         }
         (s.pace, s.seen) = (zone + (s.pace - zone) * fresh, now);
@@ -145,9 +145,9 @@
                 *usual += (took - *usual).min(*usual * OUTLIER) * USUAL_WEIGHT;
                 (v.heard, v.answered) = (now, true);
             }
-            Outcome::CalledOff | Outcome::TimedOut => s.pace = s.pace.max(ratio),
+            Outcome::Cancelled | Outcome::TimedOut => s.pace = s.pace.max(ratio),
             Outcome::Errored => *s.faults.entry(c.vertical).or_insert(1.0) *= FAILED_TIMES,
-            Outcome::TurnedAway => s.pace = s.pace.max(1.0) * FULL_TIMES,
+            Outcome::Rejected => s.pace = s.pace.max(1.0) * FULL_TIMES,
             _ => s.pace = s.pace.max(1.0) * FAILED_TIMES,
         }
         s.pace = s.pace.min(PACE_MOST);
--- a/src/decide/spares.rs
+++ b/src/decide/spares.rs
@@ -5,19 +5,19 @@
 impl<H: Host> Gatherer<H> {
     /// Whether the rules allow a leaf call for this part now, with so many of its own still waited for.
     pub(super) fn may_call(&self, q: &Query, p: &Part, out: u32) -> bool {
-        let apart = match self.verticals[q.vertical].effect {
-            Effect::Repeatable => true,
-            Effect::Deduplicated(window) => {
+        let apart = match self.verticals[q.vertical].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated(window) => {
                 p.calls == 0 || self.now + self.end_margin < p.first_sent + window
             }
-            Effect::SideEffecting => p.out == 0 && !p.maybe_ran,
+            Idempotency::NonIdempotent => p.out == 0 && !p.maybe_ran,
         };
-        let room = |b: &BudgetSettings| {
-            let taken = self.taken.len() - self.taken.partition_point(|t| self.now - *t >= b.span);
-            let extras = self.extras.len() - self.extras.partition_point(|t| self.now - *t > b.span);
-            extras as f64 + 1.0 <= b.least + b.share * taken as f64
+        let room = |b: &RetryBudgetSettings| {
+            let taken = self.taken.len() - self.taken.partition_point(|t| self.now - *t >= b.window);
+            let extras = self.extras.len() - self.extras.partition_point(|t| self.now - *t > b.window);
+            extras as f64 + 1.0 <= b.min_retries + b.ratio * taken as f64
         };
-        let shared = || self.host.may_call_again(p.shard);
+        let shared = || self.host.may_retry(p.shard);
         // Where the limits are on servers that were sent it, one that could not be reached takes nothing of them.
         let v = &self.verticals[q.vertical];
         let unsent = if v.squared { p.unsent.min(UNSENT_MOST) } else { 0 };
@@ -33,7 +33,7 @@
         let q = self.queries.get_mut(&number).expect("held");
         let p = &mut q.parts[at];
         if let (Some(b), 1..) = (&self.budget, p.calls) {
-            while self.extras.front().is_some_and(|t| now - *t > b.span) {
+            while self.extras.front().is_some_and(|t| now - *t > b.window) {
                 self.extras.pop_front();
             }
             self.extras.push_back(now);
@@ -52,7 +52,7 @@
         s.ages.insert((now, key), expected);
         self.told.insert(id.clone());
         self.sends.count(now);
-        self.host.call(p.id, id, limit);
+        self.host.start_call(p.id, id, limit);
     }
 
     /// Parts that may be sent next: heaviest first, then not sent so far, then those that answer soonest.
--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings, VerticalSettings};
+use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings, VerticalSettings};
 
 /// Long enough that nothing held falls due while it is measured.
 const AIM: Duration = Duration::from_secs(100_000);
@@ -24,12 +24,12 @@
 pub(crate) struct Hand(pub Rc<RefCell<Noted>>);
 
 impl Host for Hand {
-    fn call(&mut self, part: u64, server: &str, _: Duration) {
+    fn start_call(&mut self, part: u64, server: &str, _: Duration) {
         let mut noted = self.0.borrow_mut();
         noted.sent += 1;
         noted.calls.push_back((part, server.to_owned()));
     }
-    fn call_off(&mut self, _: u64, _: u32) {}
+    fn cancel_call(&mut self, _: u64, _: u32) {}
     fn answer(&mut self, _: u64, _: bool) {
         let mut noted = self.0.borrow_mut();
         noted.answered += 1;
@@ -41,8 +41,8 @@
     fn abort(&mut self, _: u64) {
         self.0.borrow_mut().ended += 1;
     }
-    fn wake(&mut self, _: u64, _: Duration) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: u64, _: Duration) {}
+    fn watch_server_list(&mut self) {}
 }
 
 pub(crate) struct Crowd {
@@ -58,34 +58,34 @@
 impl Crowd {
     pub(crate) fn new(servers: u32) -> Crowd {
         let vertical = VerticalSettings {
-            need: 1.0,
-            floor: 1.0,
-            follow_up: 0,
+            required_weight: 1.0,
+            min_weight: 1.0,
+            follow_up_parts: 0,
             slo: AIM,
             late_utility: 0.1,
-            effect: Effect::Repeatable,
+            idempotency: Idempotency::Idempotent,
         };
         let settings = Settings {
             seed: 7,
-            gatherers: 1,
+            gatherer_count: 1,
             zone: None,
             tick: Duration::from_millis(5),
             verticals: vec![vertical],
             tenant_rates: Vec::new(),
-            cells: servers.div_ceil(3),
-            span: 1,
-            parts_a_call: 1,
-            call_cost: Duration::ZERO,
-            most_calls: 3,
-            second_copies: true,
-            call_off: true,
-            back_after: None,
-            ask_within: None,
-            budget: None,
-            cold_from: 0.2,
-            cold_time: Duration::from_secs(10),
+            cell_count: servers.div_ceil(3),
+            cells_per_shard: 1,
+            max_parts_per_call: 1,
+            call_overhead: Duration::ZERO,
+            max_calls_per_part: 3,
+            allow_hedging: true,
+            allow_cancel: true,
+            max_retry_after: None,
+            max_list_request_interval: None,
+            retry_budget: None,
+            cold_capacity_share: 0.2,
+            warm_up_time: Duration::from_secs(10),
             overload_factor: 2.0,
-            fall_time: Duration::from_secs(1),
+            overload_window: Duration::from_secs(1),
         };
         let noted = Rc::new(RefCell::default());
         let now = Duration::from_secs(1_000_000);
@@ -98,34 +98,34 @@
     /// All servers are replaced by others of new names.
     pub(crate) fn rename(&mut self) {
         self.generation += 1;
-        self.gatherer.list_begins(true);
+        self.gatherer.begin_server_list(true);
         for s in 0..self.servers {
             let id = format!("s-{}-{s}", self.generation);
-            self.gatherer.server_listed(&id, Health::Ready, s / 3, None, None);
+            self.gatherer.update_server(&id, Health::Ready, s / 3, None, None);
         }
     }
 
     /// A query comes, of a new id and key; its parts are sent.
     pub(crate) fn comes(&mut self) {
         self.now += Duration::from_micros(100);
-        self.gatherer.at(self.now);
+        self.gatherer.advance_to(self.now);
         let id = self.next;
         self.next += 1 + u64::from(PARTS);
         let key = format!("key-{id}");
-        self.gatherer.query_came(id, id, 0, None, Some(&key), self.now + AIM, PARTS as usize);
+        self.gatherer.query_arrived(id, id, 0, None, Some(&key), self.now + AIM, PARTS as usize);
         for part in 0..PARTS {
             let shard = (id as u32).wrapping_mul(31).wrapping_add(part);
-            self.gatherer.part_came(id + 1 + u64::from(part), id, shard, 1.0 / f64::from(PARTS));
+            self.gatherer.part_arrived(id + 1 + u64::from(part), id, shard, 1.0 / f64::from(PARTS));
         }
     }
 
     /// Every part that is out is answered.
     pub(crate) fn settles(&mut self) {
         self.now += Duration::from_millis(1);
-        self.gatherer.at(self.now);
+        self.gatherer.advance_to(self.now);
         let calls = std::mem::take(&mut self.noted.borrow_mut().calls);
         for (part, server) in calls {
-            self.gatherer.settled(part, 0, Outcome::Completed, &server, true);
+            self.gatherer.call_ended(part, 0, Outcome::Completed, &server, true);
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings, VerticalSettings};
+use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings, VerticalSettings};
 
 pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -60,43 +60,52 @@
 
 pub(crate) struct Seat(pub Rc<RefCell<World>>);
 
-pub(crate) fn vertical(need: f64, floor: f64, follow_up: u32, effect: Effect) -> VerticalSettings {
-    VerticalSettings { need, floor, follow_up, slo: ms(1000), late_utility: 0.1, effect }
+pub(crate) fn vertical(
+    required_weight: f64, min_weight: f64, follow_up_parts: u32, idempotency: Idempotency,
+) -> VerticalSettings {
+    VerticalSettings {
+        required_weight,
+        min_weight,
+        follow_up_parts,
+        slo: ms(1000),
+        late_utility: 0.1,
+        idempotency,
+    }
 }
 
 pub(crate) fn settings(verticals: Vec<VerticalSettings>) -> Settings {
     Settings {
         seed: 7,
-        gatherers: 3,
+        gatherer_count: 3,
         zone: None,
         tick: ms(5),
         verticals,
         tenant_rates: Vec::new(),
-        cells: 6,
-        span: 2,
-        parts_a_call: 1,
-        call_cost: Duration::ZERO,
-        most_calls: 3,
-        second_copies: false,
-        call_off: true,
-        back_after: None,
-        ask_within: None,
-        budget: None,
-        cold_from: 0.2,
-        cold_time: ms(10_000),
+        cell_count: 6,
+        cells_per_shard: 2,
+        max_parts_per_call: 1,
+        call_overhead: Duration::ZERO,
+        max_calls_per_part: 3,
+        allow_hedging: false,
+        allow_cancel: true,
+        max_retry_after: None,
+        max_list_request_interval: None,
+        retry_budget: None,
+        cold_capacity_share: 0.2,
+        warm_up_time: ms(10_000),
         overload_factor: 2.0,
-        fall_time: ms(1000),
+        overload_window: ms(1000),
     }
 }
 
 fn ran(call: &Call) -> bool {
-    !matches!(call.ended, Some(Outcome::TurnedAway | Outcome::Unreachable | Outcome::NeverSent))
+    !matches!(call.ended, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
 
 impl World {
     pub(crate) fn holds(&self, server: &str, shard: u32) -> bool {
-        let (cells, cell) = (self.settings.cells, self.servers[server].cell);
-        (0..self.settings.span).any(|j| (shard + j) % cells == cell)
+        let (cells, cell) = (self.settings.cell_count, self.servers[server].cell);
+        (0..self.settings.cells_per_shard).any(|j| (shard + j) % cells == cell)
     }
 
     pub(crate) fn is_in(&self, part: u64) -> bool {
@@ -114,23 +123,23 @@
         let q = &self.queries[&p.query];
         let earlier: Vec<&Call> = self.calls.iter().filter(|c| c.part == part).collect();
         let extra = |c: &&Call| c.number > 0;
-        let budget = self.settings.budget.is_some_and(|b| {
-            let within = |t: Duration| self.now - t <= b.span;
+        let budget = self.settings.retry_budget.is_some_and(|b| {
+            let within = |t: Duration| self.now - t <= b.window;
             let extras = self.calls.iter().filter(extra).filter(|c| within(c.sent)).count();
-            let asks = self.asks.iter().filter(|t| self.now - **t < b.span).count();
-            extras as f64 + 1.0 > b.least + b.share * asks as f64
+            let asks = self.asks.iter().filter(|t| self.now - **t < b.window).count();
+            extras as f64 + 1.0 > b.min_retries + b.ratio * asks as f64
         });
         let first = earlier.iter().find(|c| ran(c)).map_or(self.now, |c| c.sent);
-        match self.settings.verticals[q.vertical].effect {
+        match self.settings.verticals[q.vertical].idempotency {
             _ if !q.open || p.step != q.step => Some("the query is over"),
             _ if self.is_in(part) => Some("the part is in"),
-            _ if earlier.len() as u32 >= self.settings.most_calls => Some("too many leaf calls"),
-            _ if !self.settings.second_copies && earlier.iter().any(|c| c.ended.is_none()) => {
+            _ if earlier.len() as u32 >= self.settings.max_calls_per_part => Some("too many leaf calls"),
+            _ if !self.settings.allow_hedging && earlier.iter().any(|c| c.ended.is_none()) => {
                 Some("a second copy")
             }
             _ if !earlier.is_empty() && budget => Some("over the budget"),
-            Effect::SideEffecting if earlier.iter().any(|c| ran(c)) => Some("it may have run"),
-            Effect::Deduplicated(window) if self.now + self.settings.tick * 2 >= first + window => {
+            Idempotency::NonIdempotent if earlier.iter().any(|c| ran(c)) => Some("it may have run"),
+            Idempotency::Deduplicated(window) if self.now + self.settings.tick * 2 >= first + window => {
                 Some("outside the window")
             }
             _ => None,
@@ -147,49 +156,55 @@
 }
 
 impl Host for Seat {
-    fn call(&mut self, part: u64, server: &str, limit: Duration) {
+    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
         let w = &mut *self.0.borrow_mut();
         let why = w.forbidden(part);
         assert!(why.is_none(), "call of {part}: {why:?}");
         let p = &w.parts[&part];
         assert!(w.holds(server, p.shard), "{server} does not hold the shard of {part}");
         assert_eq!(w.servers[server].health, Health::Ready, "{server} is not ready");
-        assert!(w.now + limit <= w.queries[&p.query].until, "{part} may outlive its query");
+        assert!(w.now + timeout <= w.queries[&p.query].until, "{part} may outlive its query");
         let number = w.calls.iter().filter(|c| c.part == part).count() as u32;
         let (server, sent) = (server.to_owned(), w.now);
         w.log.push(format!("call {part} {server}"));
         w.calls.push(Call { part, number, server, sent, called_off: false, ended: None });
     }
 
-    fn call_off(&mut self, part: u64, call: u32) {
+    fn cancel_call(&mut self, part: u64, call: u32) {
         let w = &mut *self.0.borrow_mut();
-        assert!(w.settings.call_off, "calling off is not allowed");
+        assert!(w.settings.allow_cancel, "calling off is not allowed");
         w.log.push(format!("off {part}"));
         let known = w.calls.iter_mut().find(|c| c.part == part && c.number == call);
         known.expect("a call that was made").called_off = true;
     }
 
-    fn answer(&mut self, query: u64, whole: bool) {
+    fn answer(&mut self, query: u64, complete: bool) {
         let w = &mut *self.0.borrow_mut();
         let v = w.settings.verticals[w.queries[&query].vertical].clone();
         let (got, step) = (w.got(query) + 1e-4, w.queries[&query].step);
-        let need = if step == 0 { v.need } else { 1.0 };
-        assert!(got >= if v.floor < v.need { v.floor } else { need }, "{query}: under the floor");
-        assert!(!whole || (got >= need && w.queries[&query].whole), "{query}: not whole");
-        w.queries.get_mut(&query).expect("held").whole = whole;
-        if step == 0 && v.follow_up > 0 {
+        let need = if step == 0 { v.required_weight } else { 1.0 };
+        assert!(
+            got >= if v.min_weight < v.required_weight { v.min_weight } else { need },
+            "{query}: under the floor"
+        );
+        assert!(!complete || (got >= need && w.queries[&query].whole), "{query}: not whole");
+        w.queries.get_mut(&query).expect("held").whole = complete;
+        if step == 0 && v.follow_up_parts > 0 {
             w.queries.get_mut(&query).expect("held").step = 1;
             w.log.push(format!("first answer {query}"));
         } else {
-            w.end(query, if whole { "answer" } else { "short answer" });
+            w.end(query, if complete { "answer" } else { "short answer" });
         }
     }
 
-    fn reject(&mut self, query: u64, _back_after: Option<Duration>) {
+    fn reject(&mut self, query: u64, _retry_after: Option<Duration>) {
         let w = &mut *self.0.borrow_mut();
-        let effect = w.settings.verticals[w.queries[&query].vertical].effect;
+        let idempotency = w.settings.verticals[w.queries[&query].vertical].idempotency;
         let may_have_run = w.calls.iter().any(|c| w.parts[&c.part].query == query && ran(c));
-        assert!(effect == Effect::Repeatable || !may_have_run, "{query} rejected, and may have run");
+        assert!(
+            idempotency == Idempotency::Idempotent || !may_have_run,
+            "{query} rejected, and may have run"
+        );
         w.end(query, "reject");
     }
 
@@ -197,13 +212,13 @@
         self.0.borrow_mut().end(query, "abort");
     }
 
-    fn wake(&mut self, token: u64, after: Duration) {
+    fn set_timer(&mut self, token: u64, delay: Duration) {
         let w = &mut *self.0.borrow_mut();
-        let at = w.now + after.max(ms(1));
+        let at = w.now + delay.max(ms(1));
         w.wakes.push((at, token));
     }
 
-    fn watch_list(&mut self) {
+    fn watch_server_list(&mut self) {
         self.0.borrow_mut().log.push("watch".into());
     }
 }
@@ -229,15 +244,15 @@
         let world = Rc::new(RefCell::new(world));
         let gatherer = Gatherer::new(Seat(world.clone()), &settings, ms(0));
         let mut stage = Stage { world, gatherer };
-        (0..settings.cells).for_each(|i| stage.list(&format!("s{i}"), Health::Ready, i, None));
+        (0..settings.cell_count).for_each(|i| stage.list(&format!("s{i}"), Health::Ready, i, None));
         stage
     }
 
     pub(crate) fn list(&mut self, id: &str, health: Health, cell: u32, started: Option<Duration>) {
         let server = Server { health, cell, started };
         self.world.borrow_mut().servers.insert(id.into(), server);
-        self.gatherer.list_begins(false);
-        self.gatherer.server_listed(id, health, cell, Some(cell % 3), started);
+        self.gatherer.begin_server_list(false);
+        self.gatherer.update_server(id, health, cell, Some(cell % 3), started);
     }
 
     /// Query `id` with one part for each shard; the parts' ids are `id + 1` and on.
@@ -246,7 +261,7 @@
         let q = Query { vertical, until, step: 0, whole: true, open: true };
         self.world.borrow_mut().queries.insert(id, q);
         self.world.borrow_mut().asks.push(until - ms(3000));
-        self.gatherer.query_came(id, id, vertical, None, None, until, shards.len());
+        self.gatherer.query_arrived(id, id, vertical, None, None, until, shards.len());
         self.parts(id, id + 1, shards);
     }
 
@@ -257,7 +272,7 @@
             let now = self.world.borrow().now;
             self.world.borrow_mut().asks.push(now);
             self.world.borrow_mut().parts.insert(id, part);
-            self.gatherer.part_came(id, query, *shard, weight);
+            self.gatherer.part_arrived(id, query, *shard, weight);
         }
     }
 
@@ -267,7 +282,7 @@
             call.ended = Some(outcome);
             (call.part, call.number, call.server.clone())
         };
-        self.gatherer.settled(part, number, outcome, &server, outcome == Outcome::Completed);
+        self.gatherer.call_ended(part, number, outcome, &server, outcome == Outcome::Completed);
     }
 
     /// Ends the calls that are out, each as it is told; those that are told nothing stay out.
@@ -289,10 +304,10 @@
             let next = self.world.borrow().wakes.iter().min().copied().filter(|w| w.0 <= until);
             let at = next.map_or(until, |w| w.0);
             self.world.borrow_mut().now = at;
-            self.gatherer.at(at);
+            self.gatherer.advance_to(at);
             let Some(wake) = next else { break };
             self.world.borrow_mut().wakes.retain(|w| *w != wake);
-            self.gatherer.woke(wake.1);
+            self.gatherer.timer_fired(wake.1);
         }
     }
 
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -4,15 +4,15 @@
 
 use std::time::Duration;
 
-use ashvane::{Effect, Health, Outcome, Settings};
+use ashvane::{Health, Idempotency, Outcome, Settings};
 use common::{Stage, ms, number, settings, vertical};
 
 fn any(need: f64) -> Settings {
-    settings(vec![vertical(need, need, 0, Effect::Repeatable)])
+    settings(vec![vertical(need, need, 0, Idempotency::Idempotent)])
 }
 
 fn ended(called_off: bool) -> Option<Outcome> {
-    Some(if called_off { Outcome::CalledOff } else { Outcome::Completed })
+    Some(if called_off { Outcome::Cancelled } else { Outcome::Completed })
 }
 
 fn warm_up(stage: &mut Stage) {
@@ -57,7 +57,7 @@
 
 /// Three servers of six fall silent with a part each: these are no few sick ones any longer.
 fn three_silent() -> Stage {
-    let mut stage = Stage::new(Settings { span: 1, ..any(0.5) });
+    let mut stage = Stage::new(Settings { cells_per_shard: 1, ..any(0.5) });
     warm_up(&mut stage);
     for id in (5000..8000).step_by(100) {
         stage.query(id, 0, &[0, 1, 2, 3, 4, 5]);
@@ -93,7 +93,7 @@
 /// raises the fleet's pace, as a slowdown of all would, though what answers comes is as quick as ever.
 #[test]
 fn a_fleet_that_mostly_loses_calls_does_not_pass_for_a_slow_one() {
-    let mut stage = Stage::new(Settings { span: 1, cells: 12, ..any(0.5) });
+    let mut stage = Stage::new(Settings { cells_per_shard: 1, cell_count: 12, ..any(0.5) });
     let all: Vec<u32> = (0..12).collect();
     warm_up(&mut stage);
     for id in (20_000..22_000).step_by(100) {
@@ -110,7 +110,7 @@
 
 #[test]
 fn parts_of_one_key_share_a_home_until_it_is_past_its_bound() {
-    let mut stage = Stage::new(Settings { span: 6, ..any(1.0) });
+    let mut stage = Stage::new(Settings { cells_per_shard: 6, ..any(1.0) });
     let at_home = |stage: &mut Stage, id| {
         let first = stage.calls();
         stage.query(id, 0, &[0, 1, 2, 3, 4, 5]);
@@ -126,8 +126,8 @@
 /// Guards against a long query that is split into several calls, each of which costs the home work of its own.
 #[test]
 fn where_a_call_costs_work_the_parts_that_share_it_stay_at_their_home() {
-    let at_home = |call_cost, parts_a_call| {
-        let shared = Settings { span: 6, parts_a_call, call_cost, ..any(1.0) };
+    let at_home = |call_overhead, max_parts_per_call| {
+        let shared = Settings { cells_per_shard: 6, max_parts_per_call, call_overhead, ..any(1.0) };
         let mut stage = Stage::new(shared);
         stage.query(100, 0, &[0, 1, 2, 3, 4, 5]);
         let first = stage.calls();
@@ -155,18 +155,18 @@
     stage.pass(ms(400));
     assert_eq!(stage.count("off 101"), 1, "{:?}", stage.log());
     assert_eq!(stage.count("call 101"), 1, "not before the outcome is known");
-    stage.settle(at, Outcome::CalledOff);
+    stage.settle(at, Outcome::Cancelled);
     let w = stage.world.borrow();
     assert_ne!(w.calls[at].server, w.calls[at + 1].server);
 }
 
 #[test]
 fn a_side_effecting_part_goes_again_only_on_proof_that_it_never_ran() {
-    let mut stage = Stage::new(settings(vec![vertical(1.0, 1.0, 0, Effect::SideEffecting)]));
+    let mut stage = Stage::new(settings(vec![vertical(1.0, 1.0, 0, Idempotency::NonIdempotent)]));
     stage.query(100, 0, &[0]);
     stage.settle(0, Outcome::Unreachable);
     assert_eq!(stage.count("call 101"), 2);
-    stage.settle(1, Outcome::Broken);
+    stage.settle(1, Outcome::ConnectionLost);
     assert_eq!(stage.log().last().expect("an end"), "abort 100");
 }
 
@@ -177,15 +177,15 @@
     stage.query(100, 0, &[0, 1, 2, 3, 4]);
     // Nothing ran for 600 ms: the wakes come late, and the answers right behind them.
     stage.world.borrow_mut().now += ms(600);
-    stage.gatherer.at(stage.world.borrow().now);
-    stage.gatherer.woke(100);
+    stage.gatherer.advance_to(stage.world.borrow().now);
+    stage.gatherer.timer_fired(100);
     assert_eq!(stage.count("call 10"), 3, "{:?}", stage.log());
 }
 
 #[test]
 fn a_way_to_a_zone_that_is_lost_is_blamed_on_the_zone_and_costs_few_parts() {
     // Of 90 servers each answered only now and then: every one beyond the way would be a failure of its own.
-    let mut stage = Stage::new(Settings { cells: 90, span: 3, ..any(1.0) });
+    let mut stage = Stage::new(Settings { cell_count: 90, cells_per_shard: 3, ..any(1.0) });
     let lost = |server: &str| number(server) % 3 == 1;
     let began = 60;
     for turn in 0..140 {
@@ -193,7 +193,7 @@
         for _ in 0..4 {
             stage.pass(ms(50));
             stage.settle_all(|_, c| match (c.called_off, turn >= began && lost(&c.server)) {
-                (true, _) => Some(Outcome::CalledOff),
+                (true, _) => Some(Outcome::Cancelled),
                 (false, beyond) => Some(Outcome::Completed).filter(|_| !beyond),
             });
         }
@@ -208,12 +208,11 @@
 
 #[test]
 fn homes_are_in_the_own_zone_and_a_full_server_is_left_at_once() {
-    let mut stage = Stage::new(Settings { cells: 30, span: 3, zone: Some(2), ..any(1.0) });
+    let mut stage = Stage::new(Settings { cell_count: 30, cells_per_shard: 3, zone: Some(2), ..any(1.0) });
     for turn in 0..60 {
         stage.query(1000 + 100 * turn, 0, &[turn as u32 % 30]);
         stage.pass(ms(60));
-        stage
-            .settle_all(|_, c| Some(if c.server == "s5" { Outcome::TurnedAway } else { Outcome::Completed }));
+        stage.settle_all(|_, c| Some(if c.server == "s5" { Outcome::Rejected } else { Outcome::Completed }));
         stage.pass(ms(20));
         stage.settle_all(|_, _| Some(Outcome::Completed));
     }
@@ -234,7 +233,7 @@
         // From the twentieth on they leave after 150 ms, just before the answers come.
         if turn >= 20 && stage.world.borrow().queries[&id].open {
             stage.world.borrow_mut().queries.get_mut(&id).expect("held").open = false;
-            stage.gatherer.abandoned(id);
+            stage.gatherer.query_abandoned(id);
         }
         stage.settle_all(|_, _| Some(Outcome::Completed));
     }
@@ -243,7 +242,7 @@
 
 #[test]
 fn a_vertical_that_a_server_cannot_serve_is_kept_from_it_though_others_are_answered() {
-    let both = vec![vertical(1.0, 1.0, 0, Effect::Repeatable); 2];
+    let both = vec![vertical(1.0, 1.0, 0, Idempotency::Idempotent); 2];
     let mut stage = Stage::new(settings(both));
     warm_up(&mut stage);
     let began = stage.world.borrow().now;
@@ -274,7 +273,7 @@
     assert!(stage.count("reject") > 20, "few queries are taken while each needs its whole SLO time");
     // Nothing is out any more, and no answer comes that could make the prediction better.
     stage.pass(ms(4000));
-    stage.settle_all(|_, _| Some(Outcome::CalledOff));
+    stage.settle_all(|_, _| Some(Outcome::Cancelled));
     stage.pass(ms(20_000));
     stage.world.borrow_mut().log.clear();
     stage.query(100, 0, &[0, 1, 2]);
@@ -283,12 +282,12 @@
 
 #[test]
 fn the_list_is_asked_for_again_after_a_failure_and_before_the_stated_time() {
-    let mut stage = Stage::new(Settings { ask_within: Some(ms(10_000)), ..any(1.0) });
+    let mut stage = Stage::new(Settings { max_list_request_interval: Some(ms(10_000)), ..any(1.0) });
     assert_eq!(stage.count("watch"), 1);
-    stage.gatherer.list_failed();
+    stage.gatherer.server_list_failed();
     stage.pass(ms(1000));
     assert_eq!(stage.count("watch"), 2);
-    stage.gatherer.list_begins(false);
+    stage.gatherer.begin_server_list(false);
     stage.pass(ms(9000));
     assert!(stage.count("watch") > 2);
 }
@@ -296,13 +295,13 @@
 #[test]
 fn what_is_not_known_is_passed_over() {
     let mut stage = Stage::new(any(1.0));
-    stage.gatherer.settled(5, 0, Outcome::Completed, "nobody", true);
-    stage.gatherer.woke(77);
-    stage.gatherer.abandoned(77);
-    stage.gatherer.part_came(5, 77, 0, 1.0);
+    stage.gatherer.call_ended(5, 0, Outcome::Completed, "nobody", true);
+    stage.gatherer.timer_fired(77);
+    stage.gatherer.query_abandoned(77);
+    stage.gatherer.part_arrived(5, 77, 0, 1.0);
     stage.query(100, 0, &[0]);
     stage.settle(0, Outcome::Completed);
-    stage.gatherer.settled(101, 0, Outcome::Completed, "s0", true);
+    stage.gatherer.call_ended(101, 0, Outcome::Completed, "s0", true);
     assert_eq!(stage.log().last().expect("an answer"), "answer 100");
 }
 
@@ -337,7 +336,7 @@
         warm_up(&mut stage);
         let now = stage.world.borrow().now;
         stage.list("s0", Health::Ready, 0, Some(now));
-        alive.iter().for_each(|alive| stage.gatherer.fleet_is(*alive));
+        alive.iter().for_each(|alive| stage.gatherer.set_gatherer_count(*alive));
         let first = stage.calls();
         for id in (20_000..30_000).step_by(100) {
             stage.query(id, 0, &[0, 1, 2, 3, 4, 5]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use ashvane::Outcome::{self, *};
-use ashvane::{BudgetSettings, Effect, Health};
+use ashvane::{Health, Idempotency, RetryBudgetSettings};
 use common::{Stage, ms, number, settings, vertical};
 use quickcheck::{Gen, QuickCheck};
 
 const OUTCOMES: [Outcome; 8] =
-    [Completed, Errored, TurnedAway, TimedOut, Unreachable, Broken, NeverSent, Completed];
+    [Completed, Errored, Rejected, TimedOut, Unreachable, ConnectionLost, NeverSent, Completed];
 
 fn step(stage: &mut Stage, next: &mut u64, (kind, a, b): (u8, u8, u8)) {
     let out: Vec<usize> = {
@@ -37,7 +37,7 @@
             let open = stage.world.borrow().queries.iter().find(|(_, q)| q.open).map(|(id, _)| *id);
             if let Some(id) = open {
                 stage.world.borrow_mut().queries.get_mut(&id).expect("open").open = false;
-                stage.gatherer.abandoned(id);
+                stage.gatherer.query_abandoned(id);
             }
         }
         _ => stage.pass(ms(u64::from(a) * 3)),
@@ -48,7 +48,7 @@
     loop {
         let off = stage.world.borrow().calls.iter().position(|c| c.called_off && c.ended.is_none());
         let Some(at) = off else { break };
-        stage.settle(at, CalledOff);
+        stage.settle(at, Cancelled);
     }
     let second: Vec<u64> = {
         let w = stage.world.borrow();
@@ -73,7 +73,7 @@
         let taken = q.step == 1 || w.calls.iter().any(|c| w.parts[&c.part].query == *id);
         let out = |id: u64| w.calls.iter().any(|c| c.part == id && c.ended.is_none());
         let coming = parts.iter().filter(|(id, _)| w.is_in(**id) || out(**id));
-        let need = if q.step == 0 { w.settings.verticals[q.vertical].need } else { 1.0 };
+        let need = if q.step == 0 { w.settings.verticals[q.vertical].required_weight } else { 1.0 };
         if !taken || coming.map(|(_, p)| p.weight).sum::<f64>() >= need - 1e-4 {
             continue;
         }
@@ -92,15 +92,16 @@
 fn keeps_the_rules(switches: u8, steps: Vec<(u8, u8, u8)>) -> bool {
     let whole = ms(1500);
     let mut s = settings(vec![
-        vertical(0.6, 0.6, 0, Effect::Repeatable),
-        vertical(0.8, 0.4, 0, Effect::Repeatable),
-        vertical(1.0, 1.0, 2, Effect::Repeatable),
-        vertical(1.0, 1.0, 0, Effect::Deduplicated(whole)),
-        vertical(1.0, 1.0, 0, Effect::SideEffecting),
+        vertical(0.6, 0.6, 0, Idempotency::Idempotent),
+        vertical(0.8, 0.4, 0, Idempotency::Idempotent),
+        vertical(1.0, 1.0, 2, Idempotency::Idempotent),
+        vertical(1.0, 1.0, 0, Idempotency::Deduplicated(whole)),
+        vertical(1.0, 1.0, 0, Idempotency::NonIdempotent),
     ]);
-    s.second_copies = switches & 1 > 0;
-    s.call_off = switches & 2 > 0;
-    s.budget = (switches & 4 > 0).then_some(BudgetSettings { span: ms(2000), least: 1.0, share: 0.1 });
+    s.allow_hedging = switches & 1 > 0;
+    s.allow_cancel = switches & 2 > 0;
+    s.retry_budget =
+        (switches & 4 > 0).then_some(RetryBudgetSettings { window: ms(2000), min_retries: 1.0, ratio: 0.1 });
     let mut stage = Stage::new(s);
     let mut next = 1000;
     for happening in steps {
@@ -124,9 +125,9 @@
 
 #[test]
 fn all_gatherers_together_push_no_cold_server_over_and_yet_warm_it() {
-    let mut s = settings(vec![vertical(1.0, 1.0, 0, Effect::Repeatable)]);
-    (s.cells, s.span, s.gatherers) = (240, 3, 100);
-    let (release, step, fall) = (80, ms(100), s.fall_time);
+    let mut s = settings(vec![vertical(1.0, 1.0, 0, Idempotency::Idempotent)]);
+    (s.cell_count, s.cells_per_shard, s.gatherer_count) = (240, 3, 100);
+    let (release, step, fall) = (80, ms(100), s.overload_window);
     let mut sent = vec![Vec::new(); 240];
     for seed in 0..100 {
         s.seed = (seed + 1_u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -150,7 +151,8 @@
     // The fleet bears what it gets on average: 100 gatherers, 12.5 parts a second each.
     let warm = 100.0 * 12.5 / 240.0;
     let limit = |age: Duration| {
-        let share = s.cold_from + (1.0 - s.cold_from) * (age.as_secs_f64() / s.cold_time.as_secs_f64());
+        let share = s.cold_capacity_share
+            + (1.0 - s.cold_capacity_share) * (age.as_secs_f64() / s.warm_up_time.as_secs_f64());
         s.overload_factor * share * warm * fall.as_secs_f64()
     };
     for sent in &sent[..200] {
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -2,17 +2,23 @@
 
 mod common;
 
-use ashvane::{Effect, Outcome, Settings, VerticalSettings};
+use ashvane::{Idempotency, Outcome, Settings, VerticalSettings};
 use common::{Stage, ms, settings, vertical};
 
 /// One server for each of four shards; a partial answer needs this share of them.
 fn four(least: f64) -> (Stage, VerticalSettings) {
-    let v = VerticalSettings { late_utility: 0.5, ..vertical(1.0, least, 0, Effect::Repeatable) };
-    let most_calls = 8;
+    let v = VerticalSettings { late_utility: 0.5, ..vertical(1.0, least, 0, Idempotency::Idempotent) };
+    let max_calls_per_part = 8;
     let s = settings(vec![v.clone()]);
-    let mut stage =
-        Stage::new(Settings { cells: 4, span: 1, second_copies: true, call_off: false, most_calls, ..s });
-    stage.gatherer.vertical_is(0, &v, 2, true);
+    let mut stage = Stage::new(Settings {
+        cell_count: 4,
+        cells_per_shard: 1,
+        allow_hedging: true,
+        allow_cancel: false,
+        max_calls_per_part,
+        ..s
+    });
+    stage.gatherer.set_vertical(0, &v, 2, true);
     (stage, v)
 }
 
