--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -4,7 +4,7 @@
 
 use ashvane_gossip::Update;
 use ashvane_identifiers::Address;
-use ashvane_quorum::{Chosen, Member, Membership, Outcome, Request, Response, VersionedConfig};
+use ashvane_quorum::{ChosenProposal, Member, Membership, Outcome, Request, Response, VersionedConfig};
 use tokio::sync::oneshot;
 
 use super::{
@@ -47,18 +47,18 @@
     }
 
     /// A write has ended.
-    pub fn write_ended(&mut self, chosen: &Chosen, now: Duration) {
+    pub fn write_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
         self.value_chosen(chosen, now);
     }
 
     /// A read has ended.
-    pub fn read_ended(&mut self, chosen: &Chosen, now: Duration) {
+    pub fn read_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
         self.register_reads.has_read = true;
         self.value_chosen(chosen, now);
     }
 
     /// A chosen value is in force here, and on the own disk where that missed it.
-    fn value_chosen(&mut self, chosen: &Chosen, now: Duration) {
+    fn value_chosen(&mut self, chosen: &ChosenProposal, now: Duration) {
         if let Some(register) = &mut self.register {
             let response = register.learn(chosen);
             self.commands.push(Command::SyncReplica { response, then: OnceSynced::Nothing });
--- a/crates/node/src/engine/register.rs
+++ b/crates/node/src/engine/register.rs
@@ -7,8 +7,8 @@
 use ashvane_identifiers::Address;
 use ashvane_quorum::membership_manager::ReplicaProgress;
 use ashvane_quorum::{
-    AddressedRequest, Chosen, Handled, Member, Membership, Operation, Outcome, Replica, ReplicaState,
-    Request, Response, RetrySchedule, Step, VersionedConfig,
+    AddressedRequest, ChosenProposal, HandledRequest, Member, Membership, Operation, Outcome, Replica,
+    ReplicaState, Request, Response, RetrySchedule, Step, VersionedConfig,
 };
 use tokio::sync::oneshot;
 
@@ -130,7 +130,7 @@
 
     /// Requests something of the own replica.
     pub fn handle(&mut self, request: &Request) -> UnsyncedResponse {
-        let Handled { response, state_changed } = self.replica.handle(request);
+        let HandledRequest { response, state_changed } = self.replica.handle(request);
         let state = state_changed.then(|| self.replica.state().clone());
         UnsyncedResponse { response, state, progress: progress_of(&self.replica) }
     }
@@ -141,7 +141,7 @@
     }
 
     /// What was chosen is taken over by the own replica where it missed it.
-    pub fn learn(&mut self, chosen: &Chosen) -> UnsyncedResponse {
+    pub fn learn(&mut self, chosen: &ChosenProposal) -> UnsyncedResponse {
         self.handle(&Request::Learn { epoch: chosen.epoch, accepted: chosen.accepted.clone() })
     }
 
@@ -255,7 +255,7 @@
         let unanswered: Vec<(u64, Vec<AddressedRequest>)> = self
             .operations
             .iter()
-            .map(|(id, running)| (*id, running.operation.unanswered_at(address)))
+            .map(|(id, running)| (*id, running.operation.unanswered_requests_at(address)))
             .collect();
         let mut requests = Vec::new();
         for (id, unanswered) in unanswered {
--- a/crates/node/src/program/first_start.rs
+++ b/crates/node/src/program/first_start.rs
@@ -16,7 +16,7 @@
         warn!(log, "a store on the disk could not be read and begins anew"; "why" => reason.to_string());
     }
     if let Some(state) = recovered.replica {
-        return Replica::restored(state);
+        return Replica::from_state(state);
     }
     let is_first_start = settings.is_first_start && recovered.unreadable.is_empty();
     let membership = if is_first_start { first_membership(settings) } else { Membership::default() };
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -30,7 +30,7 @@
 
 fn holding(config: VersionedConfig) -> ReplicaState {
     let number = ProposalNumber { round: config.version, operation: "d/1/1".into() };
-    let value = RegisterValue::default().with(&config).into();
+    let value = RegisterValue::default().with_config(&config).into();
     ReplicaState {
         disk: "d".into(),
         membership: Membership::default(),
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -77,7 +77,7 @@
 }
 
 fn accepted(next: Option<Membership>) -> AcceptedProposal {
-    let value = RegisterValue::default().with(&config(5)).with(&config(9));
+    let value = RegisterValue::default().with_config(&config(5)).with_config(&config(9));
     AcceptedProposal { number: numbered(6), value: value.into(), next_membership: next }
 }
 
@@ -165,7 +165,7 @@
         ("prepare-known", prepare(Some(numbered(6)))),
         ("accept-whole", accept(ProposedValue::Complete(accepted(None).value), None)),
         ("accept-same", accept(ProposedValue::Unchanged { base: base.clone() }, Some(membership()))),
-        ("accept-with", accept(ProposedValue::Adding { base, config: config(10) }, None)),
+        ("accept-with", accept(ProposedValue::Extended { base, config: config(10) }, None)),
         ("install", request(install)),
         ("learn", request(Request::Learn { epoch: 4, accepted: accepted(Some(membership())) })),
         ("response", response(None)),
--- a/crates/node/tests/golden/on_disk.rs
+++ b/crates/node/tests/golden/on_disk.rs
@@ -21,7 +21,7 @@
     let member =
         |n: u32| Member { disk: format!("d-{n}").into(), address: format!("10.1.0.{n}:7080").into() };
     let value =
-        versions.iter().fold(RegisterValue::default(), |value, version| value.with(&config(*version)));
+        versions.iter().fold(RegisterValue::default(), |value, version| value.with_config(&config(*version)));
     let number = ProposalNumber { round: versions.len() as u64, operation: "d-1/11/2".into() };
     ReplicaState {
         disk: "d-1".into(),
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -37,10 +37,10 @@
 pub use ashvane_identifiers::DiskId;
 pub use membership::{Member, Membership};
 pub use message::{KnownValue, Rejection, Request, Response};
-pub use operation::{AddressedRequest, Chosen, Operation, Outcome, Step};
+pub use operation::{AddressedRequest, ChosenProposal, Operation, Outcome, Step};
 pub use proposal::{AcceptedProposal, ProposalNumber, ProposedValue};
 pub use register_value::{
     ChosenVersions, ContentDigest, MAX_CHOSEN_VERSIONS, RegisterValue, SubmissionStatus, VersionedConfig,
 };
-pub use replica::{Handled, Replica, ReplicaState};
+pub use replica::{HandledRequest, Replica, ReplicaState};
 pub use retry_schedule::RetrySchedule;
--- a/crates/quorum/src/operation/mod.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -18,7 +18,7 @@
     ReplicaState, Request, Response, SubmissionStatus, VersionedConfig,
 };
 
-pub use outcome::{Chosen, Outcome};
+pub use outcome::{ChosenProposal, Outcome};
 pub use step::{AddressedRequest, Step};
 
 /// Reads that find different values at a quorum before one proposes the newest of them: a write that is in progress mostly
@@ -137,7 +137,7 @@
 
     /// What this phase requests of the replica at an address, if that has not responded.
     #[must_use]
-    pub fn unanswered_at(&self, address: &Address) -> Vec<AddressedRequest> {
+    pub fn unanswered_requests_at(&self, address: &Address) -> Vec<AddressedRequest> {
         self.unanswered_requests().filter(|request| request.member.address == *address).collect()
     }
 
@@ -380,7 +380,7 @@
             return self.prepare();
         }
         if newest.is_chosen {
-            let chosen = Chosen { epoch: self.membership.epoch, accepted: newest.proposal };
+            let chosen = ChosenProposal { epoch: self.membership.epoch, accepted: newest.proposal };
             return self.end(Outcome::Read(chosen));
         }
         self.mixed_reads += 1;
@@ -413,7 +413,7 @@
         next_membership: Option<Membership>,
     ) -> Step {
         let value = match &added {
-            Some(config) => Arc::new(base.value.with(config)),
+            Some(config) => Arc::new(base.value.with_config(config)),
             None => base.value.clone(),
         };
         let proposal = AcceptedProposal { number, value, next_membership };
@@ -442,7 +442,7 @@
             };
             return self.enter(Phase::Installing(next, initial));
         }
-        let chosen = Chosen { epoch: self.membership.epoch, accepted };
+        let chosen = ChosenProposal { epoch: self.membership.epoch, accepted };
         match &self.goal {
             Goal::Write(config) => {
                 let status = status_in(&chosen.accepted.value, config);
--- a/crates/quorum/src/operation/outcome.rs
+++ b/crates/quorum/src/operation/outcome.rs
@@ -4,14 +4,14 @@
 
 /// A proposal that a quorum of an epoch's members has accepted under one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Chosen {
+pub struct ChosenProposal {
     /// The epoch that it was chosen in.
     pub epoch: u64,
     /// The value and its number.
     pub accepted: AcceptedProposal,
 }
 
-impl Chosen {
+impl ChosenProposal {
     /// The configuration that the value holds.
     #[must_use]
     pub fn config(&self) -> Option<&VersionedConfig> {
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// How the configuration of a write relates to what is chosen; never [`SubmissionStatus::New`].
-    Written(SubmissionStatus, Chosen),
+    Written(SubmissionStatus, ChosenProposal),
     /// The newest chosen value.
-    Read(Chosen),
+    Read(ChosenProposal),
     /// The membership in force after a change: the requested one, or that of the proposer that was first.
     MembershipChanged(Membership),
 }
--- a/crates/quorum/src/operation/phase.rs
+++ b/crates/quorum/src/operation/phase.rs
@@ -33,7 +33,7 @@
         }
         let base = self.base.clone();
         match &self.added {
-            Some(config) => ProposedValue::Adding { base, config: config.clone() },
+            Some(config) => ProposedValue::Extended { base, config: config.clone() },
             None => ProposedValue::Unchanged { base },
         }
     }
--- a/crates/quorum/src/proposal/proposed_value.rs
+++ b/crates/quorum/src/proposal/proposed_value.rs
@@ -20,7 +20,7 @@
     },
     /// The value accepted under that number, with one configuration added.
     #[serde(rename = "With")]
-    Adding {
+    Extended {
         /// The number under which the replica has to have accepted it.
         base: ProposalNumber,
         /// The configuration that is new.
--- a/crates/quorum/src/register_value/register_value.rs
+++ b/crates/quorum/src/register_value/register_value.rs
@@ -37,7 +37,7 @@
 
     /// The value after a submission that is [`SubmissionStatus::New`] to this one.
     #[must_use]
-    pub fn with(&self, config: &VersionedConfig) -> RegisterValue {
+    pub fn with_config(&self, config: &VersionedConfig) -> RegisterValue {
         debug_assert_eq!(self.status_of(config.version, config.digest), SubmissionStatus::New);
         let mut chosen_versions = self.chosen_versions.clone();
         chosen_versions.record(config.version, config.digest);
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -23,7 +23,7 @@
 
 /// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handled {
+pub struct HandledRequest {
     /// May be sent only once the state is on disk, if it has changed.
     pub response: Response,
     /// Whether the state has changed.
@@ -41,7 +41,7 @@
 
     /// A replica as its disk has it.
     #[must_use]
-    pub fn restored(state: ReplicaState) -> Self {
+    pub fn from_state(state: ReplicaState) -> Self {
         Replica { state }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Handles a request.
-    pub fn handle(&mut self, request: &Request) -> Handled {
+    pub fn handle(&mut self, request: &Request) -> HandledRequest {
         let epoch_before = self.state.membership.epoch;
         let promised_before = self.state.promised.clone();
         let accepted_before = self.accepted_number().clone();
@@ -81,7 +81,7 @@
             next_membership: self.state.accepted.next_membership.clone(),
             value: self.value_for(request),
         };
-        Handled { response, state_changed }
+        HandledRequest { response, state_changed }
     }
 
     fn apply(&mut self, request: &Request) -> Result<(), Rejection> {
@@ -167,9 +167,9 @@
         match proposed {
             ProposedValue::Complete(value) => Ok(value.clone()),
             ProposedValue::Unchanged { base } => self.accepted_under(base).cloned(),
-            ProposedValue::Adding { base, config } => {
+            ProposedValue::Extended { base, config } => {
                 let accepted = self.accepted_under(base)?;
-                Ok(Arc::new(accepted.with(config)))
+                Ok(Arc::new(accepted.with_config(config)))
             }
         }
     }
--- a/crates/quorum/tests/acknowledgements/mod.rs
+++ b/crates/quorum/tests/acknowledgements/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use ashvane_quorum::{Chosen, SubmissionStatus};
+use ashvane_quorum::{ChosenProposal, SubmissionStatus};
 
 /// A version and its text.
 pub(crate) type Order = (u64, Arc<str>);
@@ -37,20 +37,20 @@
     }
 
     /// A caller has been given this, whatever it asked for.
-    pub(crate) fn chosen(&mut self, chosen: &Chosen) {
+    pub(crate) fn chosen(&mut self, chosen: &ChosenProposal) {
         if let Some(config) = chosen.config() {
             self.decided((config.version, config.compressed_text.clone()));
         }
     }
 
     /// A read that began when this version was known has found something.
-    pub(crate) fn read(&mut self, floor: u64, chosen: &Chosen) {
+    pub(crate) fn read(&mut self, floor: u64, chosen: &ChosenProposal) {
         self.is_behind |= chosen.config().map_or(0, |config| config.version) < floor;
         self.chosen(chosen);
     }
 
     /// An order has been answered.
-    pub(crate) fn written(&mut self, order: Order, standing: SubmissionStatus, chosen: &Chosen) {
+    pub(crate) fn written(&mut self, order: Order, standing: SubmissionStatus, chosen: &ChosenProposal) {
         self.chosen(chosen);
         match standing {
             SubmissionStatus::Chosen => self.decided(order),
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -13,8 +13,9 @@
 
 use acknowledgements::Acknowledgements;
 use ashvane_quorum::{
-    AcceptedProposal, AddressedRequest, Chosen, ChosenVersions, ContentDigest, Member, Membership, Operation,
-    Outcome, ProposalNumber, RegisterValue, Replica, ReplicaState, Request, Response, Step, VersionedConfig,
+    AcceptedProposal, AddressedRequest, ChosenProposal, ChosenVersions, ContentDigest, Member, Membership,
+    Operation, Outcome, ProposalNumber, RegisterValue, Replica, ReplicaState, Request, Response, Step,
+    VersionedConfig,
 };
 use stateright::{Checker as _, HasDiscoveries, Model, Property};
 
@@ -121,7 +122,7 @@
 fn tampered(replica: &Replica, change: impl FnOnce(&mut ReplicaState)) -> Replica {
     let mut state = replica.state().clone();
     change(&mut state);
-    Replica::restored(state)
+    Replica::from_state(state)
 }
 
 impl Register {
@@ -263,7 +264,7 @@
     }
 
     /// The replica beside the proposer takes over what it knows to be chosen.
-    fn learn(&self, state: &mut State, operation: usize, Chosen { epoch, accepted }: Chosen) {
+    fn learn(&self, state: &mut State, operation: usize, ChosenProposal { epoch, accepted }: ChosenProposal) {
         if !matches!(self.without, Without::DecidedDigests) {
             state.replicas[self.home(operation)].handle(&Request::Learn { epoch, accepted });
         }
--- a/crates/quorum/tests/schedule.rs
+++ b/crates/quorum/tests/schedule.rs
@@ -16,7 +16,7 @@
     LiveReplica, MembershipPlanner, MembershipView, ReplicaProgress, ReplicaReport,
 };
 use ashvane_quorum::{
-    AddressedRequest, ContentDigest, DiskId, Handled, Member, Membership, Operation, Outcome, Replica,
+    AddressedRequest, ContentDigest, DiskId, HandledRequest, Member, Membership, Operation, Outcome, Replica,
     ReplicaState, Request, Response, RetrySchedule, Step, VersionedConfig,
 };
 
@@ -438,7 +438,7 @@
             Event::Request { operation, from, to, request } => {
                 let at = self.machines.iter().position(|m| m.address == to && m.up);
                 let Some(at) = at.filter(|at| self.reach(from, *at)) else { return };
-                let Handled { response, state_changed } = self.machines[at].replica.handle(&request);
+                let HandledRequest { response, state_changed } = self.machines[at].replica.handle(&request);
                 let life = self.machines[at].life;
                 let wait = if !state_changed { 1 } else { self.rng.u64(5..40) };
                 self.after(wait, Event::Safe { operation, from, machine: at, life, request, response });
