--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -66,7 +66,7 @@
 
     /// Whether it has the bucket into which an entry of this name falls.
     #[must_use]
-    pub fn covers(self, name: &str) -> bool {
+    pub fn contains_bucket_of(self, name: &str) -> bool {
         self.0 & (1 << bucket_of(name)) != 0
     }
 }
--- a/crates/gossip/src/directory/anti_entropy.rs
+++ b/crates/gossip/src/directory/anti_entropy.rs
@@ -30,8 +30,9 @@
     /// The ranks of all entries in these buckets, but those of processes and servers that are gone.
     #[must_use]
     pub fn summary(&self, buckets: BucketSet) -> RankSummary {
-        let nodes = self.nodes.iter().filter(|node| !node.is_down && buckets.covers(node.name.as_str()));
-        let servers = self.running_servers().filter(|server| buckets.covers(server.id.as_str()));
+        let nodes =
+            self.nodes.iter().filter(|node| !node.is_down && buckets.contains_bucket_of(node.name.as_str()));
+        let servers = self.running_servers().filter(|server| buckets.contains_bucket_of(server.id.as_str()));
         RankSummary {
             buckets,
             nodes: nodes.map(|node| (node.name.clone(), node.rank())).collect(),
@@ -43,7 +44,7 @@
 
     /// What is newer here than what another process knows, in the buckets that it speaks of.
     #[must_use]
-    pub fn newer_than(&self, summary: &RankSummary) -> Vec<Update> {
+    pub fn updates_missing_from(&self, summary: &RankSummary) -> Vec<Update> {
         let nodes = self.nodes.iter().filter(|node| self.is_node_newer(node, summary));
         let servers = self.servers.iter().filter(|server| is_server_newer(server, summary));
         let buried = summary.servers.keys().filter(|id| self.servers.has_tombstone(id));
@@ -65,7 +66,7 @@
             // The other process may have forgotten what is down.
             None => {
                 let is_sent = !node.is_down || self.nodes.is_recently_down(&node.name, self.last_tick);
-                is_sent && summary.buckets.covers(node.name.as_str())
+                is_sent && summary.buckets.contains_bucket_of(node.name.as_str())
             }
         }
     }
@@ -128,6 +129,6 @@
     match summary.servers.get(&server.id) {
         Some(rank) => *rank < server.rank(),
         // The other process may have forgotten what terminated.
-        None => !server.is_terminated() && summary.buckets.covers(server.id.as_str()),
+        None => !server.is_terminated() && summary.buckets.contains_bucket_of(server.id.as_str()),
     }
 }
--- a/crates/gossip/src/directory/mod.rs
+++ b/crates/gossip/src/directory/mod.rs
@@ -67,7 +67,7 @@
 
     /// This process.
     #[must_use]
-    pub fn own(&self) -> &Node {
+    pub fn own_node(&self) -> &Node {
         &self.own
     }
 
--- a/crates/gossip/tests/tombstones.rs
+++ b/crates/gossip/tests/tombstones.rs
@@ -41,7 +41,7 @@
 
 /// One tells another what that one's summary lacks, and is told what is said against it.
 fn tell(from: &mut Directory, to: &mut Directory, now: Duration) {
-    let told = from.newer_than(&to.summary(BucketSet::ALL));
+    let told = from.updates_missing_from(&to.summary(BucketSet::ALL));
     let against: Vec<Update> = told.iter().filter_map(|update| to.refutation_of(update)).collect();
     learn(to, told, now);
     learn(from, against, now);
--- a/crates/gossip/tests/updates.rs
+++ b/crates/gossip/tests/updates.rs
@@ -104,7 +104,7 @@
     fn compare(&mut self, a: usize, b: usize) {
         for (from, to) in [(a, b), (b, a)] {
             let parts = self.directories[from].differing_buckets(&self.directories[to].bucket_digests());
-            let updates = self.directories[from].newer_than(&self.directories[to].summary(parts));
+            let updates = self.directories[from].updates_missing_from(&self.directories[to].summary(parts));
             for updates in updates {
                 self.directories[to].apply(updates, self.now);
             }
@@ -204,10 +204,10 @@
         let mut hall = Hall::new(seed, 8);
         for _ in 0..1200 {
             let before: Vec<BTreeMap<ServerId, ServerState>> = hall.directories.iter().map(states).collect();
-            let lives: Vec<u64> = hall.directories.iter().map(|b| b.own().incarnation).collect();
+            let lives: Vec<u64> = hall.directories.iter().map(|b| b.own_node().incarnation).collect();
             hall.step(seed % 2 == 0);
             for (n, directory) in
-                hall.directories.iter().enumerate().filter(|(n, b)| b.own().incarnation == lives[*n])
+                hall.directories.iter().enumerate().filter(|(n, b)| b.own_node().incarnation == lives[*n])
             {
                 let now = states(directory);
                 assert!(before[n].iter().all(|(id, state)| now.get(id) >= Some(state)), "seed {seed}");
@@ -285,7 +285,7 @@
 fn a_process_taken_for_gone_says_that_it_is_there() {
     let (mut here, mut there) =
         (Directory::new(node(0, 1), BEAT, BEAT), Directory::new(node(1, 2), BEAT, BEAT));
-    there.apply(Update::Node(here.own().clone()), BEAT);
+    there.apply(Update::Node(here.own_node().clone()), BEAT);
     let told = there.mark_down(&"n0".into(), BEAT);
     let answer = told.into_iter().flat_map(|n| here.apply(n, BEAT)).collect::<Vec<_>>();
     for updates in answer {
@@ -334,8 +334,8 @@
         let mut back = Directory::new(own(later), BEAT, Duration::ZERO);
         for _ in 0..3 {
             let (mine, theirs) = (back.summary(BucketSet::ALL), other.summary(BucketSet::ALL));
-            back.newer_than(&theirs).into_iter().for_each(|n| drop(other.apply(n, Duration::ZERO)));
-            other.newer_than(&mine).into_iter().for_each(|n| drop(back.apply(n, Duration::ZERO)));
+            back.updates_missing_from(&theirs).into_iter().for_each(|n| drop(other.apply(n, Duration::ZERO)));
+            other.updates_missing_from(&mine).into_iter().for_each(|n| drop(back.apply(n, Duration::ZERO)));
         }
         let known = other.nodes().find(|n| n.name == "n3").expect("known");
         assert_eq!((&known.disk, known.incarnation), (&disk(later), later), "{} after {}", later, earlier);
@@ -368,7 +368,7 @@
     let mut directory = Directory::new(node(number, number as u64), BEAT, Duration::ZERO);
     let mut lost = Directory::new(node(1, 1), BEAT, Duration::ZERO);
     let updates = lost.record_heartbeat(heartbeat("a", "x:1", ServerState::Ready, 1), Duration::ZERO);
-    let known = std::iter::once(Update::Node(lost.own().clone())).chain(updates);
+    let known = std::iter::once(Update::Node(lost.own_node().clone())).chain(updates);
     known.for_each(|update| drop(directory.apply(update, Duration::ZERO)));
     directory.mark_down(&"n1".into(), Duration::ZERO);
     directory
@@ -444,7 +444,7 @@
     // It learns of all of them at once, later.
     let (late, mut new) = (BEAT * 20, Directory::new(node(4, 99), BEAT, BEAT * 20));
     other
-        .newer_than(&new.summary(BucketSet::ALL))
+        .updates_missing_from(&new.summary(BucketSet::ALL))
         .into_iter()
         .for_each(|update| drop(new.apply(update, late)));
     assert_eq!((new.gateways_sharing_budgets(late), new.gateways_sharing_budgets(late + BEAT * 60)), (20, 9));
--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -99,7 +99,7 @@
             time(|| directory.digest(1)),
             time(|| directory.summary(BucketSet::from_bits(1))),
             ranks as f64,
-            time(|| (directory.newer_than(&summary), directory.is_behind(&summary))),
+            time(|| (directory.updates_missing_from(&summary), directory.is_behind(&summary))),
             compress(&text).len() as f64,
             text.len() as f64,
         ];
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -202,7 +202,7 @@
 
 impl ConnectionHandler for Agent {
     fn own_node(&self) -> Node {
-        self.engine.borrow().directory().own().clone()
+        self.engine.borrow().directory().own_node().clone()
     }
 
     fn transport(&self) -> &dyn Transport {
--- a/crates/node/src/engine/comparison_events.rs
+++ b/crates/node/src/engine/comparison_events.rs
@@ -26,7 +26,7 @@
         let context = RepairContext {
             is_control_node: self.register.is_some(),
             is_synced: self.readiness.is_synced(),
-            is_lower_name: self.directory.own().name < link.peer.name,
+            is_lower_name: self.directory.own_node().name < link.peer.name,
             is_peer_member: link
                 .peer
                 .disk
@@ -47,7 +47,7 @@
 
     pub(super) fn summary_received(&mut self, link: LinkId, summary: &RankSummary, now: Duration) {
         let is_behind = self.directory.is_behind(summary);
-        let updates = self.directory.newer_than(summary);
+        let updates = self.directory.updates_missing_from(summary);
         let own = is_behind.then(|| self.directory.summary(summary.buckets));
         if !updates.is_empty() {
             self.send(vec![link], Message::Update { number: 0, updates });
--- a/crates/node/src/engine/dialer.rs
+++ b/crates/node/src/engine/dialer.rs
@@ -78,11 +78,11 @@
     #[must_use]
     pub fn addresses_to_dial(&self, context: DialContext<'_>) -> Vec<Address> {
         let directory = context.directory;
-        let is_control_node = directory.own().disk.is_some();
+        let is_control_node = directory.own_node().disk.is_some();
         let is_reachable =
             |node: &Node| is_control_node || !self.unreachable_until.contains_key(&node.address);
         let is_linked = |node: &Node| context.links.to_node(&node.name).is_some();
-        let peers = select_peers(directory.own(), directory.nodes(), context.max_failures, is_reachable);
+        let peers = select_peers(directory.own_node(), directory.nodes(), context.max_failures, is_reachable);
         let missing = peers.into_iter().filter(|node| !is_linked(node));
         let mut addresses: Vec<Address> = missing.map(|node| node.address.clone()).collect();
         if is_control_node {
@@ -105,7 +105,7 @@
 
 /// None of those that one would select answers: the seeds may, and any control node that is known.
 fn addresses_of_last_resort(context: DialContext<'_>) -> Vec<Address> {
-    let own = &context.directory.own().address;
+    let own = &context.directory.own_node().address;
     let is_unlinked = |address: &&Address| *address != own && context.links.to_address(address).is_none();
     let is_candidate = |node: &&Node| {
         node.disk.is_some() && context.links.to_node(&node.name).is_none() && node.address != *own
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -12,7 +12,7 @@
     /// A peer has presented itself on a new connection.
     pub fn link_opened(&mut self, peer: Node, direction: Direction, now: Duration) -> LinkId {
         let link = self.links.open(peer.clone(), direction, now);
-        for redundant in self.links.redundant_with(link, &self.directory.own().address) {
+        for redundant in self.links.redundant_with(link, &self.directory.own_node().address) {
             if self.links.remove(redundant).is_some() {
                 self.commands.push(Command::CloseLink(redundant));
             }
@@ -66,7 +66,7 @@
     }
 
     fn best_update_source(&self) -> Option<LinkId> {
-        let own = self.directory.own();
+        let own = self.directory.own_node();
         let peers = select_peers(own, self.directory.nodes(), self.max_failures, |_| true);
         let selected = peers.iter().filter(|node| node.disk.is_some());
         let selected = selected.filter_map(|node| self.links.to_node(&node.name));
--- a/crates/node/src/engine/membership_role.rs
+++ b/crates/node/src/engine/membership_role.rs
@@ -84,6 +84,6 @@
     let heard = links.iter().filter(|(_, link)| now.saturating_sub(link.last_received_at) < LIVENESS_TIMEOUT);
     let mut replicas: BTreeMap<DiskId, LiveReplica> =
         heard.filter_map(|(_, link)| replica(&link.peer, link.replica_report)).collect();
-    replicas.extend(replica(directory.own(), own_report));
+    replicas.extend(replica(directory.own_node(), own_report));
     replicas.into_values().collect()
 }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -246,7 +246,7 @@
     }
 
     fn own_disk(&self) -> Option<&DiskId> {
-        self.directory.own().disk.as_ref()
+        self.directory.own_node().disk.as_ref()
     }
 
     fn quorum_contact(&self, now: Duration) -> QuorumContact<'_> {
--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -38,7 +38,7 @@
 
     /// The newest membership, where a quorum of it can be asked from here.
     fn reachable_membership(&self) -> Option<Membership> {
-        let own = &self.directory.own().address;
+        let own = &self.directory.own_node().address;
         let is_reachable =
             |member: &&Member| member.address == *own || self.links.to_address(&member.address).is_some();
         let membership = self.membership()?;
@@ -126,7 +126,7 @@
     fn send_request(&mut self, outgoing: OutgoingRequest) {
         let Some(register) = &mut self.register else { return };
         let OutgoingRequest { member, number, request } = outgoing;
-        if member.address == self.directory.own().address {
+        if member.address == self.directory.own_node().address {
             register.request_sent(number, RequestPath::Local);
             let response = register.handle(&request);
             self.commands.push(Command::SyncReplica { response, then: OnceSynced::RespondHere(number) });
--- a/crates/node/src/engine/orphan_monitor_role.rs
+++ b/crates/node/src/engine/orphan_monitor_role.rs
@@ -32,7 +32,7 @@
     /// Of which servers this process may say that they have timed out.
     #[must_use]
     pub fn authority(&self, has_quorum_contact: bool, directory: &Directory) -> LivenessAuthority {
-        let is_control_node = directory.own().disk.is_some();
+        let is_control_node = directory.own_node().disk.is_some();
         if !is_control_node || !has_quorum_contact {
             return LivenessAuthority::None;
         }
@@ -70,12 +70,12 @@
 #[must_use]
 pub fn is_first_control_node(directory: &Directory, links: &LinkTable) -> bool {
     let is_live = |node: &Node| {
-        node.name == directory.own().name || (!node.is_down && links.to_node(&node.name).is_some())
+        node.name == directory.own_node().name || (!node.is_down && links.to_node(&node.name).is_some())
     };
     let live: Vec<&Node> = directory.nodes().filter(|node| node.disk.is_some() && is_live(node)).collect();
     let is_member =
         |node: &&&Node| node.disk.as_ref().is_some_and(|disk| directory.membership().contains(disk));
     let first = live.iter().map(|node| &node.name).min();
     let has_quorum = live.iter().filter(is_member).count() >= directory.membership().quorum_size();
-    first == Some(&directory.own().name) && has_quorum
+    first == Some(&directory.own_node().name) && has_quorum
 }
--- a/crates/node/src/engine/quorum_contact.rs
+++ b/crates/node/src/engine/quorum_contact.rs
@@ -20,7 +20,7 @@
 
 impl QuorumContact<'_> {
     fn is_control_node(&self) -> bool {
-        self.directory.own().disk.is_some()
+        self.directory.own_node().disk.is_some()
     }
 
     /// Whether a control node hears a quorum of the members, itself included where it is one; whether a gateway hears a
@@ -49,7 +49,7 @@
     /// Whether this process and those over whose links this holds make up a quorum of the members.
     fn has_quorum_of(&self, holds: impl Fn(&Link) -> bool) -> bool {
         let membership = self.directory.membership();
-        let own = self.directory.own().disk.as_ref();
+        let own = self.directory.own_node().disk.as_ref();
         let is_reached = |disk: &DiskId| {
             let leads_there = |link: &Link| link.peer.disk.as_ref() == Some(disk);
             self.links.iter().any(|(_, link)| leads_there(link) && link.is_alive(self.now) && holds(link))
--- a/crates/node/src/engine/status_report.rs
+++ b/crates/node/src/engine/status_report.rs
@@ -39,7 +39,7 @@
     fn process_status(&self, is_ready: bool, now: Duration) -> Value {
         let source = self.update_source.and_then(|link| self.links.get(link));
         json!({
-            "node": self.directory.own().name,
+            "node": self.directory.own_node().name,
             "leaving": self.is_shutting_down,
             "ready": is_ready,
             "in contact": self.quorum_contact(now).exists(),
@@ -84,7 +84,7 @@
     }
 
     fn node_status(&self, node: &Node) -> Value {
-        let state = if node.name == self.directory.own().name {
+        let state = if node.name == self.directory.own_node().name {
             "this one"
         } else if node.is_down {
             "down"
