--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -111,7 +111,7 @@
     }
 
     /// The buckets that differ from another process's; all of those that it does not name.
-    pub(crate) fn differing(&self, other: &BucketDigests) -> BucketSet {
+    pub(crate) fn differing_buckets(&self, other: &BucketDigests) -> BucketSet {
         let differs = |bucket: &usize| other.entries.get(*bucket) != Some(&self.buckets[*bucket]);
         let bits = (0..BUCKET_COUNT).filter(differs).fold(0, |bits, bucket| bits | 1 << bucket);
         BucketSet(bits)
--- a/crates/gossip/src/directory/anti_entropy.rs
+++ b/crates/gossip/src/directory/anti_entropy.rs
@@ -24,7 +24,7 @@
     /// The buckets in which this directory and another one differ; all where that cannot be told.
     #[must_use]
     pub fn differing_buckets(&self, other: &BucketDigests) -> BucketSet {
-        self.digests.differing(other)
+        self.digests.differing_buckets(other)
     }
 
     /// The ranks of all entries in these buckets, but those of processes and servers that are gone.
@@ -47,10 +47,10 @@
     pub fn updates_missing_from(&self, summary: &RankSummary) -> Vec<Update> {
         let nodes = self.nodes.iter().filter(|node| self.is_node_newer(node, summary));
         let servers = self.servers.iter().filter(|server| is_server_newer(server, summary));
-        let buried = summary.servers.keys().filter(|id| self.servers.has_tombstone(id));
+        let tombstoned = summary.servers.keys().filter(|id| self.servers.has_tombstone(id));
         let mut newer: Vec<Update> = nodes.cloned().map(Update::Node).collect();
         newer.extend(servers.cloned().map(Update::Server));
-        newer.extend(buried.map(|id| Update::Server(self.terminated_server(id))));
+        newer.extend(tombstoned.map(|id| Update::Server(self.terminated_server(id))));
         if summary.epoch < self.membership.epoch {
             newer.push(Update::Membership(self.membership.clone()));
         }
@@ -74,8 +74,8 @@
     /// Whether another process knows something newer than this one does.
     #[must_use]
     pub fn is_behind(&self, summary: &RankSummary) -> bool {
-        let is_newer_node = |(name, rank): (&NodeName, &NodeRank)| self.nodes.is_news(name, rank);
-        let is_newer_server = |(id, rank): (&ServerId, &ServerRank)| self.servers.is_news(id, rank);
+        let is_newer_node = |(name, rank): (&NodeName, &NodeRank)| self.nodes.is_newer(name, rank);
+        let is_newer_server = |(id, rank): (&ServerId, &ServerRank)| self.servers.is_newer(id, rank);
         summary.epoch > self.membership.epoch
             || summary.orphan_monitor_term > self.orphan_monitor_term
             || summary.nodes.iter().any(is_newer_node)
--- a/crates/gossip/src/directory/mod.rs
+++ b/crates/gossip/src/directory/mod.rs
@@ -17,7 +17,7 @@
 
 use self::heartbeat_monitor::HeartbeatMonitor;
 use self::node_table::NodeTable;
-use self::orphans::Orphans;
+use self::orphans::OrphanTracker;
 use self::server_table::ServerTable;
 use crate::digest::EntryDigests;
 use crate::{Heartbeat, Liveness, LivenessAuthority, Node, OrphanMonitorTerm, Server, ServerState, Update};
@@ -35,7 +35,7 @@
     nodes: NodeTable,
     servers: ServerTable,
     heartbeats: HeartbeatMonitor,
-    orphans: Orphans,
+    orphan_tracker: OrphanTracker,
     membership: Membership,
     /// The highest term that is known: what was declared under an earlier one is void.
     orphan_monitor_term: OrphanMonitorTerm,
@@ -54,7 +54,7 @@
             nodes: NodeTable::default(),
             servers: ServerTable::default(),
             heartbeats: HeartbeatMonitor::new(heartbeat_interval),
-            orphans: Orphans::new(heartbeat_interval),
+            orphan_tracker: OrphanTracker::new(heartbeat_interval),
             membership: Membership::default(),
             orphan_monitor_term: OrphanMonitorTerm::default(),
             last_tick: now,
@@ -144,7 +144,7 @@
     /// Whether the orphan monitor would have a server to declare timed out.
     #[must_use]
     pub fn has_orphans(&self, now: Duration) -> bool {
-        self.servers.iter().any(|server| self.orphans.is_overdue(server, &self.nodes, now))
+        self.servers.iter().any(|server| self.orphan_tracker.is_overdue(server, &self.nodes, now))
     }
 
     /// Applies an update if it is newer than what is known. Returns what is to be spread: the entry itself, or what had to
@@ -181,9 +181,9 @@
         self.digests.toggle(OrphanMonitorTerm::ENTRY_NAME, difference);
         self.orphan_monitor_term = term.clone();
         self.revision += 1;
-        let void = self.servers.iter().filter(|server| !server.liveness.is_valid_in(&term));
+        let invalidated = self.servers.iter().filter(|server| !server.liveness.is_valid_in(&term));
         let alive: Vec<Server> =
-            void.map(|server| Server { liveness: Liveness::Alive, ..server.clone() }).collect();
+            invalidated.map(|server| Server { liveness: Liveness::Alive, ..server.clone() }).collect();
         let mut changed = vec![Update::OrphanMonitor(term)];
         for server in alive {
             self.insert_server(server.clone(), now);
@@ -194,8 +194,8 @@
 
     /// Others speak of this process. Where they take it for down, or for an earlier incarnation, it refutes that.
     fn apply_own_node(&mut self, node: &Node, now: Duration) -> Vec<Update> {
-        let is_wrong = node.incarnation != self.own.incarnation || node.is_down;
-        if !is_wrong || node.rank() < self.own.rank() {
+        let needs_refutation = node.incarnation != self.own.incarnation || node.is_down;
+        if !needs_refutation || node.rank() < self.own.rank() {
             return Vec::new();
         }
         self.own.generation = node.generation + 1;
@@ -204,7 +204,7 @@
     }
 
     fn apply_node(&mut self, node: Node, now: Duration) -> Vec<Update> {
-        if self.nodes.has_seen(&node) {
+        if self.nodes.is_stale(&node) {
             return Vec::new();
         }
         self.insert_node(node.clone(), now);
@@ -220,33 +220,33 @@
         if !server.liveness.is_valid_in(&self.orphan_monitor_term) {
             server.liveness = Liveness::Alive;
         }
-        if self.servers.has_seen(&server) {
+        if self.servers.is_stale(&server) {
             return changed;
         }
         let is_known_by_id_only = server.service.is_empty() && server.is_terminated();
         if let Some(known) = self.servers.get(&server.id).filter(|_| is_known_by_id_only) {
             server = Server { state: ServerState::Terminated, ..known.clone() };
         }
-        changed.extend(self.release_address(&server.id, &server.address, server.state, now));
+        changed.extend(self.terminate_previous_at(&server.id, &server.address, server.state, now));
         self.insert_server(server.clone(), now);
         changed.push(Update::Server(server));
         changed
     }
 
     /// An address has one server: the one that was heard of last. A new one terminates the one before.
-    fn release_address(
+    fn terminate_previous_at(
         &mut self, id: &ServerId, address: &Address, state: ServerState, now: Duration,
     ) -> Vec<Update> {
         let is_new = self.servers.get(id).is_none() && state < ServerState::Terminated;
         if !is_new {
             return Vec::new();
         }
-        let Some(previous) = self.servers.at(address).filter(|previous| previous.id != *id) else {
+        let Some(previous) = self.servers.server_at(address).filter(|previous| previous.id != *id) else {
             return Vec::new();
         };
         // Of two that nobody has heard together, the one that is heard of as new may be the older one: only a server that
         // has timed out or is draining is certain to have ended; else the server itself says so, by status 421.
-        if previous.is_available() && !self.heartbeats.monitors(id) {
+        if previous.is_available() && !self.heartbeats.is_monitored(id) {
             return Vec::new();
         }
         let terminated = Server { state: ServerState::Terminated, ..previous.clone() };
@@ -257,7 +257,7 @@
     /// Records a heartbeat that this process received.
     pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) -> Vec<Update> {
         let known = self.servers.get(&heartbeat.id);
-        if known.is_some_and(Server::is_terminated) || self.servers.is_tombstone_above(&heartbeat) {
+        if known.is_some_and(Server::is_terminated) || self.servers.has_tombstone_covering(&heartbeat) {
             return Vec::new();
         }
         let is_late = self.heartbeats.is_late(&heartbeat);
@@ -265,11 +265,11 @@
         if heartbeat.state < ServerState::Terminated && !is_late {
             self.heartbeats.record(&heartbeat, now);
         }
-        if known.is_some_and(|known| self.adds_nothing(known, &heartbeat, is_late)) {
+        if known.is_some_and(|known| self.is_redundant(known, &heartbeat, is_late)) {
             return Vec::new();
         }
         let state = known.map_or(heartbeat.state, |known| known.state.max(heartbeat.state));
-        let mut changed = self.release_address(&heartbeat.id, &heartbeat.address, heartbeat.state, now);
+        let mut changed = self.terminate_previous_at(&heartbeat.id, &heartbeat.address, heartbeat.state, now);
         let server = Server {
             heartbeat_sequence: known_sequence.max(heartbeat.sequence),
             id: heartbeat.id,
@@ -288,10 +288,10 @@
 
     /// Whether others know all that a heartbeat says: the entry stems from it, or from a later one that came elsewhere, or
     /// it changes nothing.
-    fn adds_nothing(&self, known: &Server, heartbeat: &Heartbeat, is_late: bool) -> bool {
-        let stems_from_it = known.heartbeat_sequence >= heartbeat.sequence;
-        let changes_nothing = !known.has_timed_out() && known.monitor == self.own.name;
-        known.state >= heartbeat.state && (is_late || stems_from_it || changes_nothing)
+    fn is_redundant(&self, known: &Server, heartbeat: &Heartbeat, is_late: bool) -> bool {
+        let is_covered = known.heartbeat_sequence >= heartbeat.sequence;
+        let is_unchanged = !known.has_timed_out() && known.monitor == self.own.name;
+        known.state >= heartbeat.state && (is_late || is_covered || is_unchanged)
     }
 
     /// Records that a server has said that it ends. One that nobody knows is remembered as terminated all the same.
@@ -343,7 +343,7 @@
         if *authority == LivenessAuthority::None {
             return Vec::new();
         }
-        self.orphans.track_unknown_monitors(&self.servers, &self.nodes, now);
+        self.orphan_tracker.track_unknown_monitors(&self.servers, &self.nodes, now);
         let mut changed = self.newly_timed_out(authority, now);
         changed.extend(self.newly_terminated(authority, now));
         for server in &changed {
@@ -358,7 +358,7 @@
         let mut timed_out = Vec::new();
         for server in alive {
             if server.monitor == self.own.name {
-                if let Some(last_sequence) = self.heartbeats.overdue_since(server, now) {
+                if let Some(last_sequence) = self.heartbeats.last_sequence_if_overdue(server, now) {
                     timed_out.push(Server {
                         liveness: Liveness::TimedOut,
                         heartbeat_sequence: server.heartbeat_sequence.max(last_sequence),
@@ -367,7 +367,7 @@
                 }
             } else if let LivenessAuthority::MonitoredAndOrphans(term) = authority
                 && *term == self.orphan_monitor_term
-                && self.orphans.is_overdue(server, &self.nodes, now)
+                && self.orphan_tracker.is_overdue(server, &self.nodes, now)
             {
                 timed_out
                     .push(Server { liveness: Liveness::DeclaredTimedOut(term.clone()), ..server.clone() });
@@ -378,14 +378,14 @@
 
     /// Servers that timed out before and have ended for certain.
     fn newly_terminated(&self, authority: &LivenessAuthority, now: Duration) -> Vec<Server> {
-        let speaks_for_all = matches!(authority, LivenessAuthority::MonitoredAndOrphans(_));
-        let speaks_for = |server: &&Server| speaks_for_all || server.monitor == self.own.name;
-        let ended = self.servers.certainly_ended(now).filter(speaks_for);
-        ended.map(|server| Server { state: ServerState::Terminated, ..server.clone() }).collect()
+        let may_terminate_all = matches!(authority, LivenessAuthority::MonitoredAndOrphans(_));
+        let may_terminate = |server: &&Server| may_terminate_all || server.monitor == self.own.name;
+        let confirmed = self.servers.confirmed_terminated(now).filter(may_terminate);
+        confirmed.map(|server| Server { state: ServerState::Terminated, ..server.clone() }).collect()
     }
 
     fn insert_node(&mut self, node: Node, now: Duration) {
-        self.orphans.monitor_is_known(&node.name);
+        self.orphan_tracker.remove_unknown_monitor(&node.name);
         self.nodes.insert(node, &mut self.digests, now);
         self.revision += 1;
     }
--- a/crates/gossip/src/directory/node_table.rs
+++ b/crates/gossip/src/directory/node_table.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether an entry, or a newer one, is known or was.
-    pub(super) fn has_seen(&self, node: &Node) -> bool {
+    pub(super) fn is_stale(&self, node: &Node) -> bool {
         self.nodes.get(&node.name).is_some_and(|known| known.rank() >= node.rank())
             || self.tombstones.covers(&node.name, &node.rank())
     }
@@ -56,7 +56,7 @@
     }
 
     /// Whether a rank is above all that is known of a process, or was.
-    pub(super) fn is_news(&self, name: &NodeName, rank: &NodeRank) -> bool {
+    pub(super) fn is_newer(&self, name: &NodeName, rank: &NodeRank) -> bool {
         match self.nodes.get(name) {
             Some(known) => known.rank() < *rank,
             None => !self.tombstones.covers(name, rank),
--- a/crates/gossip/src/directory/orphans.rs
+++ b/crates/gossip/src/directory/orphans.rs
@@ -11,27 +11,27 @@
 use crate::Server;
 
 /// Time after which the servers of a control node that is gone are expected to send their heartbeats elsewhere.
-const ADOPTION_TIME: Duration = Duration::from_secs(10);
+const REASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Finds servers whose control node is gone.
-pub(super) struct Orphans {
+pub(super) struct OrphanTracker {
     /// Time that an orphan has to turn to another control node, and to miss its heartbeats.
     timeout: Duration,
     /// Since when servers are known of a control node that is not.
     unknown_monitors: BTreeMap<NodeName, Duration>,
 }
 
-impl Orphans {
+impl OrphanTracker {
     pub(super) fn new(heartbeat_interval: Duration) -> Self {
-        let timeout = ADOPTION_TIME + heartbeat_interval * MAX_MISSED_HEARTBEATS;
-        Orphans { timeout, unknown_monitors: BTreeMap::new() }
+        let timeout = REASSIGNMENT_TIMEOUT + heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        OrphanTracker { timeout, unknown_monitors: BTreeMap::new() }
     }
 
     /// Whether a server has missed its heartbeats at a control node that is gone.
     pub(super) fn is_overdue(&self, server: &Server, nodes: &NodeTable, now: Duration) -> bool {
-        let gone_since =
+        let unreachable_since =
             nodes.down_since(&server.monitor).or_else(|| self.unknown_monitors.get(&server.monitor).copied());
-        let is_overdue = gone_since.is_some_and(|since| since + self.timeout < now);
+        let is_overdue = unreachable_since.is_some_and(|since| since + self.timeout < now);
         is_overdue && !server.is_terminated() && !server.has_timed_out()
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// A process has become known.
-    pub(super) fn monitor_is_known(&mut self, name: &NodeName) {
+    pub(super) fn remove_unknown_monitor(&mut self, name: &NodeName) {
         self.unknown_monitors.remove(name);
     }
 }
--- a/crates/gossip/src/directory/server_table.rs
+++ b/crates/gossip/src/directory/server_table.rs
@@ -12,7 +12,7 @@
 
 /// Time after which a server that has timed out is taken for ended: longer than any partition lasts. One that was cut off
 /// for so long and still runs counts again after [`DEPARTED_ENTRY_RETENTION`]: it gets no tombstone.
-const MAX_TIMED_OUT: Duration = Duration::from_secs(24 * 3600);
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
 /// The entries of servers, the server that has each address, and since when servers have been gone.
 #[derive(Default)]
@@ -34,7 +34,7 @@
     }
 
     /// The server that has an address.
-    pub(super) fn at(&self, address: &Address) -> Option<&Server> {
+    pub(super) fn server_at(&self, address: &Address) -> Option<&Server> {
         self.servers.get(self.by_address.get(address)?)
     }
 
@@ -47,18 +47,18 @@
     }
 
     /// Whether a server that is remembered as gone had a state as high as this heartbeat says.
-    pub(super) fn is_tombstone_above(&self, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn has_tombstone_covering(&self, heartbeat: &Heartbeat) -> bool {
         self.tombstones.covers(&heartbeat.id, &heartbeat.state)
     }
 
     /// Whether an entry, or a newer one, is known or was.
-    pub(super) fn has_seen(&self, server: &Server) -> bool {
+    pub(super) fn is_stale(&self, server: &Server) -> bool {
         self.servers.get(&server.id).is_some_and(|known| known.rank() >= server.rank())
             || self.tombstones.covers(&server.id, &server.state)
     }
 
     /// Whether a rank is above all that is known of a server, and it is not remembered as gone.
-    pub(super) fn is_news(&self, id: &ServerId, rank: &ServerRank) -> bool {
+    pub(super) fn is_newer(&self, id: &ServerId, rank: &ServerRank) -> bool {
         match self.servers.get(id) {
             Some(known) => known.rank() < *rank,
             None => !self.tombstones.contains(id),
@@ -70,7 +70,7 @@
         &mut self, server: Server, term: &OrphanMonitorTerm, digests: &mut EntryDigests, now: Duration,
     ) {
         self.update_address(&server);
-        self.update_times(&server, now);
+        self.update_timestamps(&server, now);
         digests.toggle(server.id.as_str(), server.digest());
         let (is_valid, rank) = (server.liveness.is_valid_in(term), server.rank());
         debug_assert!(is_valid, "what was declared under an earlier term is void");
@@ -91,7 +91,7 @@
         }
     }
 
-    fn update_times(&mut self, server: &Server, now: Duration) {
+    fn update_timestamps(&mut self, server: &Server, now: Duration) {
         if server.is_terminated() {
             self.terminated_since.entry(server.id.clone()).or_insert(now);
         }
@@ -103,13 +103,13 @@
     }
 
     fn has_available_server_at(&self, address: &Address) -> bool {
-        self.at(address).is_some_and(Server::is_available)
+        self.server_at(address).is_some_and(Server::is_available)
     }
 
     /// Servers that timed out and have ended for certain: another one is alive at their address, which is not the server
     /// itself for that has timed out, or they have been timed out for longer than any partition lasts.
-    pub(super) fn certainly_ended(&self, now: Duration) -> impl Iterator<Item = &Server> {
-        let is_overdue = move |since: &Duration| *since + MAX_TIMED_OUT <= now;
+    pub(super) fn confirmed_terminated(&self, now: Duration) -> impl Iterator<Item = &Server> {
+        let is_overdue = move |since: &Duration| *since + TERMINATION_TIMEOUT <= now;
         self.timed_out_since.iter().filter_map(move |(id, since)| {
             let server = self.servers.get(id)?;
             (is_overdue(since) || self.has_available_server_at(&server.address)).then_some(server)
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -16,7 +16,7 @@
 }
 
 /// Gateways that a gateway connects to beside control nodes.
-const GATEWAY_PEERS: usize = 2;
+const GATEWAY_PEER_COUNT: usize = 2;
 
 /// A process that one may connect to, with what decides in which order.
 struct Candidate<'a> {
@@ -48,7 +48,7 @@
         return control_nodes.collect();
     }
     gateways.sort_by_key(|candidate| Reverse(candidate.weight));
-    let gateways = gateways.into_iter().map(|candidate| candidate.node).take(GATEWAY_PEERS);
+    let gateways = gateways.into_iter().map(|candidate| candidate.node).take(GATEWAY_PEER_COUNT);
     let mut peers = spread_over_zones(control_nodes, max_failures + 1);
     peers.extend(gateways);
     peers
--- a/crates/gossip/src/tombstones.rs
+++ b/crates/gossip/src/tombstones.rs
@@ -5,25 +5,25 @@
 use std::time::Duration;
 
 /// Time for which a tombstone is kept. A process that was partitioned off for longer may bring back what it knew before.
-const RETENTION: Duration = Duration::from_secs(24 * 3600);
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// How many tombstones are kept at most: of forty thousand restarts a day, those of a day and a half.
 const MAX_TOMBSTONES: usize = 60_000;
 
-struct Buried<Id> {
+struct Tombstone<Id> {
     id: Id,
-    since: Duration,
+    created_at: Duration,
 }
 
 /// Tombstones, each with the rank under which its entry was known last.
 pub(crate) struct Tombstones<Id, Rank> {
     ranks: BTreeMap<Id, Rank>,
     /// In the order in which they came.
-    order: VecDeque<Buried<Id>>,
+    insertion_order: VecDeque<Tombstone<Id>>,
 }
 
 impl<Id, Rank> Default for Tombstones<Id, Rank> {
     fn default() -> Self {
-        Tombstones { ranks: BTreeMap::new(), order: VecDeque::new() }
+        Tombstones { ranks: BTreeMap::new(), insertion_order: VecDeque::new() }
     }
 }
 
@@ -31,9 +31,9 @@
     /// The one place where a tombstone is added.
     pub(crate) fn insert(&mut self, id: Id, rank: Rank, now: Duration) {
         if self.ranks.insert(id.clone(), rank).is_none() {
-            self.order.push_back(Buried { id, since: now });
+            self.insertion_order.push_back(Tombstone { id, created_at: now });
         }
-        while self.order.len() > MAX_TOMBSTONES {
+        while self.insertion_order.len() > MAX_TOMBSTONES {
             self.remove_oldest();
         }
     }
@@ -56,19 +56,20 @@
     /// The entry is back, with a higher rank.
     pub(crate) fn remove(&mut self, id: &Id) {
         if self.ranks.remove(id).is_some() {
-            self.order.retain(|buried| buried.id != *id);
+            self.insertion_order.retain(|tombstone| tombstone.id != *id);
         }
     }
 
     /// Removes the tombstones whose time is over.
     pub(crate) fn expire(&mut self, now: Duration) {
-        while self.order.front().is_some_and(|oldest| oldest.since + RETENTION < now) {
+        while self.insertion_order.front().is_some_and(|oldest| oldest.created_at + TOMBSTONE_RETENTION < now)
+        {
             self.remove_oldest();
         }
     }
 
     fn remove_oldest(&mut self) {
-        if let Some(oldest) = self.order.pop_front() {
+        if let Some(oldest) = self.insertion_order.pop_front() {
             self.ranks.remove(&oldest.id);
         }
     }
--- a/crates/quorum/src/membership_manager/membership_planner.rs
+++ b/crates/quorum/src/membership_manager/membership_planner.rs
@@ -37,8 +37,8 @@
         let is_lost = |member: &Member| view.live_replica(&member.disk).is_none();
         let is_behind =
             |member: &Member| view.live_replica(&member.disk).is_some_and(|live| !view.holds_epoch(live));
-        update_since(&mut self.lost_since, now, view, is_lost);
-        update_since(&mut self.behind_since, now, view, is_behind);
+        update_start_times(&mut self.lost_since, now, view, is_lost);
+        update_start_times(&mut self.behind_since, now, view, is_behind);
     }
 
     /// Whether the last change is complete: a quorum of the members, and each one that is alive, has reported that its disk
@@ -95,11 +95,11 @@
             };
         }
         if let Some(first) = replaceable.first()
-            && self.policy.can_spare(view.membership, 1)
+            && self.policy.can_remove(view.membership, 1)
         {
             return Some(vec![*first]);
         }
-        if failed.len() > 1 && self.policy.can_spare(view.membership, 2) {
+        if failed.len() > 1 && self.policy.can_remove(view.membership, 2) {
             return Some(failed[..2].to_vec());
         }
         None
@@ -107,7 +107,7 @@
 }
 
 /// Keeps since when each member has been in a state.
-fn update_since(
+fn update_start_times(
     since: &mut BTreeMap<DiskId, Duration>, now: Duration, view: MembershipView<'_>,
     is_in_state: impl Fn(&Member) -> bool,
 ) {
--- a/crates/quorum/src/membership_manager/membership_policy.rs
+++ b/crates/quorum/src/membership_manager/membership_policy.rs
@@ -29,7 +29,7 @@
 
     /// Whether a membership without so many of its members needs one vote less for a quorum, and still bears as many
     /// failures as it has to. Without that a member that is lost is no burden, and its place is there when it is back.
-    pub(crate) fn can_spare(&self, membership: &Membership, removed: usize) -> bool {
+    pub(crate) fn can_remove(&self, membership: &Membership, removed: usize) -> bool {
         let remaining = membership.members.len().saturating_sub(removed);
         let remaining_quorum = remaining / 2 + 1;
         remaining_quorum < membership.quorum_size() && remaining > 2 * self.max_failures
--- a/crates/quorum/src/membership_manager/shutdown.rs
+++ b/crates/quorum/src/membership_manager/shutdown.rs
@@ -17,14 +17,15 @@
     if was_never_member {
         return true;
     }
-    let is_replaceable = view.standby().is_some() || policy.can_spare(view.membership, 1);
+    let is_replaceable = view.standby().is_some() || policy.can_remove(view.membership, 1);
     let has_quorum = view.live_members().count() >= view.membership.quorum_size();
     if is_member && is_replaceable && has_quorum && view.coordinator().is_some() {
         return false;
     }
     let remaining = view.membership.members.iter().filter(|member| member.disk != *own).count();
-    let holds_as_much = |live: &&LiveReplica| live.report.is_some_and(|report| report.progress >= progress);
+    let holds_at_least_as_much =
+        |live: &&LiveReplica| live.report.is_some_and(|report| report.progress >= progress);
     let others = view.live_members().filter(|live| live.member.disk != *own);
-    let holding = others.filter(|live| view.holds_epoch(live)).filter(holds_as_much).count();
+    let holding = others.filter(|live| view.holds_epoch(live)).filter(holds_at_least_as_much).count();
     remaining == 0 || holding > remaining / 2
 }
--- a/crates/quorum/src/operation/mod.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -23,7 +23,7 @@
 
 /// Reads that find different values at a quorum before one proposes the newest of them: a write that is in progress mostly
 /// ends by itself, and a proposal would hold it up.
-const MAX_MIXED_READS: u32 = 3;
+const MAX_INCONCLUSIVE_READS: u32 = 3;
 
 /// The proposal with the highest number that an operation has met, beside what a quorum has responded.
 struct NewestProposal {
@@ -35,7 +35,7 @@
 /// An operation. Its requests may be lost, delivered twice and responded to in any order.
 ///
 /// Invariants: a number is used for one proposal only, for its round rises with each [`Operation::prepare`] and the id is
-/// the operation's own; the phase changes in [`Operation::enter`] alone.
+/// the operation's own; the phase changes in [`Operation::enter_phase`] alone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Operation {
     /// Unique over all operations of all processes and incarnations: its proposal numbers are nobody else's.
@@ -48,11 +48,11 @@
     /// Members that have promised a higher number in this phase.
     rejected_by: BTreeSet<DiskId>,
     /// Members that hold the state of an earlier epoch, and that epoch's members.
-    behind: BTreeMap<DiskId, Membership>,
+    members_behind: BTreeMap<DiskId, Membership>,
     /// The proposal with the highest number that was met in this epoch.
     newest: Option<AcceptedProposal>,
     round: u64,
-    mixed_reads: u32,
+    inconclusive_reads: u32,
     /// Whether this phase has sent its requests again before.
     has_retried: bool,
 }
@@ -66,10 +66,10 @@
             phase: Phase::Done,
             responses: BTreeMap::new(),
             rejected_by: BTreeSet::new(),
-            behind: BTreeMap::new(),
+            members_behind: BTreeMap::new(),
             newest: None,
             round: 0,
-            mixed_reads: 0,
+            inconclusive_reads: 0,
             has_retried: false,
         }
     }
@@ -117,7 +117,9 @@
     /// Begins in the membership that it knows.
     pub fn start(&mut self) -> Step {
         match self.goal {
-            Goal::Read if self.mixed_reads < MAX_MIXED_READS => self.enter(Phase::Reading),
+            Goal::Read if self.inconclusive_reads < MAX_INCONCLUSIVE_READS => {
+                self.enter_phase(Phase::Reading)
+            }
             _ => self.prepare(),
         }
     }
@@ -125,11 +127,12 @@
     /// Sends again what this phase requests of members that have not responded, or starts anew where other proposers were
     /// first.
     pub fn retry(&mut self) -> Step {
-        let needs_proposal = self.phase == Phase::Reading && self.mixed_reads >= MAX_MIXED_READS;
+        let needs_proposal =
+            self.phase == Phase::Reading && self.inconclusive_reads >= MAX_INCONCLUSIVE_READS;
         // While enough other members may still do as requested, a rejection by some is waited out once.
         let has_retried = std::mem::replace(&mut self.has_retried, true);
-        let is_outbid = has_retried && !self.rejected_by.is_empty();
-        if needs_proposal || self.has_lost() || is_outbid {
+        let is_still_rejected = has_retried && !self.rejected_by.is_empty();
+        if needs_proposal || self.is_quorum_unreachable() || is_still_rejected {
             return self.start();
         }
         Step::send(self.unanswered_requests().collect())
@@ -148,19 +151,19 @@
     }
 
     /// Whether so many members have rejected this phase that no quorum is left to do as requested.
-    fn has_lost(&self) -> bool {
-        let asked = self.asked();
-        self.rejected_by.len() + asked.quorum_size() > asked.members.len()
+    fn is_quorum_unreachable(&self) -> bool {
+        let recipients = self.recipients();
+        self.rejected_by.len() + recipients.quorum_size() > recipients.members.len()
     }
 
     fn prepare(&mut self) -> Step {
         self.round += 1;
         let number = ProposalNumber { round: self.round, operation: self.id.clone() };
-        self.enter(Phase::Preparing(number))
+        self.enter_phase(Phase::Preparing(number))
     }
 
     /// The one place where the phase changes.
-    fn enter(&mut self, phase: Phase) -> Step {
+    fn enter_phase(&mut self, phase: Phase) -> Step {
         self.responses.clear();
         self.rejected_by.clear();
         self.has_retried = false;
@@ -169,7 +172,7 @@
     }
 
     /// The members that this phase sends its requests to.
-    fn asked(&self) -> &Membership {
+    fn recipients(&self) -> &Membership {
         match &self.phase {
             Phase::Installing(next, _) => next,
             _ => &self.membership,
@@ -181,7 +184,7 @@
         let Some(request) = self.request() else { return Vec::new() };
         let to_member =
             |member: &Member| AddressedRequest { member: member.clone(), request: request.clone() };
-        self.asked().members.iter().map(to_member).collect()
+        self.recipients().members.iter().map(to_member).collect()
     }
 
     fn request(&self) -> Option<Request> {
@@ -208,30 +211,30 @@
     }
 
     /// Goes on in another epoch.
-    fn continue_in(&mut self, membership: Membership, newest: Option<AcceptedProposal>) -> Step {
+    fn restart_in(&mut self, membership: Membership, newest: Option<AcceptedProposal>) -> Step {
         self.membership = membership;
         self.newest = newest;
-        self.behind.clear();
+        self.members_behind.clear();
         self.round = self.newest.as_ref().map_or(0, |newest| newest.number.round);
         self.start()
     }
 
     /// The epoch that this operation works in has ended.
-    fn epoch_ended(&mut self, next: Membership, newest: Option<AcceptedProposal>) -> Step {
+    fn handle_epoch_end(&mut self, next: Membership, newest: Option<AcceptedProposal>) -> Step {
         if matches!(self.goal, Goal::ChangeMembership(_)) {
             self.membership = next.clone();
-            return self.end(Outcome::MembershipChanged(next));
+            return self.finish(Outcome::MembershipChanged(next));
         }
-        self.continue_in(next, newest)
+        self.restart_in(next, newest)
     }
 
-    fn end(&mut self, outcome: Outcome) -> Step {
-        self.enter(Phase::Done);
-        Step::end(outcome)
+    fn finish(&mut self, outcome: Outcome) -> Step {
+        self.enter_phase(Phase::Done);
+        Step::finish(outcome)
     }
 
     /// Whether a response to this request belongs to the phase that the operation is in.
-    fn is_of_this_phase(&self, request: &Request) -> bool {
+    fn matches_phase(&self, request: &Request) -> bool {
         match (&self.phase, request) {
             (Phase::Reading, Request::Read { .. }) => true,
             (Phase::Preparing(own), Request::Prepare { number, .. }) => own == number,
@@ -246,29 +249,29 @@
         if self.is_done() {
             return Step::default();
         }
-        let is_member_of_later_epoch =
-            response.membership.epoch > self.asked().epoch && response.membership.contains(&response.disk);
+        let is_member_of_later_epoch = response.membership.epoch > self.recipients().epoch
+            && response.membership.contains(&response.disk);
         if is_member_of_later_epoch {
-            return self.epoch_ended(response.membership, None);
+            return self.handle_epoch_end(response.membership, None);
         }
-        if !self.asked().contains(&response.disk) {
+        if !self.recipients().contains(&response.disk) {
             return Step::default();
         }
-        self.learn(&response);
-        if !self.is_of_this_phase(request) {
-            return self.late_response(request, &response);
+        self.record_newest(&response);
+        if !self.matches_phase(request) {
+            return self.handle_late_response(request, &response);
         }
-        if response.membership.epoch < self.asked().epoch {
-            return self.member_is_behind(response);
+        if response.membership.epoch < self.recipients().epoch {
+            return self.handle_member_behind(response);
         }
         match response.rejection {
-            None => self.granted(response),
-            Some(rejection) => self.rejected(rejection, &response),
+            None => self.handle_granted(response),
+            Some(rejection) => self.handle_rejection(rejection, &response),
         }
     }
 
     /// Keeps the proposal with the highest number: to propose it again, and for members that are behind.
-    fn learn(&mut self, response: &Response) {
+    fn record_newest(&mut self, response: &Response) {
         if response.membership.epoch != self.membership.epoch {
             return;
         }
@@ -280,10 +283,11 @@
 
     /// A response to a request of an earlier phase. It counts where it says that a member that was behind now holds the
     /// state of this epoch: that member is sent what the others were.
-    fn late_response(&mut self, request: &Request, response: &Response) -> Step {
+    fn handle_late_response(&mut self, request: &Request, response: &Response) -> Step {
         let installed =
             matches!(request, Request::Install { membership, .. } if *membership == self.membership);
-        if !installed || response.rejection.is_some() || self.behind.remove(&response.disk).is_none() {
+        if !installed || response.rejection.is_some() || self.members_behind.remove(&response.disk).is_none()
+        {
             return Step::default();
         }
         let (Some(member), Some(request)) = (self.membership.member(&response.disk).cloned(), self.request())
@@ -295,20 +299,20 @@
 
     /// A member holds the state of an earlier epoch, and has no vote in this one. It is sent what a replica of this epoch
     /// has accepted. While none is known, the epoch before this one is where that can be found.
-    fn member_is_behind(&mut self, response: Response) -> Step {
+    fn handle_member_behind(&mut self, response: Response) -> Step {
         if matches!(self.phase, Phase::Installing(..)) {
             return Step::default();
         }
-        self.behind.insert(response.disk, response.membership);
+        self.members_behind.insert(response.disk, response.membership);
         if self.newest.is_some() {
             return Step::send(self.installs_for_members_behind());
         }
-        if self.behind.len() < self.membership.quorum_size() {
+        if self.members_behind.len() < self.membership.quorum_size() {
             return Step::default();
         }
-        let before = self.behind.values().max_by_key(|membership| membership.epoch);
-        match before.filter(|membership| !membership.members.is_empty()).cloned() {
-            Some(before) => self.continue_in(before, None),
+        let previous = self.members_behind.values().max_by_key(|membership| membership.epoch);
+        match previous.filter(|membership| !membership.members.is_empty()).cloned() {
+            Some(previous) => self.restart_in(previous, None),
             None => Step::default(),
         }
     }
@@ -316,11 +320,11 @@
     fn installs_for_members_behind(&self) -> Vec<AddressedRequest> {
         let Some(newest) = &self.newest else { return Vec::new() };
         let request = Request::Install { membership: self.membership.clone(), accepted: newest.clone() };
-        let members = self.behind.keys().filter_map(|disk| self.membership.member(disk));
+        let members = self.members_behind.keys().filter_map(|disk| self.membership.member(disk));
         members.map(|member| AddressedRequest { member: member.clone(), request: request.clone() }).collect()
     }
 
-    fn rejected(&mut self, rejection: Rejection, response: &Response) -> Step {
+    fn handle_rejection(&mut self, rejection: Rejection, response: &Response) -> Step {
         match (rejection, &self.phase) {
             (Rejection::NeedsCompleteValue, Phase::Accepting(pending)) => {
                 let request = self.accept_request(pending, Some(&response.accepted_number));
@@ -329,21 +333,25 @@
             }
             (Rejection::HigherNumberPromised, _) => {
                 self.round = self.round.max(response.promised.round);
-                let had_lost = self.has_lost();
+                let was_quorum_unreachable = self.is_quorum_unreachable();
                 self.rejected_by.insert(response.disk.clone());
-                if self.has_lost() && !had_lost { Step::contended() } else { Step::default() }
+                if self.is_quorum_unreachable() && !was_quorum_unreachable {
+                    Step::contended()
+                } else {
+                    Step::default()
+                }
             }
             _ => Step::default(),
         }
     }
 
-    fn granted(&mut self, response: Response) -> Step {
+    fn handle_granted(&mut self, response: Response) -> Step {
         let installs = self.installs_for_members_behind();
         self.responses.insert(response.disk.clone(), response);
-        if self.responses.len() < self.asked().quorum_size() {
+        if self.responses.len() < self.recipients().quorum_size() {
             return Step::send(installs);
         }
-        let mut step = self.quorum_granted();
+        let mut step = self.handle_quorum();
         if step.outcome.is_none() {
             step.requests.extend(installs);
         }
@@ -351,12 +359,12 @@
     }
 
     /// A quorum has done what this phase requests.
-    fn quorum_granted(&mut self) -> Step {
+    fn handle_quorum(&mut self) -> Step {
         match self.phase.clone() {
-            Phase::Reading => self.have_read(),
-            Phase::Preparing(number) => self.have_prepared(number),
-            Phase::Accepting(pending) => self.have_chosen(pending.proposal),
-            Phase::Installing(next, accepted) => self.epoch_ended(next, Some(accepted)),
+            Phase::Reading => self.finish_reading(),
+            Phase::Preparing(number) => self.finish_preparing(number),
+            Phase::Accepting(pending) => self.handle_chosen(pending.proposal),
+            Phase::Installing(next, accepted) => self.handle_epoch_end(next, Some(accepted)),
             Phase::Done => Step::default(),
         }
     }
@@ -374,21 +382,21 @@
         Some(NewestProposal { proposal: newest.clone(), is_chosen })
     }
 
-    fn have_read(&mut self) -> Step {
+    fn finish_reading(&mut self) -> Step {
         let Some(newest) = self.newest_proposal() else { return Step::default() };
         if newest.proposal.next_membership.is_some() {
             return self.prepare();
         }
         if newest.is_chosen {
             let chosen = ChosenProposal { epoch: self.membership.epoch, accepted: newest.proposal };
-            return self.end(Outcome::Read(chosen));
+            return self.finish(Outcome::Read(chosen));
         }
-        self.mixed_reads += 1;
-        self.enter(Phase::Reading);
+        self.inconclusive_reads += 1;
+        self.enter_phase(Phase::Reading);
         Step::contended()
     }
 
-    fn have_prepared(&mut self, number: ProposalNumber) -> Step {
+    fn finish_preparing(&mut self, number: ProposalNumber) -> Step {
         let Some(newest) = self.newest_proposal() else { return Step::default() };
         let base = newest.proposal;
         if base.next_membership.is_some() {
@@ -403,27 +411,27 @@
                 let next = Membership::new(self.membership.epoch + 1, members);
                 self.propose(number, &base, None, Some(next))
             }
-            _ if newest.is_chosen => self.have_chosen(base),
+            _ if newest.is_chosen => self.handle_chosen(base),
             _ => self.propose(number, &base, None, None),
         }
     }
 
     fn propose(
-        &mut self, number: ProposalNumber, base: &AcceptedProposal, added: Option<VersionedConfig>,
+        &mut self, number: ProposalNumber, base: &AcceptedProposal, added_config: Option<VersionedConfig>,
         next_membership: Option<Membership>,
     ) -> Step {
-        let value = match &added {
+        let value = match &added_config {
             Some(config) => Arc::new(base.value.with_config(config)),
             None => base.value.clone(),
         };
         let proposal = AcceptedProposal { number, value, next_membership };
-        let pending = PendingProposal { base: base.number.clone(), proposal, added };
+        let pending = PendingProposal { base: base.number.clone(), proposal, added_config };
         let accepted_numbers: BTreeMap<DiskId, ProposalNumber> = self
             .responses
             .iter()
             .map(|(disk, response)| (disk.clone(), response.accepted_number.clone()))
             .collect();
-        self.enter(Phase::Accepting(pending.clone()));
+        self.enter_phase(Phase::Accepting(pending.clone()));
         let to_member = |member: &Member| AddressedRequest {
             member: member.clone(),
             request: self.accept_request(&pending, accepted_numbers.get(&member.disk)),
@@ -432,7 +440,7 @@
     }
 
     /// A quorum has accepted this proposal under one number: it is chosen.
-    fn have_chosen(&mut self, accepted: AcceptedProposal) -> Step {
+    fn handle_chosen(&mut self, accepted: AcceptedProposal) -> Step {
         if let Some(next) = accepted.next_membership {
             // What an epoch begins with stands below every number of it.
             let initial = AcceptedProposal {
@@ -440,16 +448,16 @@
                 value: accepted.value,
                 next_membership: None,
             };
-            return self.enter(Phase::Installing(next, initial));
+            return self.enter_phase(Phase::Installing(next, initial));
         }
         let chosen = ChosenProposal { epoch: self.membership.epoch, accepted };
         match &self.goal {
             Goal::Write(config) => {
                 let status = status_in(&chosen.accepted.value, config);
                 debug_assert_ne!(status, SubmissionStatus::New, "a write ends with its version chosen");
-                self.end(Outcome::Written(status, chosen))
+                self.finish(Outcome::Written(status, chosen))
             }
-            Goal::Read => self.end(Outcome::Read(chosen)),
+            Goal::Read => self.finish(Outcome::Read(chosen)),
             Goal::ChangeMembership(_) => Step::default(),
         }
     }
--- a/crates/quorum/src/operation/phase.rs
+++ b/crates/quorum/src/operation/phase.rs
@@ -21,7 +21,7 @@
     /// The proposal as a replica will have accepted it.
     pub(crate) proposal: AcceptedProposal,
     /// The configuration that it adds to its base.
-    pub(crate) added: Option<VersionedConfig>,
+    pub(crate) added_config: Option<VersionedConfig>,
 }
 
 impl PendingProposal {
@@ -32,7 +32,7 @@
             return ProposedValue::Complete(self.proposal.value.clone());
         }
         let base = self.base.clone();
-        match &self.added {
+        match &self.added_config {
             Some(config) => ProposedValue::Extended { base, config: config.clone() },
             None => ProposedValue::Unchanged { base },
         }
--- a/crates/quorum/src/operation/step.rs
+++ b/crates/quorum/src/operation/step.rs
@@ -33,7 +33,7 @@
         Step { is_contended: true, ..Step::default() }
     }
 
-    pub(crate) fn end(outcome: Outcome) -> Self {
+    pub(crate) fn finish(outcome: Outcome) -> Self {
         Step { outcome: Some(outcome), ..Step::default() }
     }
 }
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -14,7 +14,7 @@
 /// A replica: the acceptor of "Paxos Made Simple", and a learner.
 ///
 /// Invariants, each kept by the one function that changes it: within an epoch the promised number only rises
-/// ([`Replica::promise`]) and so does the accepted one ([`Replica::take_over`]); the epoch only rises and comes with its
+/// ([`Replica::promise`]) and so does the accepted one ([`Replica::set_accepted`]); the epoch only rises and comes with its
 /// state ([`Replica::install`]).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Replica {
@@ -155,27 +155,27 @@
         if *number < self.state.promised {
             return Err(Rejection::HigherNumberPromised);
         }
-        let value = self.complete(value)?;
+        let value = self.complete_value(value)?;
         self.promise(number)?;
         let next_membership = next_membership.cloned();
-        self.take_over(AcceptedProposal { number: number.clone(), value, next_membership });
+        self.set_accepted(AcceptedProposal { number: number.clone(), value, next_membership });
         Ok(())
     }
 
     /// A proposed value, completed with what this replica has accepted.
-    fn complete(&self, proposed: &ProposedValue) -> Result<Arc<RegisterValue>, Rejection> {
+    fn complete_value(&self, proposed: &ProposedValue) -> Result<Arc<RegisterValue>, Rejection> {
         match proposed {
             ProposedValue::Complete(value) => Ok(value.clone()),
-            ProposedValue::Unchanged { base } => self.accepted_under(base).cloned(),
+            ProposedValue::Unchanged { base } => self.value_accepted_under(base).cloned(),
             ProposedValue::Extended { base, config } => {
-                let accepted = self.accepted_under(base)?;
+                let accepted = self.value_accepted_under(base)?;
                 Ok(Arc::new(accepted.with_config(config)))
             }
         }
     }
 
     /// The value that was accepted under a number.
-    fn accepted_under(&self, number: &ProposalNumber) -> Result<&Arc<RegisterValue>, Rejection> {
+    fn value_accepted_under(&self, number: &ProposalNumber) -> Result<&Arc<RegisterValue>, Rejection> {
         if number != self.accepted_number() {
             return Err(Rejection::NeedsCompleteValue);
         }
@@ -183,7 +183,7 @@
     }
 
     /// The one place where the accepted proposal changes within an epoch: its number only rises.
-    fn take_over(&mut self, accepted: AcceptedProposal) {
+    fn set_accepted(&mut self, accepted: AcceptedProposal) {
         debug_assert!(accepted.number > *self.accepted_number(), "the accepted number only rises");
         self.state.accepted = accepted;
     }
@@ -207,7 +207,7 @@
         if accepted.number > *self.accepted_number() {
             let promised = self.state.promised.clone().max(accepted.number.clone());
             self.state.promised = promised;
-            self.take_over(accepted.clone());
+            self.set_accepted(accepted.clone());
         }
         Ok(())
     }
--- a/crates/quorum/src/retry_schedule.rs
+++ b/crates/quorum/src/retry_schedule.rs
@@ -17,29 +17,29 @@
 /// The delays of one operation: exponential backoff for resends, randomized exponential backoff for contention.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetrySchedule {
-    resends: u32,
-    contentions: u32,
+    resend_doublings: u32,
+    contention_doublings: u32,
 }
 
 impl RetrySchedule {
     /// The delay after requests that were sent for the first time.
     pub fn delay_after_first_send(&mut self) -> Duration {
-        self.resends = 0;
+        self.resend_doublings = 0;
         RESEND_DELAY
     }
 
     /// The delay after requests that were sent again.
     pub fn delay_after_resend(&mut self) -> Duration {
-        self.resends = (self.resends + 1).min(MAX_RESEND_DOUBLINGS);
-        RESEND_DELAY * (1 << self.resends)
+        self.resend_doublings = (self.resend_doublings + 1).min(MAX_RESEND_DOUBLINGS);
+        RESEND_DELAY * (1 << self.resend_doublings)
     }
 
     /// The delay before the next attempt beside other proposers. `random` is any random number.
     pub fn contention_delay(&mut self, random: u64) -> Duration {
         let spread = MAX_CONTENTION_DELAY_MS - MIN_CONTENTION_DELAY_MS + 1;
         let first = MIN_CONTENTION_DELAY_MS + random % spread;
-        let delay = Duration::from_millis(first << self.contentions);
-        self.contentions = (self.contentions + 1).min(MAX_CONTENTION_DOUBLINGS);
+        let delay = Duration::from_millis(first << self.contention_doublings);
+        self.contention_doublings = (self.contention_doublings + 1).min(MAX_CONTENTION_DOUBLINGS);
         delay
     }
 }
--- a/crates/quota/src/gateway_count.rs
+++ b/crates/quota/src/gateway_count.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug)]
 struct Observation {
-    at: Duration,
+    observed_at: Duration,
     gateways: usize,
 }
 
@@ -22,14 +22,16 @@
 impl GatewayCount {
     /// Records how many gateways are known now.
     pub fn observe(&mut self, now: Duration, gateways: usize) {
-        let counts = |seen: &Observation| seen.at + SHARE_RETENTION > now && seen.gateways > gateways;
-        self.observations.retain(counts);
-        self.observations.push_back(Observation { at: now, gateways });
+        let is_relevant = |observation: &Observation| {
+            observation.observed_at + SHARE_RETENTION > now && observation.gateways > gateways
+        };
+        self.observations.retain(is_relevant);
+        self.observations.push_back(Observation { observed_at: now, gateways });
     }
 
     /// How many gateways to share with, at least one.
     #[must_use]
     pub fn current(&self) -> usize {
-        self.observations.iter().map(|seen| seen.gateways).max().unwrap_or(0).max(1)
+        self.observations.iter().map(|observation| observation.gateways).max().unwrap_or(0).max(1)
     }
 }
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -6,10 +6,10 @@
 use crate::MIN_GATEWAYS;
 
 /// Fraction of the budget that is used: a window that begins at another time may count a little more.
-const USED_FRACTION: f64 = 0.8;
-/// Fraction that is used in the first window after a restart: the incarnation before may have used [`USED_FRACTION`] right
+const USABLE_FRACTION: f64 = 0.8;
+/// Fraction that is used in the first window after a restart: the incarnation before may have used [`USABLE_FRACTION`] right
 /// up to its end, and what it used is forgotten with it.
-const USED_FRACTION_AFTER_RESTART: f64 = 1.0 - USED_FRACTION;
+const USABLE_FRACTION_AFTER_RESTART: f64 = 1.0 - USABLE_FRACTION;
 
 /// The budget for retries over all gateways: in each window a share of the requests, and so many besides.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,8 +26,8 @@
 
 impl RetryBudget {
     /// The fraction of the budget that may be used now.
-    fn used_fraction(&self, now: Duration) -> f64 {
-        if self.is_restarted && now <= self.window { USED_FRACTION_AFTER_RESTART } else { USED_FRACTION }
+    fn usable_fraction(&self, now: Duration) -> f64 {
+        if self.is_restarted && now <= self.window { USABLE_FRACTION_AFTER_RESTART } else { USABLE_FRACTION }
     }
 }
 
@@ -79,7 +79,7 @@
         let requests = count_within(&self.requests, now, budget.window);
         let retries = count_within(&self.retries, now, budget.window);
         let slack_share = budget.slack / gateways.max(MIN_GATEWAYS) as f64;
-        let allowed = budget.used_fraction(now) * (budget.ratio * requests as f64 + slack_share);
+        let allowed = budget.usable_fraction(now) * (budget.ratio * requests as f64 + slack_share);
         (retries + 1) as f64 <= allowed
     }
 
