--- a/crates/gossip/src/directory/anti_entropy.rs
+++ b/crates/gossip/src/directory/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! How two directories find out what one of them has missed: digests of all, digests by bucket, ranks by entry.
+//! Anti-entropy: detects the updates that one of two directories has missed, by digests of the directory,
+//! digests of the buckets, and ranks of the entries.
 
 use ashvane_identifiers::{NodeName, ServerId};
 
@@ -8,26 +9,28 @@
 };
 
 impl Directory {
-    /// All that is known here, in a few bytes; `version` is that of the configuration in force.
+    /// Returns the digest of this directory. `version` is that of the configuration in force.
     #[must_use]
     pub fn digest(&self, version: u64) -> Digest {
         let entries = self.digests.combined();
         Digest { entries, epoch: self.membership.epoch, version, lacks_quorum: false }
     }
 
-    /// The digest of each bucket.
+    /// Returns the digest of each bucket.
     #[must_use]
     pub fn bucket_digests(&self) -> BucketDigests {
         BucketDigests { entries: self.digests.to_vec(), epoch: self.membership.epoch }
     }
 
-    /// The buckets in which this directory and another one differ; all where that cannot be told.
+    /// Returns the buckets in which this directory and another one differ, including those missing in
+    /// `other`.
     #[must_use]
     pub fn differing_buckets(&self, other: &BucketDigests) -> BucketSet {
         self.digests.differing_buckets(other)
     }
 
-    /// The ranks of all entries in these buckets, but those of processes and servers that are gone.
+    /// Returns the ranks of all entries in these buckets, except processes that are down and servers that
+    /// have terminated.
     #[must_use]
     pub fn summary(&self, buckets: BucketSet) -> RankSummary {
         let nodes =
@@ -42,7 +45,7 @@
         }
     }
 
-    /// What is newer here than what another process knows, in the buckets that it speaks of.
+    /// Returns the updates that another process is missing, in the buckets that its summary covers.
     #[must_use]
     pub fn updates_missing_from(&self, summary: &RankSummary) -> Vec<Update> {
         let nodes = self.nodes.iter().filter(|node| self.is_node_newer(node, summary));
@@ -63,7 +66,7 @@
     fn is_node_newer(&self, node: &Node, summary: &RankSummary) -> bool {
         match summary.nodes.get(&node.name) {
             Some(rank) => *rank < node.rank(),
-            // The other process may have forgotten what is down.
+            // The other process may have removed the entry because the process is down.
             None => {
                 let is_sent = !node.is_down || self.nodes.is_recently_down(&node.name, self.last_tick);
                 is_sent && summary.buckets.contains_bucket_of(node.name.as_str())
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Whether another process knows something newer than this one does.
+    /// Whether this directory is missing updates known to another process.
     #[must_use]
     pub fn is_behind(&self, summary: &RankSummary) -> bool {
         let is_newer_node = |(name, rank): (&NodeName, &NodeRank)| self.nodes.is_newer(name, rank);
@@ -82,8 +85,8 @@
             || summary.servers.iter().any(is_newer_server)
     }
 
-    /// What is to be said against an update that is older than what is known here. No digest speaks of what is down or has
-    /// terminated, so that whoever sends it as running would not learn of it otherwise.
+    /// Returns the update that refutes an outdated one. Digests do not cover processes that are down and
+    /// servers that have terminated, so a peer that still considers one running would not find out otherwise.
     #[must_use]
     pub fn refutation_of(&self, update: &Update) -> Option<Update> {
         match update {
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Whether an update, or something that stands above it, is in force here. A term of the orphan monitor is in force only
-    /// as long as it is the highest.
+    /// Whether this directory contains an update or a newer one. A term of the orphan monitor must be the
+    /// current one, since a newer term invalidates it.
     #[must_use]
     pub fn has_applied(&self, update: &Update) -> bool {
         match update {
@@ -128,7 +131,7 @@
 fn is_server_newer(server: &Server, summary: &RankSummary) -> bool {
     match summary.servers.get(&server.id) {
         Some(rank) => *rank < server.rank(),
-        // The other process may have forgotten what terminated.
+        // The other process may have removed the entry because the server has terminated.
         None => !server.is_terminated() && summary.buckets.contains_bucket_of(server.id.as_str()),
     }
 }
--- a/crates/gossip/src/directory/heartbeat_monitor.rs
+++ b/crates/gossip/src/directory/heartbeat_monitor.rs
@@ -1,4 +1,4 @@
-//! When each server that sends its heartbeats to this process was heard last.
+//! Monitoring of the servers that send their heartbeats to this process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 use crate::{Heartbeat, Server};
 
-/// Heartbeats missed in a row after which a server has timed out: one or two are lost when it changes to another control
-/// node.
+/// Number of consecutive missed heartbeats after which a server has timed out. One or two are lost when a
+/// server switches to another control node.
 pub(super) const MAX_MISSED_HEARTBEATS: u32 = 5;
 
 struct LastHeartbeat {
@@ -16,7 +16,7 @@
     sequence: u64,
 }
 
-/// The heartbeats that this process received last.
+/// The last heartbeat that this process received from each server.
 pub(super) struct HeartbeatMonitor {
     interval: Duration,
     last_heartbeats: BTreeMap<ServerId, LastHeartbeat>,
@@ -27,12 +27,12 @@
         HeartbeatMonitor { interval, last_heartbeats: BTreeMap::new() }
     }
 
-    /// Whether a server has sent a heartbeat to this process.
+    /// Whether this process has received a heartbeat of a server.
     pub(super) fn is_monitored(&self, id: &ServerId) -> bool {
         self.last_heartbeats.contains_key(id)
     }
 
-    /// Whether this heartbeat, or a later one, was received before.
+    /// Whether this heartbeat or a later one has already been received.
     pub(super) fn is_late(&self, heartbeat: &Heartbeat) -> bool {
         self.last_heartbeats.get(&heartbeat.id).is_some_and(|last| last.sequence >= heartbeat.sequence)
     }
@@ -46,13 +46,14 @@
         self.last_heartbeats.remove(id);
     }
 
-    /// Counts missed heartbeats anew: for some time none could be received.
+    /// Restarts the counting of missed heartbeats, after a period in which none could be received.
     pub(super) fn restart(&mut self, now: Duration) {
         self.last_heartbeats.values_mut().for_each(|last| last.received_at = now);
     }
 
-    /// The sequence number of the last heartbeat of a server that has missed too many. One that is monitored here and was
-    /// not heard yet, as after a restart, is waited for from now on.
+    /// Returns the sequence number of the last heartbeat of a server if the server has timed out. For a
+    /// server of which no heartbeat has been received yet, as after a restart of this process, the time-out
+    /// starts now.
     pub(super) fn last_sequence_if_overdue(&mut self, server: &Server, now: Duration) -> Option<u64> {
         let initial = || LastHeartbeat { received_at: now, sequence: server.heartbeat_sequence };
         let last = self.last_heartbeats.entry(server.id.clone()).or_insert_with(initial);
--- a/crates/gossip/src/directory/mod.rs
+++ b/crates/gossip/src/directory/mod.rs
@@ -1,8 +1,8 @@
-//! What one process knows, and how it changes.
+//! The directory of one process: its entries, and the application of updates to them.
 //!
-//! Invariants: an entry's rank only rises, but that a statement about a server's liveness under an earlier term of the
-//! orphan monitor is void ([`ServerTable::insert`], [`NodeTable::insert`]); the epoch of the membership and the term of the
-//! orphan monitor only rise ([`Directory::raise_term`]).
+//! Invariants: the rank of an entry only increases, except that a new term of the orphan monitor invalidates
+//! declarations under earlier terms (see [`ServerTable::insert`] and [`NodeTable::insert`]); the epoch of the
+//! membership and the term of the orphan monitor only increase (see [`Directory::raise_term`]).
 
 mod anti_entropy;
 mod heartbeat_monitor;
@@ -22,14 +22,15 @@
 use crate::digest::EntryDigests;
 use crate::{Heartbeat, Liveness, LivenessAuthority, Node, OrphanMonitorTerm, Server, ServerState, Update};
 
-/// A tick this much later than the one before shows that this process was stalled, and received nothing.
+/// Time since the previous tick above which this process was stalled and could not receive heartbeats.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
-/// Time for which the complete entry of a server that terminated, or of a gateway that is down, is sent to processes that
-/// lack it. After that a tombstone remains, so that late updates cannot bring it back.
+/// Time for which the complete entry of a terminated server, or of a gateway that is down, is kept and sent
+/// to processes that lack it. After that, a tombstone replaces it, so that late updates cannot restore the
+/// entry.
 const DEPARTED_ENTRY_RETENTION: Duration = Duration::from_secs(600);
 
-/// What one process knows. All times are since the start of the process; what a method returns as updates has changed here
-/// and is to be spread.
+/// The directory of one process. All times are relative to the start of the process. Updates returned by a
+/// method have been applied to this directory, and the caller sends them to the peers.
 pub struct Directory {
     own: Node,
     nodes: NodeTable,
@@ -37,16 +38,17 @@
     heartbeats: HeartbeatMonitor,
     orphan_tracker: OrphanTracker,
     membership: Membership,
-    /// The highest term that is known: what was declared under an earlier one is void.
+    /// Highest known term. Declarations under earlier terms are invalid.
     orphan_monitor_term: OrphanMonitorTerm,
     last_tick: Duration,
-    /// Rises with each change.
+    /// Number that increases with each change.
     revision: u64,
     digests: EntryDigests,
 }
 
 impl Directory {
-    /// A directory in which only this process stands. Servers send a heartbeat each `heartbeat_interval`.
+    /// Creates a directory that contains only this process. Servers send a heartbeat every
+    /// `heartbeat_interval`.
     #[must_use]
     pub fn new(own: Node, heartbeat_interval: Duration, now: Duration) -> Self {
         let mut directory = Directory {
@@ -65,72 +67,72 @@
         directory
     }
 
-    /// This process.
+    /// Returns the entry of this process.
     #[must_use]
     pub fn own_node(&self) -> &Node {
         &self.own
     }
 
-    /// All processes that are known, this one among them.
+    /// Returns all known processes, including this one.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter()
     }
 
-    /// The entry of a process.
+    /// Returns the entry of a process.
     #[must_use]
     pub fn node(&self, name: &NodeName) -> Option<&Node> {
         self.nodes.get(name)
     }
 
-    /// All servers that are known, those that terminated a short time ago among them.
+    /// Returns all known servers, including recently terminated ones.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter()
     }
 
-    /// Servers that have not terminated.
+    /// Returns the servers that have not terminated.
     pub fn running_servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().filter(|server| !server.is_terminated())
     }
 
-    /// The entry of a server.
+    /// Returns the entry of a server.
     #[must_use]
     pub fn server(&self, id: &ServerId) -> Option<&Server> {
         self.servers.get(id)
     }
 
-    /// The newest membership that is known.
+    /// Returns the newest known membership.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The highest term of the orphan monitor that is known.
+    /// Returns the highest known term of the orphan monitor.
     #[must_use]
     pub fn orphan_monitor_term(&self) -> &OrphanMonitorTerm {
         &self.orphan_monitor_term
     }
 
-    /// Rises with each change.
+    /// Returns a number that increases with each change of the directory.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How many gateways share the budgets that hold for all: those that are up, or went down a short time ago. One that is
-    /// down may be back before others know, and uses its share.
+    /// Returns the number of gateways that share the common budgets: those that are up or went down recently.
+    /// A gateway that went down may restart and use its share before other processes know.
     #[must_use]
     pub fn gateways_sharing_budgets(&self, now: Duration) -> usize {
         self.nodes.gateways_sharing_budgets(now)
     }
 
-    /// How many tombstones are kept beside the entries.
+    /// Returns the number of tombstones.
     #[must_use]
     pub fn tombstone_count(&self) -> usize {
         self.servers.tombstone_count() + self.nodes.tombstone_count()
     }
 
-    /// The term under which this process may take the role of the orphan monitor: above all that it knows. None while
-    /// others know a later membership.
+    /// Returns the term with which this process may take the role of the orphan monitor, which is higher than
+    /// every known term. Returns `None` while the known membership is older than the highest known term.
     #[must_use]
     pub fn next_orphan_monitor_term(&self) -> Option<OrphanMonitorTerm> {
         let (epoch, known) = (self.membership.epoch, &self.orphan_monitor_term);
@@ -141,14 +143,14 @@
         Some(OrphanMonitorTerm { epoch, round, holder: self.own.name.clone() })
     }
 
-    /// Whether the orphan monitor would have a server to declare timed out.
+    /// Whether there is a server that the orphan monitor should declare timed out.
     #[must_use]
     pub fn has_orphans(&self, now: Duration) -> bool {
         self.servers.iter().any(|server| self.orphan_tracker.is_overdue(server, &self.nodes, now))
     }
 
-    /// Applies an update if it is newer than what is known. Returns what is to be spread: the entry itself, or what had to
-    /// be said against it.
+    /// Applies an update if it is newer than the stored state. Returns the updates to send to the peers: the
+    /// changed entries, or the refutation of an update about this process.
     pub fn apply(&mut self, update: Update, now: Duration) -> Vec<Update> {
         match update {
             Update::Membership(membership) => self.apply_membership(membership, now),
@@ -171,8 +173,8 @@
         changed
     }
 
-    /// The one place where the term of the orphan monitor changes: it only rises. All that was declared under earlier terms
-    /// is void from here on; those servers are returned as alive.
+    /// Sets a higher term of the orphan monitor. This invalidates the declarations under earlier terms, and
+    /// the affected servers are returned as alive. No other method changes the term.
     fn raise_term(&mut self, term: OrphanMonitorTerm, now: Duration) -> Vec<Update> {
         if term <= self.orphan_monitor_term {
             return Vec::new();
@@ -192,7 +194,8 @@
         changed
     }
 
-    /// Others speak of this process. Where they take it for down, or for an earlier incarnation, it refutes that.
+    /// Handles an update about this process from a peer. Refutes it if it states that this process is down or
+    /// has another incarnation.
     fn apply_own_node(&mut self, node: &Node, now: Duration) -> Vec<Update> {
         let needs_refutation = node.incarnation != self.own.incarnation || node.is_down;
         if !needs_refutation || node.rank() < self.own.rank() {
@@ -216,7 +219,8 @@
         if let Liveness::DeclaredTimedOut(term) = &server.liveness {
             changed = self.raise_term(term.clone(), now);
         }
-        // What was declared under an earlier term is void; that its heartbeat was received before stands.
+        // A declaration under an earlier term is invalid, but the heartbeat on which the entry is based
+        // remains valid.
         if !server.liveness.is_valid_in(&self.orphan_monitor_term) {
             server.liveness = Liveness::Alive;
         }
@@ -233,7 +237,8 @@
         changed
     }
 
-    /// An address has one server: the one that was heard of last. A new one terminates the one before.
+    /// Marks the previous server at the address of a new server as terminated, since each address has one
+    /// server.
     fn terminate_previous_at(
         &mut self, id: &ServerId, address: &Address, state: ServerState, now: Duration,
     ) -> Vec<Update> {
@@ -244,8 +249,9 @@
         let Some(previous) = self.servers.server_at(address).filter(|previous| previous.id != *id) else {
             return Vec::new();
         };
-        // Of two that nobody has heard together, the one that is heard of as new may be the older one: only a server that
-        // has timed out or is draining is certain to have ended; else the server itself says so, by status 421.
+        // If this process has not received a heartbeat of the new server, the apparently new one may be the
+        // older of the two. Only a previous server that has timed out or is draining has certainly terminated.
+        // Otherwise the running server itself resolves the doubt, by responding with status 421.
         if previous.is_available() && !self.heartbeats.is_monitored(id) {
             return Vec::new();
         }
@@ -254,7 +260,7 @@
         vec![Update::Server(terminated)]
     }
 
-    /// Records a heartbeat that this process received.
+    /// Records a heartbeat received by this process.
     pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) -> Vec<Update> {
         let known = self.servers.get(&heartbeat.id);
         if known.is_some_and(Server::is_terminated) || self.servers.has_tombstone_covering(&heartbeat) {
@@ -286,15 +292,16 @@
         changed
     }
 
-    /// Whether others know all that a heartbeat says: the entry stems from it, or from a later one that came elsewhere, or
-    /// it changes nothing.
+    /// Whether a heartbeat adds nothing to the stored entry: the entry is based on this heartbeat or on a
+    /// later one that another control node received, or it already names a live server monitored by this
+    /// process.
     fn is_redundant(&self, known: &Server, heartbeat: &Heartbeat, is_late: bool) -> bool {
         let is_covered = known.heartbeat_sequence >= heartbeat.sequence;
         let is_unchanged = !known.has_timed_out() && known.monitor == self.own.name;
         known.state >= heartbeat.state && (is_late || is_covered || is_unchanged)
     }
 
-    /// Records that a server has said that it ends. One that nobody knows is remembered as terminated all the same.
+    /// Records that a server has deregistered. An unknown server is also stored as terminated.
     pub fn deregister(&mut self, id: &ServerId, now: Duration) -> Vec<Update> {
         if self.servers.get(id).is_some_and(Server::is_terminated) || self.servers.has_tombstone(id) {
             return Vec::new();
@@ -305,7 +312,7 @@
         vec![Update::Server(server)]
     }
 
-    /// A server of which only the id is known, and that it has terminated.
+    /// Returns the entry of a terminated server of which only the identifier is known.
     fn terminated_server(&self, id: &ServerId) -> Server {
         Server {
             id: id.clone(),
@@ -320,7 +327,7 @@
         }
     }
 
-    /// Records that a process which is watched from here does not respond.
+    /// Records that a process monitored by this one does not respond.
     pub fn mark_down(&mut self, name: &NodeName, now: Duration) -> Vec<Update> {
         let node = self.nodes.get(name).filter(|node| !node.is_down && node.name != self.own.name);
         let Some(node) = node else { return Vec::new() };
@@ -329,13 +336,13 @@
         vec![Update::Node(node)]
     }
 
-    /// Finds servers that have timed out or ended, as far as this process may say so, and forgets what has been gone for
-    /// long. To be called a few times a second.
+    /// Detects servers that have timed out or terminated, as far as `authority` permits, and expires old
+    /// entries. Must be called a few times per second.
     pub fn tick(&mut self, authority: &LivenessAuthority, now: Duration) -> Vec<Update> {
         let was_stalled = now.saturating_sub(self.last_tick) > STALL_THRESHOLD;
         self.last_tick = now;
         if was_stalled || *authority == LivenessAuthority::None {
-            // No heartbeat could be received: missed ones are counted anew.
+            // Heartbeats could not be received, so the counting of missed ones restarts.
             self.heartbeats.restart(now);
         }
         self.servers.expire(now);
@@ -352,7 +359,7 @@
         changed.into_iter().map(Update::Server).collect()
     }
 
-    /// Servers that have missed too many heartbeats since the last tick.
+    /// Returns the servers that have timed out since the last tick.
     fn newly_timed_out(&mut self, authority: &LivenessAuthority, now: Duration) -> Vec<Server> {
         let alive = self.servers.iter().filter(|server| !server.is_terminated() && !server.has_timed_out());
         let mut timed_out = Vec::new();
@@ -376,7 +383,7 @@
         timed_out
     }
 
-    /// Servers that timed out before and have ended for certain.
+    /// Returns the servers that timed out earlier and are confirmed to have terminated.
     fn newly_terminated(&self, authority: &LivenessAuthority, now: Duration) -> Vec<Server> {
         let may_terminate_all = matches!(authority, LivenessAuthority::MonitoredAndOrphans(_));
         let may_terminate = |server: &&Server| may_terminate_all || server.monitor == self.own.name;
--- a/crates/gossip/src/directory/node_table.rs
+++ b/crates/gossip/src/directory/node_table.rs
@@ -1,4 +1,4 @@
-//! The entries of processes.
+//! Table of the directory entries of processes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use crate::tombstones::Tombstones;
 use crate::{Node, NodeRank};
 
-/// Time for which a gateway that is down counts among those that share a budget: longer than the window of any budget.
+/// Time for which a gateway that is down still counts among those that share a budget. It exceeds the window
+/// of any budget.
 const BUDGET_SHARE_RETENTION: Duration = Duration::from_secs(30);
-/// Time for which the complete entry of a control node that is down is kept: until then the others call it, for it may be
-/// back and know none of them.
+/// Time for which the complete entry of a control node that is down is kept. In that time the others try to
+/// connect to it, because it may restart without knowing any of them.
 const CONTROL_NODE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// The entries of processes, and since when those that are down have been.
+/// The entries of processes, and the times since when processes are down.
 #[derive(Default)]
 pub(super) struct NodeTable {
     nodes: BTreeMap<NodeName, Node>,
@@ -41,13 +42,13 @@
         self.tombstones.len()
     }
 
-    /// Whether an entry, or a newer one, is known or was.
+    /// Whether an entry is not newer than the stored entry or the tombstone of the process.
     pub(super) fn is_stale(&self, node: &Node) -> bool {
         self.nodes.get(&node.name).is_some_and(|known| known.rank() >= node.rank())
             || self.tombstones.covers(&node.name, &node.rank())
     }
 
-    /// The rank under which a process is known, or was before it was forgotten.
+    /// Returns the rank of the stored entry of a process, or else that of its tombstone.
     pub(super) fn last_rank(&self, name: &NodeName) -> Option<NodeRank> {
         match self.nodes.get(name) {
             Some(known) => Some(known.rank()),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether a rank is above all that is known of a process, or was.
+    /// Whether a rank is higher than that of the stored entry or the tombstone of the process.
     pub(super) fn is_newer(&self, name: &NodeName, rank: &NodeRank) -> bool {
         match self.nodes.get(name) {
             Some(known) => known.rank() < *rank,
@@ -72,7 +73,7 @@
         self.nodes.values().filter(shares).count()
     }
 
-    /// The one place where the entry of a process changes.
+    /// Stores the entry of a process. No other method changes an entry.
     pub(super) fn insert(&mut self, node: Node, digests: &mut EntryDigests, now: Duration) {
         if node.is_down {
             self.down_since.entry(node.name.clone()).or_insert(now);
@@ -86,12 +87,13 @@
         }
     }
 
-    /// Whether a process went down so lately that its entry is sent to those that lack it.
+    /// Whether a process went down so recently that its entry is still sent to peers that lack it.
     pub(super) fn is_recently_down(&self, name: &NodeName, now: Duration) -> bool {
         self.down_since(name).is_some_and(|since| since + DEPARTED_ENTRY_RETENTION > now)
     }
 
-    /// Puts tombstones in place of entries that have been down for long, and removes old tombstones.
+    /// Replaces entries that have been down for the retention time by tombstones, and removes expired
+    /// tombstones.
     pub(super) fn expire(&mut self, own: &NodeName, now: Duration) {
         let is_control_node = |name: &NodeName| self.nodes.get(name).is_some_and(|node| node.disk.is_some());
         let retention = |name: &NodeName| match is_control_node(name) {
--- a/crates/gossip/src/directory/orphans.rs
+++ b/crates/gossip/src/directory/orphans.rs
@@ -1,4 +1,5 @@
-//! Servers whose control node is gone: nobody receives their heartbeats.
+//! Detection of orphans: servers whose control node is down or unknown, so that no process monitors their
+//! heartbeats.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,14 +11,16 @@
 use super::server_table::ServerTable;
 use crate::Server;
 
-/// Time after which the servers of a control node that is gone are expected to send their heartbeats elsewhere.
+/// Time within which the servers of a failed control node are expected to send their heartbeats to another
+/// one.
 const REASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Finds servers whose control node is gone.
+/// Detects servers that have timed out after the failure of their control node.
 pub(super) struct OrphanTracker {
-    /// Time that an orphan has to turn to another control node, and to miss its heartbeats.
+    /// Time after which an orphan has timed out: the time to switch to another control node, plus the missed
+    /// heartbeats.
     timeout: Duration,
-    /// Since when servers are known of a control node that is not.
+    /// Unknown control nodes that are named by known servers, each with the time since when it is unknown.
     unknown_monitors: BTreeMap<NodeName, Duration>,
 }
 
@@ -27,7 +30,7 @@
         OrphanTracker { timeout, unknown_monitors: BTreeMap::new() }
     }
 
-    /// Whether a server has missed its heartbeats at a control node that is gone.
+    /// Whether a server is an orphan that has timed out.
     pub(super) fn is_overdue(&self, server: &Server, nodes: &NodeTable, now: Duration) -> bool {
         let unreachable_since =
             nodes.down_since(&server.monitor).or_else(|| self.unknown_monitors.get(&server.monitor).copied());
@@ -35,7 +38,7 @@
         is_overdue && !server.is_terminated() && !server.has_timed_out()
     }
 
-    /// Records which control nodes servers name that are not known themselves.
+    /// Records which control nodes are named by servers but not known themselves.
     pub(super) fn track_unknown_monitors(&mut self, servers: &ServerTable, nodes: &NodeTable, now: Duration) {
         let running = servers.iter().filter(|server| !server.is_terminated());
         let monitors: BTreeSet<&NodeName> = running.map(|server| &server.monitor).collect();
@@ -45,7 +48,7 @@
         }
     }
 
-    /// A process has become known.
+    /// Records that a control node has become known.
     pub(super) fn remove_unknown_monitor(&mut self, name: &NodeName) {
         self.unknown_monitors.remove(name);
     }
--- a/crates/gossip/src/directory/server_table.rs
+++ b/crates/gossip/src/directory/server_table.rs
@@ -1,4 +1,4 @@
-//! The entries of servers.
+//! Table of the directory entries of servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,11 +10,13 @@
 use crate::tombstones::Tombstones;
 use crate::{Heartbeat, OrphanMonitorTerm, Server, ServerRank, ServerState};
 
-/// Time after which a server that has timed out is taken for ended: longer than any partition lasts. One that was cut off
-/// for so long and still runs counts again after [`DEPARTED_ENTRY_RETENTION`]: it gets no tombstone.
+/// Time after which a server that has timed out is considered terminated. It exceeds the duration of any
+/// partition. A server that was partitioned for longer and still runs is accepted again after
+/// [`DEPARTED_ENTRY_RETENTION`], since it gets no tombstone.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// The entries of servers, the server that has each address, and since when servers have been gone.
+/// The entries of servers, the server at each address, and the times since when servers have timed out or
+/// terminated.
 #[derive(Default)]
 pub(super) struct ServerTable {
     servers: BTreeMap<ServerId, Server>,
@@ -33,7 +35,7 @@
         self.servers.get(id)
     }
 
-    /// The server that has an address.
+    /// Returns the current server at an address.
     pub(super) fn server_at(&self, address: &Address) -> Option<&Server> {
         self.servers.get(self.by_address.get(address)?)
     }
@@ -46,18 +48,18 @@
         self.tombstones.contains(id)
     }
 
-    /// Whether a server that is remembered as gone had a state as high as this heartbeat says.
+    /// Whether the tombstone of a server has at least the state of this heartbeat.
     pub(super) fn has_tombstone_covering(&self, heartbeat: &Heartbeat) -> bool {
         self.tombstones.covers(&heartbeat.id, &heartbeat.state)
     }
 
-    /// Whether an entry, or a newer one, is known or was.
+    /// Whether an entry is not newer than the stored entry or the tombstone of the server.
     pub(super) fn is_stale(&self, server: &Server) -> bool {
         self.servers.get(&server.id).is_some_and(|known| known.rank() >= server.rank())
             || self.tombstones.covers(&server.id, &server.state)
     }
 
-    /// Whether a rank is above all that is known of a server, and it is not remembered as gone.
+    /// Whether a rank is higher than that of the stored entry of a server, and the server has no tombstone.
     pub(super) fn is_newer(&self, id: &ServerId, rank: &ServerRank) -> bool {
         match self.servers.get(id) {
             Some(known) => known.rank() < *rank,
@@ -65,7 +67,8 @@
         }
     }
 
-    /// The one place where the entry of a server changes. `term` is the highest one of the orphan monitor.
+    /// Stores the entry of a server. `term` is the highest known term of the orphan monitor. No other method
+    /// changes an entry.
     pub(super) fn insert(
         &mut self, server: Server, term: &OrphanMonitorTerm, digests: &mut EntryDigests, now: Duration,
     ) {
@@ -73,10 +76,10 @@
         self.update_timestamps(&server, now);
         digests.toggle(server.id.as_str(), server.digest());
         let (is_valid, rank) = (server.liveness.is_valid_in(term), server.rank());
-        debug_assert!(is_valid, "what was declared under an earlier term is void");
+        debug_assert!(is_valid, "a declaration under an earlier term of the orphan monitor is not stored");
         if let Some(previous) = self.servers.insert(server.id.clone(), server) {
             let was_valid = previous.liveness.is_valid_in(term);
-            debug_assert!(!was_valid || previous.rank() <= rank, "an entry's rank only rises");
+            debug_assert!(!was_valid || previous.rank() <= rank, "the rank of an entry only increases");
             digests.toggle(previous.id.as_str(), previous.digest());
         }
     }
@@ -106,8 +109,8 @@
         self.server_at(address).is_some_and(Server::is_available)
     }
 
-    /// Servers that timed out and have ended for certain: another one is alive at their address, which is not the server
-    /// itself for that has timed out, or they have been timed out for longer than any partition lasts.
+    /// Returns the timed-out servers that are confirmed to have terminated: either another server is
+    /// available at their address, or they have been timed out for longer than any partition lasts.
     pub(super) fn confirmed_terminated(&self, now: Duration) -> impl Iterator<Item = &Server> {
         let is_overdue = move |since: &Duration| *since + TERMINATION_TIMEOUT <= now;
         self.timed_out_since.iter().filter_map(move |(id, since)| {
@@ -116,8 +119,9 @@
         })
     }
 
-    /// Puts tombstones in place of entries that terminated long ago, and removes old tombstones. A server that was only
-    /// taken for ended gets none: it may still run, and counts again from its next heartbeat on.
+    /// Replaces entries that terminated the retention time ago by tombstones, and removes expired tombstones.
+    /// A server whose termination was only inferred from its time-out gets no tombstone: it may still run,
+    /// and its next heartbeat restores it.
     pub(super) fn expire(&mut self, now: Duration) {
         let is_expired = |(_, since): &(&ServerId, &Duration)| **since + DEPARTED_ENTRY_RETENTION <= now;
         let expired: Vec<ServerId> =
--- a/crates/gossip/src/heartbeat.rs
+++ b/crates/gossip/src/heartbeat.rs
@@ -1,24 +1,24 @@
-//! What a server says of itself.
+//! Heartbeats of servers.
 
 use ashvane_identifiers::{Address, ServerId, ServiceName, Zone};
 
 use crate::ServerState;
 
-/// What a server says of itself, about each heartbeat interval.
+/// A heartbeat, which a server sends once per heartbeat interval.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// A new one with each start of the server.
+    /// Identifier of the server, which changes with each start.
     pub id: ServerId,
-    /// The service that it serves.
+    /// The service to which the server belongs.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: Address,
-    /// The zone of its machine.
+    /// Zone of the server's machine.
     pub zone: Zone,
-    /// How many requests it takes at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Whether it is shutting down.
+    /// State of the server.
     pub state: ServerState,
-    /// Rises with each heartbeat, so that a late one is recognized.
+    /// Sequence number. It increases with each heartbeat, so that late ones are detected.
     pub sequence: u64,
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,19 +1,20 @@
-//! What all processes of the system know: each other, the servers, the membership.
+//! The shared directory of the system: the processes, the servers, and the membership.
 //!
-//! Entries spread by gossip with anti-entropy (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
-//! 1987). Each entry has a rank that only rises, so that entries may arrive in any order, twice or late, and all
-//! processes still agree in the end: a join semilattice. An [`Update`] is an entry that rose. What a process missed shows in
-//! the [`Digest`]s that peers compare, and is repaired entry by entry by [`RankSummary`]s.
+//! Entries spread by gossip with anti-entropy (Demers et al., "Epidemic Algorithms for Replicated Database
+//! Maintenance", 1987). Each entry has a rank that only increases, so that entries may arrive late, more than
+//! once and in any order, and all processes still converge: the entries form a join semilattice. An
+//! [`Update`] is an entry whose rank has increased. Peers compare [`Digest`]s to detect missed updates, and
+//! exchange [`RankSummary`]s to repair the differing entries.
 //!
-//! | module | what it holds |
+//! | item | contents |
 //! | --- | --- |
-//! | [`Directory`] | the state of one process, and how updates change it |
+//! | [`Directory`] | the directory of one process, and the application of updates |
 //! | [`Node`], [`Server`] | the entries |
-//! | [`Liveness`], [`LivenessAuthority`], [`OrphanMonitorTerm`] | who may say that a server has timed out |
-//! | [`Digest`], [`BucketDigests`], [`RankSummary`] | what peers compare |
-//! | [`select_peers`] | who connects to whom |
+//! | [`Liveness`], [`LivenessAuthority`], [`OrphanMonitorTerm`] | who may declare servers timed out |
+//! | [`Digest`], [`BucketDigests`], [`RankSummary`] | the data that peers compare |
+//! | [`select_peers`] | the selection of the peers of a process |
 //!
-//! Nothing here reads a clock or a socket: times are those since the start of the process, and are passed in.
+//! This crate reads no clock and no socket: times are passed in, relative to the start of the process.
 
 mod digest;
 mod directory;
--- a/crates/gossip/src/liveness.rs
+++ b/crates/gossip/src/liveness.rs
@@ -1,38 +1,40 @@
-//! Whether a server is alive, and who may say that it has timed out.
+//! Liveness of servers, and the authority to declare that a server has timed out.
 
 use serde::{Deserialize, Serialize};
 
 use crate::OrphanMonitorTerm;
 
-/// What is known of a server's liveness, in the order in which one statement stands above another about the same heartbeat.
+/// A statement about the liveness of a server, in ascending order of precedence among statements based on the
+/// same heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Liveness {
-    /// Its heartbeat was received.
+    /// The heartbeat was received.
     #[default]
     #[serde(rename = "heard")]
     Alive,
-    /// The orphan monitor says that it has timed out, for a control node that is down.
+    /// The orphan monitor has declared that the server timed out, because the control node that monitors it
+    /// is down.
     #[serde(rename = "claimed")]
     DeclaredTimedOut(OrphanMonitorTerm),
-    /// The control node that monitors it says that it has timed out.
+    /// The control node that monitors the server has found that it timed out.
     #[serde(rename = "missed")]
     TimedOut,
 }
 
 impl Liveness {
-    /// Whether its last heartbeat counts.
+    /// Whether the server has not timed out since its last heartbeat.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         *self == Liveness::Alive
     }
 
-    /// Whether the statement may be kept where this is the highest term that is known.
+    /// Whether the statement is valid if `highest` is the highest known term of the orphan monitor.
     pub(crate) fn is_valid_in(&self, highest: &OrphanMonitorTerm) -> bool {
         !matches!(self, Liveness::DeclaredTimedOut(term) if term < highest)
     }
 
-    /// Its part of a server's digest.
+    /// Returns the input of the digest of a server.
     pub(crate) fn digest_bytes(&self) -> Vec<u8> {
         match self {
             Liveness::Alive => vec![0],
@@ -42,13 +44,14 @@
     }
 }
 
-/// Of which servers a process may say that they have timed out.
+/// The servers that a process may declare timed out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LivenessAuthority {
-    /// Of none: it is in contact with no quorum, so it may itself be the one that is partitioned off.
+    /// None, because the process is not in contact with a quorum and may itself be partitioned.
     None,
-    /// Of those that it monitors.
+    /// The servers that it monitors.
     Monitored,
-    /// Of those that it monitors, and of those whose control node is down, under this term.
+    /// The servers that it monitors, and as the orphan monitor with this term also those whose control node
+    /// is down.
     MonitoredAndOrphans(OrphanMonitorTerm),
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,4 +1,4 @@
-//! A process of the system, as others know it.
+//! Directory entries of processes.
 
 use ashvane_identifiers::{Address, DiskId, NodeName, Zone};
 use serde::{Deserialize, Serialize};
@@ -6,49 +6,50 @@
 use crate::peers::Role;
 use crate::stable_hash::stable_hash;
 
-/// A process of the system, as others know it.
+/// The directory entry of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// Stays over restarts.
+    /// Name of the process, which stays the same across restarts.
     pub name: NodeName,
-    /// Drawn at each start of the process.
+    /// Incarnation, a random number generated at each start of the process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Rises whenever the process refutes what others say of it: that it is down, or that it is an earlier incarnation. The
-    /// incarnation number of SWIM (Das et al., 2002).
+    /// Number that the process increases to refute an update stating that it is down or has another
+    /// incarnation. Corresponds to the incarnation number of SWIM (Das et al., 2002).
     #[serde(rename = "age")]
     pub generation: u64,
-    /// Whether others have found that it does not respond.
+    /// Whether another process has found this process unresponsive.
     #[serde(rename = "down")]
     pub is_down: bool,
-    /// Where messages between processes are sent.
+    /// Address for messages between processes.
     pub address: Address,
-    /// Where servers and operators reach it, if they do.
+    /// Address for the calls of servers and operators, if the process accepts them.
     #[serde(rename = "control")]
     pub control_address: Option<Address>,
-    /// The zone of its machine.
+    /// Zone of the process's machine.
     pub zone: Zone,
-    /// Whether clients reach it: it is a gateway.
+    /// Whether the process is a gateway, which accepts requests of clients.
     #[serde(rename = "front")]
     pub is_gateway: bool,
-    /// Its disk, if it has one: it is a control node.
+    /// Identifier of its disk, if the process is a control node.
     pub disk: Option<DiskId>,
 }
 
 impl Node {
-    /// What it is to others.
+    /// Returns the role of the process.
     #[must_use]
     pub fn role(&self) -> Role {
         if self.disk.is_some() { Role::Control } else { Role::Gateway }
     }
 
-    /// The rank of this entry.
+    /// Returns the rank of this entry.
     #[must_use]
     pub fn rank(&self) -> NodeRank {
         NodeRank { generation: self.generation, incarnation: self.incarnation, is_down: self.is_down }
     }
 
-    /// Its part of the digests. A process that is down is left out: some have forgotten it, and others have not.
+    /// Returns the digest of this entry. It is 0 for a process that is down, because only some peers still
+    /// store its entry.
     pub(crate) fn digest(&self) -> u64 {
         if self.is_down {
             return 0;
@@ -58,8 +59,8 @@
     }
 }
 
-/// Tells which of two entries of a process is the newer one. Of two incarnations under one generation one stands above:
-/// were they alike, some would go on with the earlier one, and its disk, for good.
+/// Determines which of two entries of a process is newer. Two incarnations with the same generation have
+/// different ranks: with equal ranks, some peers would keep the earlier one, and its disk, forever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, bool)", into = "(u64, u64, bool)")]
 pub struct NodeRank {
@@ -67,7 +68,7 @@
     pub generation: u64,
     /// See [`Node::incarnation`].
     pub incarnation: u64,
-    /// See [`Node::is_down`]: stands above the same incarnation as it was up.
+    /// See [`Node::is_down`]. An entry that is down ranks above the same incarnation that is up.
     pub is_down: bool,
 }
 
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -1,35 +1,35 @@
-//! Who connects to whom: each process has a few peers, selected by rendezvous hashing (Thaler and Ravishankar, 1998) over
-//! those that it knows, so that a change of one process moves few connections.
+//! Selection of peers. Each process connects to a few peers, selected by rendezvous hashing (Thaler and
+//! Ravishankar, 1998) among the known processes, so that a change of one process moves few connections.
 
 use std::cmp::Reverse;
 
 use crate::Node;
 use crate::stable_hash::stable_hash;
 
-/// What a process is to others.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes clients' requests and gathers their answers.
+    /// Accepts the requests of clients and collects the answers.
     Gateway,
-    /// Keeps the configuration on its disk, and receives the calls of servers and operators.
+    /// Stores the configuration on its disk, and accepts the calls of servers and operators.
     Control,
 }
 
-/// Gateways that a gateway connects to beside control nodes.
+/// Number of gateways to which a gateway connects, in addition to control nodes.
 const GATEWAY_PEER_COUNT: usize = 2;
 
-/// A process that one may connect to, with what decides in which order.
+/// A process that may be selected as a peer, with its sort keys.
 struct Candidate<'a> {
     node: &'a Node,
     is_in_own_zone: bool,
     weight: u64,
 }
 
-/// The peers that a process connects to by itself; others may connect to it.
+/// Returns the peers to which a process opens connections. Other processes may also connect to it.
 ///
-/// Control nodes all connect to each other, for they vote together. A gateway connects to one control node more than may
-/// fail at once (`max_failures`), those of its own zone first, and to a few gateways. `is_reachable` leaves out those that
-/// it could not connect to of late.
+/// All control nodes connect to each other, because they vote together. A gateway connects to one more control node
+/// than `max_failures`, preferably in its own zone and spread over zones, and to a few gateways. `is_reachable`
+/// excludes processes to which recent connection attempts have failed.
 pub fn select_peers<'a>(
     own: &Node, nodes: impl Iterator<Item = &'a Node>, max_failures: usize,
     is_reachable: impl Fn(&Node) -> bool,
@@ -54,7 +54,8 @@
     peers
 }
 
-/// So many of these nodes, the first of each zone before others of the same zone: one zone may be partitioned off.
+/// Returns up to `count` of the nodes. The first node of each zone precedes further nodes of the same zone,
+/// because one zone may be partitioned from the others.
 fn spread_over_zones<'a>(nodes: impl Iterator<Item = &'a Node>, count: usize) -> Vec<&'a Node> {
     let mut selected: Vec<&Node> = Vec::new();
     let mut others = Vec::new();
--- a/crates/gossip/src/server.rs
+++ b/crates/gossip/src/server.rs
@@ -1,4 +1,4 @@
-//! A server of a service.
+//! Directory entries of servers.
 
 use ashvane_identifiers::{Address, NodeName, ServerId, ServiceName, Zone};
 use serde::{Deserialize, Serialize};
@@ -6,48 +6,49 @@
 use crate::Liveness;
 use crate::stable_hash::stable_hash;
 
-/// What a server has said of its own state. It only rises: each start is a new server.
+/// The state of a server, as reported by itself. It only increases, since each start creates a new server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Is shutting down: it serves what it has, and is to get nothing new.
+    /// Is shutting down: completes the requests in flight, and must not receive new ones.
     Draining,
-    /// Has ended.
+    /// Has terminated.
     #[serde(rename = "gone")]
     Terminated,
 }
 
-/// A server of a service.
+/// The directory entry of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// A new one with each start.
+    /// Identifier of the server, which changes with each start.
     pub id: ServerId,
-    /// Empty where only the id is known, and that it has terminated.
+    /// The service to which the server belongs. It is empty if only the identifier of a terminated server is
+    /// known.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: Address,
-    /// The zone of its machine.
+    /// Zone of the server's machine.
     pub zone: Zone,
-    /// How many requests it takes at once, as it says.
+    /// Maximum number of concurrent requests, as reported by the server.
     pub capacity: u32,
-    /// What it has said of itself.
+    /// State as reported by the server. Also set to terminated when its termination is inferred.
     pub state: ServerState,
-    /// The sequence number of the heartbeat that this entry stems from.
+    /// Sequence number of the last heartbeat on which this entry is based.
     #[serde(rename = "seq")]
     pub heartbeat_sequence: u64,
-    /// Whether it has missed heartbeats since, and who says so.
+    /// Whether the server has timed out since that heartbeat, and which process declared it.
     #[serde(rename = "silence", default, skip_serializing_if = "Liveness::is_alive")]
     pub liveness: Liveness,
-    /// The control node that received that heartbeat: it monitors the server.
+    /// The control node that received that heartbeat and therefore monitors the server.
     #[serde(rename = "keeper")]
     pub monitor: NodeName,
 }
 
 impl Server {
-    /// The rank of this entry.
+    /// Returns the rank of this entry.
     #[must_use]
     pub fn rank(&self) -> ServerRank {
         ServerRank {
@@ -57,25 +58,26 @@
         }
     }
 
-    /// Whether it has missed its heartbeats, as far as anyone knows.
+    /// Whether the server is known to have missed its heartbeats.
     #[must_use]
     pub fn has_timed_out(&self) -> bool {
         !self.liveness.is_alive()
     }
 
-    /// Whether it has ended.
+    /// Whether the server has terminated.
     #[must_use]
     pub fn is_terminated(&self) -> bool {
         self.state == ServerState::Terminated
     }
 
-    /// Whether it is to get requests.
+    /// Whether the server may receive new requests.
     #[must_use]
     pub fn is_available(&self) -> bool {
         self.state == ServerState::Ready && !self.has_timed_out()
     }
 
-    /// Its part of the digests. A server that has terminated is left out: some have forgotten it, and others have not.
+    /// Returns the digest of this entry. It is 0 for a server that has terminated, because only some peers
+    /// still store its entry.
     pub(crate) fn digest(&self) -> u64 {
         if self.is_terminated() {
             return 0;
@@ -85,8 +87,8 @@
     }
 }
 
-/// Tells which of two entries of a server is the newer one. A server's own heartbeat, by its number, stands above whatever
-/// was said of its liveness before.
+/// Determines which of two entries of a server is newer. A heartbeat with a higher sequence number ranks
+/// above every statement about the liveness of the server that is based on an earlier heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerRank {
     /// See [`Server::state`].
--- a/crates/gossip/src/stable_hash.rs
+++ b/crates/gossip/src/stable_hash.rs
@@ -1,10 +1,10 @@
-//! A hash that is the same in every process and release, for it is compared between them.
+//! A hash function whose results are the same in every process and release, so that they can be compared.
 
 use std::hash::Hasher as _;
 
 use siphasher::sip::SipHasher13;
 
-/// Hashes these fields in their order; where one ends and the next begins makes a difference.
+/// Hashes the fields in order. The result depends on the boundaries between the fields.
 pub(crate) fn stable_hash(fields: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new();
     for field in fields {
--- a/crates/gossip/src/tombstones.rs
+++ b/crates/gossip/src/tombstones.rs
@@ -1,23 +1,24 @@
-//! What is remembered of servers and processes that are gone, so that late updates cannot bring them back: an identifier
-//! and a rank each, for a time and up to a number.
+//! Tombstones of removed servers and processes, so that late updates cannot restore them. A tombstone
+//! consists of an identifier and a rank. The retention time and the number of tombstones are bounded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Time for which a tombstone is kept. A process that was partitioned off for longer may bring back what it knew before.
+/// Time for which a tombstone is kept. A process that was partitioned for longer may restore removed entries.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// How many tombstones are kept at most: of forty thousand restarts a day, those of a day and a half.
+/// Maximum number of tombstones. With forty thousand restarts a day, this covers one and a half days.
 const MAX_TOMBSTONES: usize = 60_000;
 
+/// An identifier of a removed entry, with the time of its removal.
 struct Tombstone<Id> {
     id: Id,
     created_at: Duration,
 }
 
-/// Tombstones, each with the rank under which its entry was known last.
+/// A set of tombstones, each with the last known rank of the removed entry.
 pub(crate) struct Tombstones<Id, Rank> {
     ranks: BTreeMap<Id, Rank>,
-    /// In the order in which they came.
+    /// The tombstones in the order of their creation.
     insertion_order: VecDeque<Tombstone<Id>>,
 }
 
@@ -28,7 +29,8 @@
 }
 
 impl<Id: Ord + Clone, Rank: Ord> Tombstones<Id, Rank> {
-    /// The one place where a tombstone is added.
+    /// Adds a tombstone, and removes the oldest ones beyond the maximum number. No other method adds a
+    /// tombstone.
     pub(crate) fn insert(&mut self, id: Id, rank: Rank, now: Duration) {
         if self.ranks.insert(id.clone(), rank).is_none() {
             self.insertion_order.push_back(Tombstone { id, created_at: now });
@@ -38,29 +40,29 @@
         }
     }
 
-    /// Whether an entry of this rank is the one that is gone, or older than that.
+    /// Whether an entry of this rank is the removed one or an older one.
     pub(crate) fn covers(&self, id: &Id, rank: &Rank) -> bool {
         self.ranks.get(id).is_some_and(|last| rank <= last)
     }
 
-    /// Whether there is a tombstone of this entry.
+    /// Whether there is a tombstone for this identifier.
     pub(crate) fn contains(&self, id: &Id) -> bool {
         self.ranks.contains_key(id)
     }
 
-    /// The rank under which an entry was known last.
+    /// Returns the last known rank of a removed entry.
     pub(crate) fn rank_of(&self, id: &Id) -> Option<&Rank> {
         self.ranks.get(id)
     }
 
-    /// The entry is back, with a higher rank.
+    /// Removes the tombstone of an entry that has returned with a higher rank.
     pub(crate) fn remove(&mut self, id: &Id) {
         if self.ranks.remove(id).is_some() {
             self.insertion_order.retain(|tombstone| tombstone.id != *id);
         }
     }
 
-    /// Removes the tombstones whose time is over.
+    /// Removes the tombstones whose retention time is over.
     pub(crate) fn expire(&mut self, now: Duration) {
         while self.insertion_order.front().is_some_and(|oldest| oldest.created_at + TOMBSTONE_RETENTION < now)
         {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// How many there are.
+    /// Number of tombstones.
     pub(crate) fn len(&self) -> usize {
         self.ranks.len()
     }
--- a/crates/gossip/src/update.rs
+++ b/crates/gossip/src/update.rs
@@ -1,21 +1,21 @@
-//! An entry that rose.
+//! Updates of the directory.
 
 use ashvane_quorum::Membership;
 use serde::{Deserialize, Serialize};
 
 use crate::{Node, OrphanMonitorTerm, Server};
 
-/// An entry of the directory, as it is sent to others.
+/// A changed entry of the directory, in the form in which it is sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Update {
-    /// A process started, went down, or refutes that it did.
+    /// A process has started, has gone down, or refutes that it is down.
     Node(Node),
-    /// A server's entry rose.
+    /// The rank of a server entry has increased.
     Server(Server),
-    /// An epoch has ended, and these are the members of the next one.
+    /// A new epoch with this membership has started.
     Membership(Membership),
-    /// A process takes the role of the orphan monitor, under this term.
+    /// A process has taken the role of the orphan monitor with this term.
     #[serde(rename = "hearing")]
     OrphanMonitor(OrphanMonitorTerm),
 }
--- a/crates/gossip/tests/tombstones.rs
+++ b/crates/gossip/tests/tombstones.rs
@@ -1,4 +1,5 @@
-//! What is remembered of servers and processes that are gone: it is bounded, and no late message brings one back.
+//! What is remembered of servers and processes that are gone: it is bounded, and no late message brings one
+//! back.
 
 use std::time::Duration;
 
@@ -76,8 +77,8 @@
     }
 }
 
-/// Forty thousand restarts a day, some of them of servers that crash and come back at their address, 230 machines a day
-/// lost for good: what both directories hold does not grow from one hour to the next.
+/// Forty thousand restarts a day, some of them of servers that crash and come back at their address, 230
+/// machines a day lost for good: what both directories hold does not grow from one hour to the next.
 #[test]
 fn what_is_kept_of_what_is_gone_is_bounded() {
     const LIVE: u64 = 100;
@@ -139,8 +140,8 @@
     assert!(directories.iter().all(|d| d.nodes().count() < 10));
 }
 
-/// Of a server that has ended only the name is left; whatever arrives late of it, from wherever, changes nothing, and whoever
-/// still tells of it as running is told.
+/// Of a server that has ended only the name is left; whatever arrives late of it, from wherever, changes
+/// nothing, and whoever still tells of it as running is told.
 #[test]
 fn no_late_message_brings_a_server_back() {
     let (mut here, mut away) = (directory("a", Duration::ZERO), directory("b", Duration::ZERO));
@@ -165,8 +166,8 @@
     assert!(here.server(&"s".into()).is_none_or(|s| s.state == ServerState::Terminated));
 }
 
-/// A process that is down for a while is forgotten but for its name and life. What is told of that life later is refused;
-/// the next life is known as soon as it comes, whatever its number.
+/// A process that is down for a while is forgotten but for its name and life. What is told of that life later
+/// is refused; the next life is known as soon as it comes, whatever its number.
 #[test]
 fn of_a_process_that_is_gone_only_a_later_life_counts() {
     for life in [3, 9] {
@@ -198,8 +199,8 @@
     assert!(here.node(&"b".into()).is_none());
 }
 
-/// A server that crashed is ended once another is heard at its address, or after a day; by its keeper, or by the holder of
-/// the duty of hearing where the keeper is gone.
+/// A server that crashed is ended once another is heard at its address, or after a day; by its keeper, or by
+/// the holder of the duty of hearing where the keeper is gone.
 #[test]
 fn a_silent_server_ends_with_its_address_or_after_a_day() {
     let silent = |here: &mut Directory| {
--- a/crates/gossip/tests/updates.rs
+++ b/crates/gossip/tests/updates.rs
@@ -1,5 +1,6 @@
-//! Directories under random load: servers come, beat, leave and crash; updates are lost, doubled, late and in any order;
-//! processes restart with nothing. What must hold is checked all along, and agreement once the updates get through.
+//! Directories under random load: servers come, beat, leave and crash; updates are lost, doubled, late and in
+//! any order; processes restart with nothing. What must hold is checked all along, and agreement once the
+//! updates get through.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -322,8 +323,8 @@
     assert!(moved < 10, "{moved} moved for one that left");
 }
 
-/// Guards against a machine that was wiped and came back before it was missed: both its lives have age 1, and whoever knew
-/// the first one counted its old disk as live for good.
+/// Guards against a machine that was wiped and came back before it was missed: both its lives have age 1, and
+/// whoever knew the first one counted its old disk as live for good.
 #[test]
 fn of_two_lives_under_one_age_the_one_that_runs_is_known_in_the_end() {
     for (earlier, later) in [(1, 2), (2, 1)] {
@@ -378,8 +379,8 @@
     directory.server(&"a".into()).expect("known").liveness.clone()
 }
 
-/// Guards against a holder of the duty of hearing that was overtaken and does not know it: what it claims is refused by
-/// whoever knows the later term, void for whoever took it in before, and all agree.
+/// Guards against a holder of the duty of hearing that was overtaken and does not know it: what it claims is
+/// refused by whoever knows the later term, void for whoever took it in before, and all agree.
 #[test]
 fn a_claim_under_an_earlier_term_is_refused_and_void() {
     let late = BEAT * 40;
@@ -410,7 +411,8 @@
     );
 }
 
-/// Guards against a claim that outlasts the membership it was made in, and one that stands above a server's own word.
+/// Guards against a claim that outlasts the membership it was made in, and one that stands above a server's
+/// own word.
 #[test]
 fn a_claim_ends_with_its_membership_and_with_the_next_heartbeat() {
     let late = BEAT * 40;
@@ -435,7 +437,8 @@
     assert_eq!(silence(&directory), Liveness::Alive);
 }
 
-/// Guards against a gateway that starts after many were lost at once and takes the parts of those that will be back.
+/// Guards against a gateway that starts after many were lost at once and takes the parts of those that will
+/// be back.
 #[test]
 fn a_gateway_that_is_down_keeps_its_part_for_a_while() {
     let mut other = Directory::new(node(0, 1), BEAT, Duration::ZERO);
--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -1,37 +1,38 @@
-//! Identifiers, a type each, so that one kind is never taken for another. All are text that is shared when it is cloned,
-//! and stand in messages, on disk and in logs as that text.
+//! Identifiers. Each kind has its own type, so that they cannot be confused. All are reference-counted text,
+//! and appear as plain text in messages, on disk and in logs.
 
 mod text_identifier;
 
 use text_identifier::text_identifier;
 
 text_identifier! {
-    /// Names a process for as long as its machine keeps its settings file: over restarts, but not over incarnations.
+    /// Name of a process. It stays the same across restarts as long as the machine keeps its settings file,
+    /// so it does not distinguish incarnations.
     NodeName
 }
 
 text_identifier! {
-    /// Identifies a disk for as long as it keeps its content. A disk that is wiped comes back under another id, so that it
-    /// has no vote for what it has forgotten.
+    /// Identifier of a disk as long as its content exists. A wiped disk gets a new identifier, so that it
+    /// cannot vote on the basis of state that it has lost.
     DiskId
 }
 
 text_identifier! {
-    /// Identifies one start of a server: each start is a new server.
+    /// Identifier of a server. Each start of a server process creates a new one.
     ServerId
 }
 
 text_identifier! {
-    /// Names a service: the servers that answer the same requests.
+    /// Name of a service: the set of servers that answer the same requests.
     ServiceName
 }
 
 text_identifier! {
-    /// Names a zone, a failure domain of the network.
+    /// Name of a zone, a failure domain of the network.
     Zone
 }
 
 text_identifier! {
-    /// Where a listener is reached, `host:port`.
+    /// Address of a listener, as `host:port`.
     Address
 }
--- a/crates/identifiers/src/text_identifier.rs
+++ b/crates/identifiers/src/text_identifier.rs
@@ -1,6 +1,6 @@
-//! What all identifiers have in common.
+//! Macro that defines the identifier types.
 
-/// Defines an identifier: a newtype around shared text.
+/// Defines an identifier type: a newtype around reference-counted text.
 macro_rules! text_identifier {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -11,13 +11,13 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
             }
 
-            /// Whether there is no text, as where nothing is known of a thing but that it was there.
+            /// Whether the text is empty, which means that the identifier is unknown.
             #[must_use]
             pub fn is_empty(&self) -> bool {
                 self.0.is_empty()
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,28 +1,28 @@
-//! A replicated register: the configuration of which each version is chosen once, and the membership, the set of
-//! replicas that keep it.
+//! A replicated register. It stores the configuration, each version of which is chosen once, and the
+//! membership: the set of replicas that store the register.
 //!
-//! The protocol is single-decree Paxos repeated on one register, as in CASPaxos (Rystsov, "CASPaxos: Replicated State
-//! Machines without logs", 2018): a proposer prepares a proposal number at a quorum, which returns what was accepted
-//! last, and then has the value that follows from it accepted by a quorum (Lamport, "Paxos Made Simple", 2001, phases 1
-//! and 2). There is no log and no leader. A value is *chosen* once a quorum has accepted it under one number; this crate
-//! uses no other word for that.
+//! The protocol is single-decree Paxos repeated on one register, as in CASPaxos (Rystsov, "CASPaxos:
+//! Replicated State Machines without logs", 2018): a proposer prepares a proposal number at a quorum, which
+//! returns the last accepted proposals, and then has a value based on the newest one accepted by a quorum
+//! (Lamport, "Paxos Made Simple", 2001, phases 1 and 2). There is no log and no leader. A value is *chosen*
+//! once a quorum has accepted it with the same proposal number; this crate uses no other term for that.
 //!
-//! The membership changes by epochs. A proposal that names the next membership seals the epoch if it is chosen; its value
-//! is then installed on a quorum of the next members, and a replica votes in an epoch only once it holds the state of that
-//! epoch on its own disk.
+//! The membership is fixed within an epoch. A proposal that contains the next membership seals the epoch once
+//! it is chosen. Its value is then installed on a quorum of the next members. A replica votes in an epoch
+//! only once the state of that epoch is on its own disk.
 //!
-//! | module | what it holds |
+//! | item | contents |
 //! | --- | --- |
 //! | [`Membership`] | the replicas that vote in an epoch |
 //! | [`ProposalNumber`], [`ProposedValue`], [`AcceptedProposal`] | proposals |
 //! | [`Request`], [`Response`], [`Rejection`] | messages between a proposer and replicas |
-//! | [`RegisterValue`], [`VersionedConfig`], [`ChosenVersions`] | what the register holds |
-//! | [`Replica`] | the acceptor: one disk's part |
-//! | [`Operation`] | the proposer: a write, a read or a membership change |
-//! | [`RetrySchedule`] | when an operation sends its requests again |
-//! | [`membership_manager`] | which change of the membership is due, and whether a member may shut down |
+//! | [`RegisterValue`], [`VersionedConfig`], [`ChosenVersions`] | the value of the register |
+//! | [`Replica`] | the acceptor, one for each disk |
+//! | [`Operation`] | the proposer, which runs a write, a read or a membership change |
+//! | [`RetrySchedule`] | the delays between the attempts of an operation |
+//! | [`membership_manager`] | the planning of membership changes, and the graceful shutdown of members |
 //!
-//! Nothing here reads a clock, a socket or a file.
+//! This crate reads no clock, socket or file.
 
 pub mod membership_manager;
 
--- a/crates/quorum/src/membership.rs
+++ b/crates/quorum/src/membership.rs
@@ -1,28 +1,29 @@
-//! The replicas that vote.
+//! The replicas that vote in an epoch.
 
 use ashvane_identifiers::{Address, DiskId};
 use serde::{Deserialize, Serialize};
 
-/// A replica that votes, and where the process that has its disk is reached.
+/// A voting replica, and the address of the process that runs it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The replica's disk.
+    /// Identifier of the replica's disk.
     pub disk: DiskId,
-    /// Where messages between processes are sent.
+    /// Address of the process for messages between processes.
     pub address: Address,
 }
 
-/// The members of one epoch. Epoch 0 has none: a replica that holds it waits to be admitted.
+/// The members of one epoch. Epoch 0 has none: a replica in epoch 0 waits to become a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    /// Rises by one with each change.
+    /// Epoch number. It increases by one with each change of the membership.
     pub epoch: u64,
-    /// In the order of their disk ids, each disk once.
+    /// The members, sorted by disk identifier, without duplicate disks.
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// The members of an epoch, sorted; of two with the same disk the first is taken.
+    /// Creates the membership of an epoch. Sorts the members, and keeps the first of several with the same
+    /// disk.
     #[must_use]
     pub fn new(epoch: u64, mut members: Vec<Member>) -> Self {
         members.sort();
@@ -30,19 +31,19 @@
         Membership { epoch, members }
     }
 
-    /// How many members make a quorum: a majority.
+    /// Number of members in a quorum, which is a majority.
     #[must_use]
     pub fn quorum_size(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Whether a disk votes in this epoch.
+    /// Whether a disk is a member of this epoch.
     #[must_use]
     pub fn contains(&self, disk: &DiskId) -> bool {
         self.member(disk).is_some()
     }
 
-    /// The member with this disk.
+    /// Returns the member with this disk.
     #[must_use]
     pub fn member(&self, disk: &DiskId) -> Option<&Member> {
         self.members.iter().find(|member| member.disk == *disk)
--- a/crates/quorum/src/membership_manager/membership_planner.rs
+++ b/crates/quorum/src/membership_manager/membership_planner.rs
@@ -1,4 +1,4 @@
-//! Which members are lost, and what the membership should be next.
+//! Detects failed members and plans membership changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,44 +6,47 @@
 use super::{LiveReplica, MembershipPolicy, MembershipView};
 use crate::{DiskId, Member};
 
-/// The most members that a membership grows to. Each operation sends requests to all members, and each change names them
-/// all to all: with a hundred of them a start takes longer than its membership changes come. Eleven bear five failures;
-/// other control nodes stand by and send their operations to the members.
+/// Maximum size to which the membership grows. Each operation sends requests to all members, and each change
+/// sends the list of all members to all of them: with a hundred members, a start-up would take longer than
+/// the interval between its membership changes. Eleven members tolerate five failures. The other control
+/// nodes are standbys, and send their operations to the members.
 pub const MAX_MEMBERS: usize = 11;
 
-/// Since when members have been lost, or alive and behind. Times are since the start of the process.
+/// Plans membership changes from the times since when members are unreachable, or alive but behind the epoch.
+/// All times are relative to the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipPlanner {
     policy: MembershipPolicy,
-    lost_since: BTreeMap<DiskId, Duration>,
+    unreachable_since: BTreeMap<DiskId, Duration>,
     behind_since: BTreeMap<DiskId, Duration>,
 }
 
 impl MembershipPlanner {
-    /// A planner that has observed nothing yet.
+    /// Creates a planner without observations.
     #[must_use]
     pub fn new(policy: MembershipPolicy) -> Self {
         MembershipPlanner { policy, ..MembershipPlanner::default() }
     }
 
-    /// What the settings require.
+    /// Returns the membership policy.
     #[must_use]
     pub fn policy(&self) -> MembershipPolicy {
         self.policy
     }
 
-    /// Records which members are lost, and which are behind, at this time.
+    /// Records which members are unreachable or behind at this time.
     pub fn observe(&mut self, now: Duration, view: MembershipView<'_>) {
-        let is_lost = |member: &Member| view.live_replica(&member.disk).is_none();
+        let is_unreachable = |member: &Member| view.live_replica(&member.disk).is_none();
         let is_behind =
             |member: &Member| view.live_replica(&member.disk).is_some_and(|live| !view.holds_epoch(live));
-        update_start_times(&mut self.lost_since, now, view, is_lost);
+        update_start_times(&mut self.unreachable_since, now, view, is_unreachable);
         update_start_times(&mut self.behind_since, now, view, is_behind);
     }
 
-    /// Whether the last change is complete: a quorum of the members, and each one that is alive, has reported that its disk
-    /// holds the state of the epoch. A member that is alive and does not get there within `catch_up` counts as lost for
-    /// this: it must not keep the others from being replaced.
+    /// Whether the last change is complete: a quorum of the members, and every live member, have reported
+    /// that the state of the epoch is on disk. Live members that are shutting down, or that stay behind for
+    /// longer than `catch_up`, are ignored in the second condition, so that they cannot block the replacement
+    /// of other members.
     #[must_use]
     pub fn is_last_change_complete(&self, now: Duration, view: MembershipView<'_>) -> bool {
         let holding = view.live_members().filter(|live| view.holds_epoch(live)).count();
@@ -56,19 +59,21 @@
         holding >= view.membership.quorum_size() && view.live_members().all(is_settled)
     }
 
-    /// Members to replace: first those that were wiped, then those that have been lost for too long.
+    /// Returns the members to replace: first those whose disks were wiped, then those that have been
+    /// unreachable for longer than the replacement time-out.
     fn failed_members<'a>(&self, now: Duration, view: MembershipView<'a>) -> Vec<&'a Member> {
         let is_overdue = |member: &Member| {
-            let since = self.lost_since.get(&member.disk);
+            let since = self.unreachable_since.get(&member.disk);
             since.is_some_and(|since| *since + self.policy.replacement_timeout() <= now)
         };
-        let lost = view.membership.members.iter().filter(|member| view.live_replica(&member.disk).is_none());
-        let (wiped, others): (Vec<_>, Vec<_>) = lost.partition(|member| view.was_wiped(member));
+        let unreachable =
+            view.membership.members.iter().filter(|member| view.live_replica(&member.disk).is_none());
+        let (wiped, others): (Vec<_>, Vec<_>) = unreachable.partition(|member| view.was_wiped(member));
         wiped.into_iter().chain(others.into_iter().filter(|member| is_overdue(member))).collect()
     }
 
-    /// The members that there should be next, for the process whose disk is `own`. None if no change is due, if another
-    /// process is the coordinator, or while the last change is not complete.
+    /// Returns the members of the next epoch, for the process whose disk is `own`. Returns `None` if no
+    /// change is due, if another process is the coordinator, or while the last change is incomplete.
     #[must_use]
     pub fn plan_change(&self, now: Duration, own: &DiskId, view: MembershipView<'_>) -> Option<Vec<Member>> {
         let is_coordinator = view.coordinator().is_some_and(|coordinator| coordinator.disk == *own);
@@ -80,7 +85,8 @@
         Some(remaining.chain(view.standby()).cloned().collect())
     }
 
-    /// The members that the next change removes; none if no change is due.
+    /// Returns the members that the next change removes, or `None` if no change is due. The list is empty if
+    /// the change only adds a member.
     fn members_to_remove<'a>(&self, now: Duration, view: MembershipView<'a>) -> Option<Vec<&'a Member>> {
         let failed = self.failed_members(now, view);
         let replaceable: Vec<&Member> = failed.iter().copied().chain(view.members_shutting_down()).collect();
@@ -89,8 +95,8 @@
             return match replaceable.first() {
                 Some(first) => Some(vec![*first]),
                 None if all_alive && view.membership.members.len() < MAX_MEMBERS => Some(Vec::new()),
-                // A member that has been lost for less comes back, or its place is free: more members than live disks
-                // would be more votes to wait for.
+                // A member that is unreachable for a shorter time either returns or is replaced later. Adding
+                // a standby in the meantime would make the quorum larger without a further live disk to vote.
                 None => None,
             };
         }
@@ -106,7 +112,7 @@
     }
 }
 
-/// Keeps since when each member has been in a state.
+/// Updates the time since when each member is in a state. Members that are not in that state are removed.
 fn update_start_times(
     since: &mut BTreeMap<DiskId, Duration>, now: Duration, view: MembershipView<'_>,
     is_in_state: impl Fn(&Member) -> bool,
--- a/crates/quorum/src/membership_manager/mod.rs
+++ b/crates/quorum/src/membership_manager/mod.rs
@@ -1,9 +1,10 @@
-//! The singleton role that keeps the membership made up of replicas that are alive: which change is due, and whether a
-//! member may shut down.
+//! The membership manager: a singleton role that replaces failed members by live replicas. Plans membership
+//! changes, and decides whether a member may shut down.
 //!
-//! One process has the role at a time ([`MembershipView::coordinator`]). Two that both take it for theirs do no harm: the
-//! change itself is a proposal, and an epoch has one membership. The coordinator goes by what each process reports of its
-//! own disk ([`ReplicaReport`]) over a connection that is alive now. Nothing here reads a clock or a socket.
+//! One process, the coordinator, has the role at a time ([`MembershipView::coordinator`]). It is safe if two
+//! processes both act as coordinator: a change is itself a proposal, and each epoch has a single membership.
+//! The coordinator relies on the reports of the processes about their own replicas ([`ReplicaReport`]),
+//! received over live connections. This module reads no clock and no socket.
 
 mod membership_planner;
 mod membership_policy;
--- a/crates/quorum/src/membership_manager/replica_report.rs
+++ b/crates/quorum/src/membership_manager/replica_report.rs
@@ -1,23 +1,24 @@
-//! What processes report of their own disks.
+//! Reports of processes about their own replicas.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Member;
 
-/// What a replica holds on its own disk. Of two, the greater one has all that was chosen in the lesser one: an epoch
-/// begins with what the one before it chose, and within an epoch versions only rise.
+/// The epoch and version that a replica has on disk. A replica with greater progress contains every version
+/// chosen up to a smaller progress: an epoch starts with the value chosen in the previous one, and versions
+/// only increase within an epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaProgress {
-    /// The epoch whose state it holds.
+    /// The epoch whose state is on disk.
     pub epoch: u64,
-    /// The version of the configuration that it has accepted there, 0 before the first one.
+    /// The version of the accepted configuration, or 0 before the first one.
     pub version: u64,
 }
 
-/// What a process reports of its own disk.
+/// The report of a process about its own replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// What is synced there.
+    /// The progress that is synced to disk.
     #[serde(rename = "held")]
     pub progress: ReplicaProgress,
     /// Whether the process is shutting down.
@@ -25,17 +26,17 @@
     pub is_shutting_down: bool,
 }
 
-/// A replica whose process is alive, and what that process has reported of it.
+/// A replica whose process is alive, and the last report of that process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveReplica {
-    /// The disk and where its process is reached.
+    /// The disk of the replica and the address of its process.
     pub member: Member,
-    /// None: its process has not reported yet.
+    /// The last report, or `None` if the process has not reported yet.
     pub report: Option<ReplicaReport>,
 }
 
 impl LiveReplica {
-    /// Whether its process has reported that it is shutting down.
+    /// Whether the process has reported that it is shutting down.
     pub(crate) fn is_shutting_down(&self) -> bool {
         self.report.is_some_and(|report| report.is_shutting_down)
     }
--- a/crates/quorum/src/membership_manager/shutdown.rs
+++ b/crates/quorum/src/membership_manager/shutdown.rs
@@ -1,13 +1,15 @@
-//! Whether a member may shut down.
+//! Decides whether a process may complete its graceful shutdown.
 
 use super::{LiveReplica, MembershipPolicy, MembershipView, ReplicaProgress};
 use crate::DiskId;
 
-/// Whether a process that is shutting down may end now. `own` is its disk, `progress` what that holds.
+/// Whether a process that is shutting down may exit. `own` is its disk, and `progress` is what is on that
+/// disk.
 ///
-/// The process leaves the membership first where that takes nothing from the others: where another disk stands by, or
-/// where one member less bears as many failures. Elsewhere it stays a member and ends, for it may be a restart. Either way
-/// it waits until a quorum of the members that remain has reported that they hold what it holds.
+/// The process first leaves the membership if that does not weaken it: if a standby can take its place, or if
+/// the membership tolerates as many failures with one member less. Otherwise it exits as a member, since it
+/// may be restarting. In both cases it waits until a majority of the remaining members have reported at least
+/// the same progress.
 #[must_use]
 pub fn may_shut_down(
     own: &DiskId, progress: ReplicaProgress, view: MembershipView<'_>, policy: MembershipPolicy,
--- a/crates/quorum/src/message/request.rs
+++ b/crates/quorum/src/message/request.rs
@@ -1,16 +1,16 @@
-//! What a proposer requests of a replica.
+//! Requests of a proposer to a replica.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AcceptedProposal, Membership, ProposalNumber, ProposedValue};
 
-/// The value that a proposer has already, so that it need not be sent to it.
+/// Identifies a value that the proposer already has, so that the replica need not send it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, ProposalNumber)", into = "(u64, ProposalNumber)")]
 pub struct KnownValue {
-    /// The epoch in which it was accepted.
+    /// The epoch in which the value was accepted.
     pub epoch: u64,
-    /// The number under which it was accepted.
+    /// The proposal number with which the value was accepted.
     pub number: ProposalNumber,
 }
 
@@ -26,48 +26,49 @@
     }
 }
 
-/// What a proposer requests of a replica.
+/// A request of a proposer to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Request {
-    /// Return what is accepted, with the value unless the proposer has it.
+    /// Return the accepted proposal. Its value is omitted if the proposer already has it.
     Read {
-        /// The value that the proposer has.
+        /// The value that the proposer already has.
         known: Option<KnownValue>,
     },
-    /// Phase 1: promise to accept nothing below this number; the response brings what was accepted.
+    /// Phase 1: promise to accept no proposal with a lower number, and return the accepted proposal.
     Prepare {
-        /// The epoch that the number belongs to.
+        /// The epoch of the proposal number.
         epoch: u64,
-        /// The number to promise.
+        /// The proposal number to promise.
         #[serde(rename = "ballot")]
         number: ProposalNumber,
-        /// Number of the value that the proposer has.
+        /// The number of the accepted proposal whose value the proposer already has.
         known: Option<ProposalNumber>,
     },
-    /// Phase 2: accept this value.
+    /// Phase 2: accept this proposal.
     Accept {
-        /// The epoch that the number belongs to.
+        /// The epoch of the proposal number.
         epoch: u64,
-        /// The number of the proposal.
+        /// The proposal number.
         #[serde(rename = "ballot")]
         number: ProposalNumber,
-        /// The value.
+        /// The proposed value.
         #[serde(rename = "proposal")]
         value: ProposedValue,
-        /// Seals the epoch if the proposal is chosen: the members of the next epoch.
+        /// The membership of the next epoch. If set, the proposal seals the epoch once it is chosen.
         #[serde(rename = "next")]
         next_membership: Option<Membership>,
     },
-    /// Enter an epoch with its state: what a replica of that epoch has accepted, or what the epoch begins with.
+    /// Enter an epoch with this state: a proposal accepted by a replica of that epoch, or the initial state
+    /// of the epoch.
     Install {
-        /// The epoch's members.
+        /// The membership of the epoch.
         membership: Membership,
-        /// Its state.
+        /// The state to install.
         accepted: AcceptedProposal,
     },
-    /// Take over a proposal that is known to be chosen in an epoch that the replica is in.
+    /// Store a proposal that is known to be chosen in the current epoch of the replica.
     Learn {
-        /// The epoch.
+        /// The epoch in which the proposal was chosen.
         epoch: u64,
         /// The chosen proposal.
         accepted: AcceptedProposal,
--- a/crates/quorum/src/message/response.rs
+++ b/crates/quorum/src/message/response.rs
@@ -1,4 +1,4 @@
-//! What a replica responds.
+//! Responses of a replica to a proposer.
 
 use std::sync::Arc;
 
@@ -6,30 +6,30 @@
 
 use crate::{AcceptedProposal, DiskId, Membership, ProposalNumber, RegisterValue, Rejection};
 
-/// A replica's state after a request. It may be sent only once all that it rests on is on disk.
+/// The state of a replica after a request. May be sent only after that state is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Response {
-    /// Why the replica did not do as requested; none if it did.
+    /// Reason for which the replica rejected the request, or `None` if it did as requested.
     #[serde(rename = "refusal")]
     pub rejection: Option<Rejection>,
-    /// The replica's disk.
+    /// Identifier of the replica's disk.
     pub disk: DiskId,
-    /// The epoch whose state the replica holds, and its members.
+    /// The current epoch of the replica, and its members.
     pub membership: Membership,
-    /// The highest number that the replica has promised in that epoch.
+    /// The highest proposal number that the replica has promised in that epoch.
     pub promised: ProposalNumber,
-    /// The number of the proposal that it has accepted.
+    /// The number of the proposal that the replica has accepted.
     #[serde(rename = "ballot")]
     pub accepted_number: ProposalNumber,
-    /// The membership that this accepted proposal names as the next one.
+    /// The next membership of the accepted proposal, if that seals the epoch.
     #[serde(rename = "next")]
     pub next_membership: Option<Membership>,
-    /// The accepted value, where the proposer does not have it.
+    /// The accepted value, unless the proposer already has it or the request does not ask for it.
     pub value: Option<Arc<RegisterValue>>,
 }
 
 impl Response {
-    /// What the replica has accepted, where the response carries its value.
+    /// Returns the accepted proposal, if the response carries its value.
     #[must_use]
     pub fn accepted(&self) -> Option<AcceptedProposal> {
         let value = self.value.clone()?;
--- a/crates/quorum/src/operation/mod.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -1,7 +1,8 @@
-//! The proposer: a write, a read or a membership change, from its first request to its outcome.
+//! The proposer: runs a write, a read or a membership change from its first request to its outcome.
 //!
-//! An [`Operation`] returns the requests to send ([`Step`]) and is given the responses. Whoever carries it bounds its
-//! time and calls [`Operation::retry`] by a [`RetrySchedule`](crate::RetrySchedule).
+//! An [`Operation`] returns the requests to send ([`Step`]) and handles the responses. The caller enforces
+//! the time-out of the operation, and calls [`Operation::retry`] according to a
+//! [`RetrySchedule`](crate::RetrySchedule).
 
 mod outcome;
 mod phase;
@@ -21,39 +22,43 @@
 pub use outcome::{ChosenProposal, Outcome};
 pub use step::{AddressedRequest, Step};
 
-/// Reads that find different values at a quorum before one proposes the newest of them: a write that is in progress mostly
-/// ends by itself, and a proposal would hold it up.
+/// Number of reads that find different values at a quorum before the operation proposes the newest value
+/// itself. A write in progress usually completes in the meantime, and a proposal would delay it.
 const MAX_INCONCLUSIVE_READS: u32 = 3;
 
-/// The proposal with the highest number that an operation has met, beside what a quorum has responded.
+/// The proposal with the highest number that an operation has received, compared with the responses of a
+/// quorum.
 struct NewestProposal {
     proposal: AcceptedProposal,
-    /// Every response of this phase has it: it is chosen.
+    /// Whether every response of this phase contains this proposal, so that it is chosen.
     is_chosen: bool,
 }
 
-/// An operation. Its requests may be lost, delivered twice and responded to in any order.
+/// A write, a read or a membership change. Its requests may be lost or delivered more than once, and the
+/// responses may arrive in any order.
 ///
-/// Invariants: a number is used for one proposal only, for its round rises with each [`Operation::prepare`] and the id is
-/// the operation's own; the phase changes in [`Operation::enter_phase`] alone.
+/// Invariants: a proposal number is used for one proposal only, because its round increases with each
+/// [`Operation::prepare`] and it contains the identifier of the operation; only [`Operation::enter_phase`]
+/// changes the phase.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Operation {
-    /// Unique over all operations of all processes and incarnations: its proposal numbers are nobody else's.
+    /// Identifier, unique across all operations of all processes and incarnations, so that proposal numbers
+    /// are unique.
     id: Arc<str>,
     goal: Goal,
     membership: Membership,
     phase: Phase,
-    /// Members that have done as this phase requests.
+    /// Responses of the members that granted the request of this phase.
     responses: BTreeMap<DiskId, Response>,
-    /// Members that have promised a higher number in this phase.
+    /// Members that rejected the request of this phase because they have promised a higher number.
     rejected_by: BTreeSet<DiskId>,
-    /// Members that hold the state of an earlier epoch, and that epoch's members.
+    /// Members that are in an earlier epoch, each with the membership of that epoch.
     members_behind: BTreeMap<DiskId, Membership>,
-    /// The proposal with the highest number that was met in this epoch.
+    /// The accepted proposal with the highest number received in this epoch.
     newest: Option<AcceptedProposal>,
     round: u64,
     inconclusive_reads: u32,
-    /// Whether this phase has sent its requests again before.
+    /// Whether the requests of this phase have been resent.
     has_retried: bool,
 }
 
@@ -74,25 +79,26 @@
         }
     }
 
-    /// To have a configuration chosen under its version, if it is new.
+    /// Creates an operation that has a configuration chosen, if its version is new.
     #[must_use]
     pub fn write(id: Arc<str>, membership: Membership, config: VersionedConfig) -> Self {
         Operation::new(id, membership, Goal::Write(config))
     }
 
-    /// To find what is chosen.
+    /// Creates an operation that returns the chosen value.
     #[must_use]
     pub fn read(id: Arc<str>, membership: Membership) -> Self {
         Operation::new(id, membership, Goal::Read)
     }
 
-    /// To have these members in the epoch after the one that it begins in.
+    /// Creates an operation that makes `next` the members of the epoch after the one in which it starts.
     #[must_use]
     pub fn change_membership(id: Arc<str>, membership: Membership, next: Vec<Member>) -> Self {
         Operation::new(id, membership, Goal::ChangeMembership(next))
     }
 
-    /// Lets it begin with what the proposer's own replica holds, which need not be sent to it.
+    /// Initializes the operation with the state of the proposer's own replica, which then need not be sent to
+    /// it.
     #[must_use]
     pub fn with_local_state(mut self, local: &ReplicaState) -> Self {
         if local.membership == self.membership && local.membership.contains(&local.disk) {
@@ -102,19 +108,19 @@
         self
     }
 
-    /// The newest membership that it knows.
+    /// Returns the newest membership known to the operation.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Whether it has ended.
+    /// Whether the operation is complete.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Begins in the membership that it knows.
+    /// Starts the operation in the known membership.
     pub fn start(&mut self) -> Step {
         match self.goal {
             Goal::Read if self.inconclusive_reads < MAX_INCONCLUSIVE_READS => {
@@ -124,12 +130,13 @@
         }
     }
 
-    /// Sends again what this phase requests of members that have not responded, or starts anew where other proposers were
-    /// first.
+    /// Resends the requests of this phase to members that have not granted them, or restarts the operation if
+    /// other proposers prevent it from completing.
     pub fn retry(&mut self) -> Step {
         let needs_proposal =
             self.phase == Phase::Reading && self.inconclusive_reads >= MAX_INCONCLUSIVE_READS;
-        // While enough other members may still do as requested, a rejection by some is waited out once.
+        // Rejections by a minority do not cause a restart on the first retry, since a quorum of the others
+        // may still grant the request.
         let has_retried = std::mem::replace(&mut self.has_retried, true);
         let is_still_rejected = has_retried && !self.rejected_by.is_empty();
         if needs_proposal || self.is_quorum_unreachable() || is_still_rejected {
@@ -138,31 +145,32 @@
         Step::send(self.unanswered_requests().collect())
     }
 
-    /// What this phase requests of the replica at an address, if that has not responded.
+    /// Returns the request of this phase to the replica at an address, unless the replica has granted it.
     #[must_use]
     pub fn unanswered_requests_at(&self, address: &Address) -> Vec<AddressedRequest> {
         self.unanswered_requests().filter(|request| request.member.address == *address).collect()
     }
 
-    /// What this phase requests of those that have not responded.
+    /// Returns the requests of this phase that have not been granted.
     fn unanswered_requests(&self) -> impl Iterator<Item = AddressedRequest> {
         let has_responded = |request: &AddressedRequest| self.responses.contains_key(&request.member.disk);
         self.requests().into_iter().filter(move |request| !has_responded(request))
     }
 
-    /// Whether so many members have rejected this phase that no quorum is left to do as requested.
+    /// Whether so many members have rejected the request of this phase that no quorum can grant it.
     fn is_quorum_unreachable(&self) -> bool {
         let recipients = self.recipients();
         self.rejected_by.len() + recipients.quorum_size() > recipients.members.len()
     }
 
+    /// Starts phase 1 of the protocol with a new proposal number.
     fn prepare(&mut self) -> Step {
         self.round += 1;
         let number = ProposalNumber { round: self.round, operation: self.id.clone() };
         self.enter_phase(Phase::Preparing(number))
     }
 
-    /// The one place where the phase changes.
+    /// Changes the phase and returns its requests. No other method changes the phase.
     fn enter_phase(&mut self, phase: Phase) -> Step {
         self.responses.clear();
         self.rejected_by.clear();
@@ -171,7 +179,7 @@
         Step::send(self.requests())
     }
 
-    /// The members that this phase sends its requests to.
+    /// Returns the membership to which this phase sends its requests.
     fn recipients(&self) -> &Membership {
         match &self.phase {
             Phase::Installing(next, _) => next,
@@ -179,7 +187,7 @@
         }
     }
 
-    /// What this phase requests of each member.
+    /// Returns the requests of this phase, one for each recipient.
     fn requests(&self) -> Vec<AddressedRequest> {
         let Some(request) = self.request() else { return Vec::new() };
         let to_member =
@@ -210,7 +218,7 @@
         }
     }
 
-    /// Goes on in another epoch.
+    /// Restarts the operation in another epoch.
     fn restart_in(&mut self, membership: Membership, newest: Option<AcceptedProposal>) -> Step {
         self.membership = membership;
         self.newest = newest;
@@ -219,7 +227,8 @@
         self.start()
     }
 
-    /// The epoch that this operation works in has ended.
+    /// Handles the end of the current epoch: completes a membership change, and restarts other operations in
+    /// the next epoch.
     fn handle_epoch_end(&mut self, next: Membership, newest: Option<AcceptedProposal>) -> Step {
         if matches!(self.goal, Goal::ChangeMembership(_)) {
             self.membership = next.clone();
@@ -233,7 +242,7 @@
         Step::finish(outcome)
     }
 
-    /// Whether a response to this request belongs to the phase that the operation is in.
+    /// Whether a request was sent in the current phase.
     fn matches_phase(&self, request: &Request) -> bool {
         match (&self.phase, request) {
             (Phase::Reading, Request::Read { .. }) => true,
@@ -244,7 +253,7 @@
         }
     }
 
-    /// A replica has responded to this request of the operation's.
+    /// Handles the response of a replica to a request of this operation.
     pub fn handle(&mut self, request: &Request, response: Response) -> Step {
         if self.is_done() {
             return Step::default();
@@ -270,7 +279,8 @@
         }
     }
 
-    /// Keeps the proposal with the highest number: to propose it again, and for members that are behind.
+    /// Keeps the accepted proposal with the highest number, to propose it again and to install it on members
+    /// that are behind.
     fn record_newest(&mut self, response: &Response) {
         if response.membership.epoch != self.membership.epoch {
             return;
@@ -281,8 +291,9 @@
         }
     }
 
-    /// A response to a request of an earlier phase. It counts where it says that a member that was behind now holds the
-    /// state of this epoch: that member is sent what the others were.
+    /// Handles a response to a request of an earlier phase. If it confirms that a member that was behind has
+    /// installed the state of this epoch, that member is sent the request of the current phase. Other late
+    /// responses are ignored.
     fn handle_late_response(&mut self, request: &Request, response: &Response) -> Step {
         let installed =
             matches!(request, Request::Install { membership, .. } if *membership == self.membership);
@@ -297,8 +308,9 @@
         Step::send(vec![AddressedRequest { member, request }])
     }
 
-    /// A member holds the state of an earlier epoch, and has no vote in this one. It is sent what a replica of this epoch
-    /// has accepted. While none is known, the epoch before this one is where that can be found.
+    /// Handles a response of a member that is in an earlier epoch and therefore cannot vote in this one.
+    /// Sends it a proposal that was accepted in this epoch. If no such proposal is known and a quorum is
+    /// behind, restarts the operation in the earlier epoch, whose members have the state.
     fn handle_member_behind(&mut self, response: Response) -> Step {
         if matches!(self.phase, Phase::Installing(..)) {
             return Step::default();
@@ -317,6 +329,7 @@
         }
     }
 
+    /// Returns the requests that install the newest accepted proposal on members that are behind.
     fn installs_for_members_behind(&self) -> Vec<AddressedRequest> {
         let Some(newest) = &self.newest else { return Vec::new() };
         let request = Request::Install { membership: self.membership.clone(), accepted: newest.clone() };
@@ -324,6 +337,8 @@
         members.map(|member| AddressedRequest { member: member.clone(), request: request.clone() }).collect()
     }
 
+    /// Handles a rejected request: sends the complete value to a member that needs it, and reports contention
+    /// once no quorum can grant the request.
     fn handle_rejection(&mut self, rejection: Rejection, response: &Response) -> Step {
         match (rejection, &self.phase) {
             (Rejection::NeedsCompleteValue, Phase::Accepting(pending)) => {
@@ -345,6 +360,7 @@
         }
     }
 
+    /// Handles a granted request, and ends the phase once a quorum has granted it.
     fn handle_granted(&mut self, response: Response) -> Step {
         let installs = self.installs_for_members_behind();
         self.responses.insert(response.disk.clone(), response);
@@ -358,7 +374,7 @@
         step
     }
 
-    /// A quorum has done what this phase requests.
+    /// Handles the end of a phase, after a quorum has granted its request.
     fn handle_quorum(&mut self) -> Step {
         match self.phase.clone() {
             Phase::Reading => self.finish_reading(),
@@ -369,19 +385,21 @@
         }
     }
 
-    /// The proposal with the highest number that was met. One that only an earlier response named may be taken as well: it
-    /// follows from all that was chosen below its number, and what was chosen above it would stand in one of the responses
-    /// ("Paxos Made Simple", condition P2c).
+    /// Returns the received proposal with the highest number. It may come from an earlier response only: its
+    /// value is based on every proposal chosen with a lower number, and a proposal chosen with a higher
+    /// number would be in one of the responses ("Paxos Made Simple", condition P2c).
     fn newest_proposal(&self) -> Option<NewestProposal> {
         let newest = self.newest.as_ref()?;
         debug_assert!(
             self.responses.values().all(|response| response.accepted_number <= newest.number),
-            "each response's proposal is known"
+            "no response contains a higher number than the newest proposal"
         );
         let is_chosen = self.responses.values().all(|response| response.accepted_number == newest.number);
         Some(NewestProposal { proposal: newest.clone(), is_chosen })
     }
 
+    /// Completes the read if all responses contain the same proposal, and otherwise reads again. A sealed
+    /// epoch requires a proposal.
     fn finish_reading(&mut self) -> Step {
         let Some(newest) = self.newest_proposal() else { return Step::default() };
         if newest.proposal.next_membership.is_some() {
@@ -396,6 +414,8 @@
         Step::contended()
     }
 
+    /// Proposes the value that follows from the newest accepted proposal, or completes if no proposal is
+    /// needed.
     fn finish_preparing(&mut self, number: ProposalNumber) -> Step {
         let Some(newest) = self.newest_proposal() else { return Step::default() };
         let base = newest.proposal;
@@ -416,6 +436,7 @@
         }
     }
 
+    /// Starts phase 2 of the protocol with a value based on `base`.
     fn propose(
         &mut self, number: ProposalNumber, base: &AcceptedProposal, added_config: Option<VersionedConfig>,
         next_membership: Option<Membership>,
@@ -439,10 +460,10 @@
         Step::send(self.membership.members.iter().map(to_member).collect())
     }
 
-    /// A quorum has accepted this proposal under one number: it is chosen.
+    /// Handles a chosen proposal, which a quorum has accepted.
     fn handle_chosen(&mut self, accepted: AcceptedProposal) -> Step {
         if let Some(next) = accepted.next_membership {
-            // What an epoch begins with stands below every number of it.
+            // The number of the initial state of an epoch is lower than every proposal number of that epoch.
             let initial = AcceptedProposal {
                 number: ProposalNumber::default(),
                 value: accepted.value,
@@ -454,7 +475,11 @@
         match &self.goal {
             Goal::Write(config) => {
                 let status = status_in(&chosen.accepted.value, config);
-                debug_assert_ne!(status, SubmissionStatus::New, "a write ends with its version chosen");
+                debug_assert_ne!(
+                    status,
+                    SubmissionStatus::New,
+                    "a write completes only after its version is no longer new"
+                );
                 self.finish(Outcome::Written(status, chosen))
             }
             Goal::Read => self.finish(Outcome::Read(chosen)),
--- a/crates/quorum/src/operation/outcome.rs
+++ b/crates/quorum/src/operation/outcome.rs
@@ -1,31 +1,34 @@
-//! How an operation ends.
+//! Outcomes of operations.
 
 use crate::{AcceptedProposal, Membership, SubmissionStatus, VersionedConfig};
 
-/// A proposal that a quorum of an epoch's members has accepted under one number.
+/// A proposal that a quorum of an epoch's members has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ChosenProposal {
-    /// The epoch that it was chosen in.
+    /// The epoch in which the proposal was chosen.
     pub epoch: u64,
-    /// The value and its number.
+    /// The proposal: its number and value.
     pub accepted: AcceptedProposal,
 }
 
 impl ChosenProposal {
-    /// The configuration that the value holds.
+    /// Returns the configuration of the chosen value.
     #[must_use]
     pub fn config(&self) -> Option<&VersionedConfig> {
         self.accepted.value.config.as_ref()
     }
 }
 
-/// How an operation ended. Each rests on responses of a quorum to requests that were sent after the operation began.
+/// The outcome of an operation, based on the responses of a quorum to requests sent after the operation
+/// started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// How the configuration of a write relates to what is chosen; never [`SubmissionStatus::New`].
+    /// A write is complete: the status of its configuration, which is never [`SubmissionStatus::New`], and
+    /// the newest chosen proposal.
     Written(SubmissionStatus, ChosenProposal),
-    /// The newest chosen value.
+    /// A read is complete, and returns the newest chosen proposal.
     Read(ChosenProposal),
-    /// The membership in force after a change: the requested one, or that of the proposer that was first.
+    /// The epoch has ended, and this is the next membership: the requested one, or the one that another
+    /// proposer had chosen first.
     MembershipChanged(Membership),
 }
--- a/crates/quorum/src/operation/phase.rs
+++ b/crates/quorum/src/operation/phase.rs
@@ -1,32 +1,33 @@
-//! An operation's goal and the phase that it is in.
+//! Goal and phases of an operation.
 
 use crate::{AcceptedProposal, Member, Membership, ProposalNumber, ProposedValue, VersionedConfig};
 
-/// What an operation is to achieve.
+/// The goal of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Goal {
-    /// To have a configuration chosen, if its version is new.
+    /// Have a configuration chosen, if its version is new.
     Write(VersionedConfig),
-    /// To find what is chosen.
+    /// Return the chosen value.
     Read,
-    /// To seal the epoch that the operation begins in, with these members in the next one.
+    /// Seal the epoch in which the operation starts. The next epoch has these members.
     ChangeMembership(Vec<Member>),
 }
 
-/// What an operation proposes under its number.
+/// A proposal that an operation has sent to the members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingProposal {
-    /// The number of the accepted proposal that this one follows from.
+    /// The number of the accepted proposal on whose value this proposal is based.
     pub(crate) base: ProposalNumber,
-    /// The proposal as a replica will have accepted it.
+    /// The proposal in the form in which a replica stores it once accepted.
     pub(crate) proposal: AcceptedProposal,
-    /// The configuration that it adds to its base.
+    /// The configuration added to the base value, if any.
     pub(crate) added_config: Option<VersionedConfig>,
 }
 
 impl PendingProposal {
-    /// The value as it is sent to a replica that has accepted this number: complete where that is not the base. None: what
-    /// the replica has accepted is not known, and the base is assumed.
+    /// Returns the value to send to a replica that has accepted `accepted_number`: the complete value if that
+    /// number is not the base, otherwise only the difference. With `None`, the replica is assumed to have
+    /// accepted the base.
     pub(crate) fn value_for(&self, accepted_number: Option<&ProposalNumber>) -> ProposedValue {
         if accepted_number.is_some_and(|number| *number != self.base) {
             return ProposedValue::Complete(self.proposal.value.clone());
@@ -39,17 +40,17 @@
     }
 }
 
-/// The phase that an operation is in, with what it requests of every member.
+/// The phase of an operation, with the data of its requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Phase {
-    /// Requests what is accepted, without a proposal.
+    /// Reading what the members have accepted, without a proposal.
     Reading,
-    /// Phase 1 of the protocol, under this number.
+    /// Phase 1 of the protocol, with this proposal number.
     Preparing(ProposalNumber),
     /// Phase 2 of the protocol.
     Accepting(PendingProposal),
-    /// The epoch is sealed: its value is installed on the next members.
+    /// The epoch is sealed, and its value is being installed on the members of the next epoch.
     Installing(Membership, AcceptedProposal),
-    /// The operation has ended.
+    /// The operation is complete.
     Done,
 }
--- a/crates/quorum/src/operation/step.rs
+++ b/crates/quorum/src/operation/step.rs
@@ -1,25 +1,26 @@
-//! What an operation wants done next.
+//! Steps of an operation.
 
 use super::Outcome;
 use crate::{Member, Request};
 
-/// A request and the member that it is for.
+/// A request and its recipient.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
-    /// The member that it is for.
+    /// The recipient.
     pub member: Member,
-    /// What is requested.
+    /// The request.
     pub request: Request,
 }
 
-/// What an operation wants done next.
+/// The next step of an operation, to be carried out by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// What to send.
+    /// Requests to send.
     pub requests: Vec<AddressedRequest>,
-    /// The end of the operation.
+    /// The outcome, if the operation is complete.
     pub outcome: Option<Outcome>,
-    /// Other proposers are at work: [`Operation::retry`](super::Operation::retry) is to be called after
+    /// Whether the operation contends with other proposers. The caller then calls
+    /// [`Operation::retry`](super::Operation::retry) after
     /// [`RetrySchedule::contention_delay`](crate::RetrySchedule::contention_delay).
     pub is_contended: bool,
 }
--- a/crates/quorum/src/proposal/accepted_proposal.rs
+++ b/crates/quorum/src/proposal/accepted_proposal.rs
@@ -1,4 +1,4 @@
-//! A proposal as a replica has accepted it.
+//! A proposal in the form in which a replica stores it.
 
 use std::sync::Arc;
 
@@ -6,15 +6,16 @@
 
 use crate::{Membership, ProposalNumber, RegisterValue};
 
-/// The proposal with the highest number that a replica has accepted in an epoch, or the state that the epoch began with.
+/// The proposal with the highest number that a replica has accepted in an epoch, or the initial state of the
+/// epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptedProposal {
-    /// The number of the proposal; the default for the state that an epoch begins with.
+    /// The proposal number. The initial state of an epoch has the default number.
     #[serde(rename = "ballot")]
     pub number: ProposalNumber,
-    /// What the register holds if the proposal is chosen.
+    /// The value of the register if the proposal is chosen.
     pub value: Arc<RegisterValue>,
-    /// Seals the epoch if the proposal is chosen: the members of the next epoch.
+    /// The membership of the next epoch. If set, the proposal seals the epoch once it is chosen.
     #[serde(rename = "next")]
     pub next_membership: Option<Membership>,
 }
--- a/crates/quorum/src/proposal/mod.rs
+++ b/crates/quorum/src/proposal/mod.rs
@@ -1,4 +1,4 @@
-//! Proposals: the number that orders them, their value as it is sent, and as a replica has accepted it.
+//! Proposals: their numbers, their values as sent, and their stored form.
 
 mod accepted_proposal;
 mod proposal_number;
--- a/crates/quorum/src/proposal/proposal_number.rs
+++ b/crates/quorum/src/proposal/proposal_number.rs
@@ -1,16 +1,17 @@
-//! The number that orders proposals.
+//! Proposal numbers.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Orders proposals within an epoch ("proposal number" in "Paxos Made Simple", "ballot" elsewhere). No two operations share
-/// one: each adds its own id. The default stands below every number that an operation draws.
+/// Orders the proposals of an epoch ("proposal number" in "Paxos Made Simple", also known as "ballot"). No
+/// two operations use the same number, since each number contains the identifier of its operation. The
+/// default is lower than every number of an operation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalNumber {
-    /// Above all rounds that the proposer has seen.
+    /// Round number, higher than every round that the proposer has observed.
     pub round: u64,
-    /// The id of the operation that proposes, unique over all processes and their incarnations.
+    /// Identifier of the proposing operation, unique across all processes and incarnations.
     #[serde(rename = "by")]
     pub operation: Arc<str>,
 }
--- a/crates/quorum/src/proposal/proposed_value.rs
+++ b/crates/quorum/src/proposal/proposed_value.rs
@@ -1,4 +1,4 @@
-//! A proposed value as it is sent to a replica.
+//! The form in which a proposed value is sent to a replica.
 
 use std::sync::Arc;
 
@@ -6,24 +6,25 @@
 
 use crate::{ProposalNumber, RegisterValue, VersionedConfig};
 
-/// A proposed value, as its difference from what the replica has accepted where that is known to the proposer.
+/// A proposed value, sent as a difference from the value that the replica has accepted if the proposer knows
+/// that one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ProposedValue {
     /// The complete value.
     #[serde(rename = "Whole")]
     Complete(Arc<RegisterValue>),
-    /// The value accepted under that number, unchanged.
+    /// The value that the replica accepted with number `base`, unchanged.
     #[serde(rename = "Same")]
     Unchanged {
-        /// The number under which the replica has to have accepted it.
+        /// The number that the accepted proposal of the replica must have.
         base: ProposalNumber,
     },
-    /// The value accepted under that number, with one configuration added.
+    /// The value that the replica accepted with number `base`, with one configuration added.
     #[serde(rename = "With")]
     Extended {
-        /// The number under which the replica has to have accepted it.
+        /// The number that the accepted proposal of the replica must have.
         base: ProposalNumber,
-        /// The configuration that is new.
+        /// The configuration to add.
         config: VersionedConfig,
     },
 }
--- a/crates/quorum/src/register_value/mod.rs
+++ b/crates/quorum/src/register_value/mod.rs
@@ -1,8 +1,8 @@
-//! What the register holds: the newest configuration, and the content that each recent version was chosen with.
+//! The value of the register: the newest configuration, and the digests of the recently chosen versions.
 
 mod chosen_versions;
 mod content_digest;
-#[allow(clippy::module_inception, reason = "a type a file, named after it")]
+#[allow(clippy::module_inception, reason = "each file defines one type and is named after it")]
 mod register_value;
 mod submission_status;
 mod versioned_config;
--- a/crates/quorum/src/register_value/register_value.rs
+++ b/crates/quorum/src/register_value/register_value.rs
@@ -4,24 +4,24 @@
 
 use crate::{ChosenVersions, ContentDigest, SubmissionStatus, VersionedConfig};
 
-/// What the register holds after some number of choices.
+/// The value of the register: the newest configuration and the history of chosen versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegisterValue {
     /// The configuration with the highest version.
     pub config: Option<VersionedConfig>,
-    /// The content that the versions so far were chosen with.
+    /// The digests of the recently chosen versions.
     #[serde(rename = "decided")]
     pub chosen_versions: ChosenVersions,
 }
 
 impl RegisterValue {
-    /// The highest version; none before the first configuration.
+    /// Returns the version of the newest configuration, or `None` before the first one.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.config.as_ref().map(|config| config.version)
     }
 
-    /// How a submission relates to this value.
+    /// Returns how a submitted configuration relates to this value.
     #[must_use]
     pub fn status_of(&self, version: u64, digest: ContentDigest) -> SubmissionStatus {
         if self.version().is_none_or(|highest| highest < version) {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The value after a submission that is [`SubmissionStatus::New`] to this one.
+    /// Returns this value with a configuration added. The status of the configuration must be
+    /// [`SubmissionStatus::New`].
     #[must_use]
     pub fn with_config(&self, config: &VersionedConfig) -> RegisterValue {
         debug_assert_eq!(self.status_of(config.version, config.digest), SubmissionStatus::New);
--- a/crates/quorum/src/register_value/submission_status.rs
+++ b/crates/quorum/src/register_value/submission_status.rs
@@ -1,16 +1,16 @@
-//! How a submitted configuration relates to what was chosen.
+//! Status of a submitted configuration.
 
-/// How a submitted configuration relates to what was chosen.
+/// How a submitted configuration relates to the chosen versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SubmissionStatus {
-    /// Its version is above all that were chosen.
+    /// Its version is higher than every chosen version.
     New,
-    /// It was chosen: this version with this content.
+    /// This version was chosen with the same content.
     Chosen,
-    /// Its version was chosen with other content.
+    /// This version was chosen with different content.
     Conflict,
-    /// Its version was never chosen, and a higher one is.
+    /// This version was never chosen, but a higher one was.
     Superseded,
-    /// Its version is so old that the content it was chosen with, if it was, is forgotten.
+    /// The version is so old that the history no longer records whether it was chosen, or with which content.
     Forgotten,
 }
--- a/crates/quorum/src/register_value/versioned_config.rs
+++ b/crates/quorum/src/register_value/versioned_config.rs
@@ -1,4 +1,4 @@
-//! A configuration under its version.
+//! A configuration and its version.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 
 use crate::ContentDigest;
 
-/// A configuration under its version.
+/// A configuration submitted by an operator, with its version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionedConfig {
-    /// The operator's number; the highest is in force.
+    /// Version number assigned by the operator. The configuration with the highest version is in force.
     pub version: u64,
-    /// Of the submission as it came, before compression.
+    /// Digest of the submitted bytes before compression.
     pub digest: ContentDigest,
-    /// The submission, compressed and encoded as text.
+    /// The submitted configuration, compressed and encoded as text.
     #[serde(rename = "text")]
     pub compressed_text: Arc<str>,
 }
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The acceptor of the protocol: what one disk has promised and accepted.
+//! The acceptor of the protocol.
 
 mod replica_state;
 
@@ -11,27 +11,28 @@
 
 pub use replica_state::ReplicaState;
 
-/// A replica: the acceptor of "Paxos Made Simple", and a learner.
+/// A replica: an acceptor and a learner, as in "Paxos Made Simple".
 ///
-/// Invariants, each kept by the one function that changes it: within an epoch the promised number only rises
-/// ([`Replica::promise`]) and so does the accepted one ([`Replica::set_accepted`]); the epoch only rises and comes with its
-/// state ([`Replica::install`]).
+/// Invariants: within an epoch, the promised number and the accepted number only increase (see
+/// [`Replica::promise`] and [`Replica::set_accepted`]); the epoch only increases, and its state is installed
+/// with it (see [`Replica::install`]).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Replica {
     state: ReplicaState,
 }
 
-/// The result of a request.
+/// The result of handling a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandledRequest {
-    /// May be sent only once the state is on disk, if it has changed.
+    /// The response. If the state has changed, it may be sent only after the state is on disk.
     pub response: Response,
-    /// Whether the state has changed.
+    /// Whether the request changed the state of the replica.
     pub state_changed: bool,
 }
 
 impl Replica {
-    /// An empty disk under an id of its own. It holds the empty state of the first epoch, or of none.
+    /// Creates a replica for an empty disk with a new identifier. `membership` is that of the first epoch, or
+    /// of epoch 0 if the replica waits to become a member.
     #[must_use]
     pub fn empty(disk: DiskId, membership: Membership) -> Self {
         let promised = ProposalNumber::default();
@@ -39,31 +40,31 @@
         Replica { state: ReplicaState { disk, membership, promised, accepted } }
     }
 
-    /// A replica as its disk has it.
+    /// Restores a replica from its persistent state.
     #[must_use]
     pub fn from_state(state: ReplicaState) -> Self {
         Replica { state }
     }
 
-    /// What has to be on disk.
+    /// Returns the persistent state.
     #[must_use]
     pub fn state(&self) -> &ReplicaState {
         &self.state
     }
 
-    /// The configuration that it has accepted; it need not be chosen.
+    /// Returns the configuration that the replica has accepted, whether or not it is chosen.
     #[must_use]
     pub fn accepted_config(&self) -> Option<&VersionedConfig> {
         self.state.accepted.value.config.as_ref()
     }
 
-    /// Whether it votes in the epoch whose state it holds.
+    /// Whether the replica is a member of its current epoch.
     #[must_use]
     pub fn is_voter(&self) -> bool {
         self.state.membership.contains(&self.state.disk)
     }
 
-    /// Handles a request.
+    /// Handles a request of a proposer.
     pub fn handle(&mut self, request: &Request) -> HandledRequest {
         let epoch_before = self.state.membership.epoch;
         let promised_before = self.state.promised.clone();
@@ -100,7 +101,7 @@
         &self.state.accepted.number
     }
 
-    /// The value, where it is requested and the proposer does not have it.
+    /// Returns the accepted value, if the request asks for it and the proposer does not have it.
     fn value_for(&self, request: &Request) -> Option<Arc<RegisterValue>> {
         let own_epoch = self.state.membership.epoch;
         let is_known = match request {
@@ -115,7 +116,8 @@
         (!is_known).then(|| self.state.accepted.value.clone())
     }
 
-    /// Its vote counts only in the epoch whose state it holds, and only under the id that its disk has now.
+    /// Checks that the replica may vote: only in its current epoch, and only if its current disk identifier
+    /// is a member.
     fn check_voter(&self, epoch: u64) -> Result<(), Rejection> {
         if epoch != self.state.membership.epoch {
             return Err(Rejection::EpochMismatch);
@@ -131,7 +133,8 @@
         self.promise(number)
     }
 
-    /// The one place where a number is promised: the promise only rises.
+    /// Promises a number. No other method promises one within an epoch, so that the promised number only
+    /// increases.
     fn promise(&mut self, number: &ProposalNumber) -> Result<(), Rejection> {
         if *number < self.state.promised {
             return Err(Rejection::HigherNumberPromised);
@@ -162,7 +165,8 @@
         Ok(())
     }
 
-    /// A proposed value, completed with what this replica has accepted.
+    /// Returns the complete proposed value. A difference is applied to the value that this replica has
+    /// accepted.
     fn complete_value(&self, proposed: &ProposedValue) -> Result<Arc<RegisterValue>, Rejection> {
         match proposed {
             ProposedValue::Complete(value) => Ok(value.clone()),
@@ -174,7 +178,7 @@
         }
     }
 
-    /// The value that was accepted under a number.
+    /// Returns the accepted value, if it was accepted with this number.
     fn value_accepted_under(&self, number: &ProposalNumber) -> Result<&Arc<RegisterValue>, Rejection> {
         if number != self.accepted_number() {
             return Err(Rejection::NeedsCompleteValue);
@@ -182,13 +186,14 @@
         Ok(&self.state.accepted.value)
     }
 
-    /// The one place where the accepted proposal changes within an epoch: its number only rises.
+    /// Sets the accepted proposal. No other method changes it within an epoch, so that its number only
+    /// increases.
     fn set_accepted(&mut self, accepted: AcceptedProposal) {
-        debug_assert!(accepted.number > *self.accepted_number(), "the accepted number only rises");
+        debug_assert!(accepted.number > *self.accepted_number(), "the accepted number only increases");
         self.state.accepted = accepted;
     }
 
-    /// The one place where the epoch changes: it only rises, and comes with its state.
+    /// Enters an epoch with its state. No other method changes the epoch, so that it only increases.
     fn install(&mut self, membership: &Membership, accepted: &AcceptedProposal) -> Result<(), Rejection> {
         if !membership.contains(&self.state.disk) {
             return Err(Rejection::NotAMember);
@@ -201,7 +206,8 @@
         Ok(())
     }
 
-    /// A chosen proposal may be taken over whatever was promised: every later proposal follows from it.
+    /// Stores a chosen proposal. This is allowed regardless of the promised number, because every proposal
+    /// with a higher number is based on the chosen one.
     fn learn(&mut self, epoch: u64, accepted: &AcceptedProposal) -> Result<(), Rejection> {
         self.check_voter(epoch)?;
         if accepted.number > *self.accepted_number() {
--- a/crates/quorum/src/replica/replica_state.rs
+++ b/crates/quorum/src/replica/replica_state.rs
@@ -1,18 +1,18 @@
-//! What a replica keeps on its disk.
+//! Persistent state of a replica.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AcceptedProposal, DiskId, Membership, ProposalNumber};
 
-/// All that a replica keeps on its disk.
+/// The persistent state of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaState {
-    /// The disk's own id, drawn when it is empty.
+    /// Identifier of the disk, generated when the disk is empty.
     pub disk: DiskId,
-    /// The epoch whose state it holds.
+    /// The current epoch of the replica, and its members.
     pub membership: Membership,
-    /// It accepts nothing below this number.
+    /// The promised number: proposals with a lower number are rejected.
     pub promised: ProposalNumber,
-    /// What it has accepted last in this epoch.
+    /// The last proposal that the replica accepted in this epoch, or the initial state of the epoch.
     pub accepted: AcceptedProposal,
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,10 +1,12 @@
-//! Every order of events, to the end, of orders, reads and changes of the membership over a few disks: messages late,
-//! lost, repeated and in any order, proposers that go no further, disks wiped anywhere. The functions are those that
-//! run. With one guard taken out, the checker must find the run that breaks the register.
+//! Every order of events, to the end, of orders, reads and changes of the membership over a few disks:
+//! messages late, lost, repeated and in any order, proposers that go no further, disks wiped anywhere. The
+//! functions are those that run. With one guard taken out, the checker must find the run that breaks the
+//! register.
 //!
-//! A message that is never delivered is a lost one, and a proposer whose messages are not delivered has died: each
-//! state is checked, so that both need no events of their own. Left out: what a disk has not synced when its power goes
-//! (an answer leaves after the sync), clocks, and anything beyond the events and the depth of each run.
+//! A message that is never delivered is a lost one, and a proposer whose messages are not delivered has died:
+//! each state is checked, so that both need no events of their own. Left out: what a disk has not synced when
+//! its power goes (an answer leaves after the sync), clocks, and anything beyond the events and the depth of
+//! each run.
 
 #[allow(dead_code, reason = "each test uses its part")]
 mod acknowledgements;
@@ -318,8 +320,8 @@
         newest.members.iter().all(holds)
     }
 
-    /// Of each epoch, so few members would decide in it without knowing this version that no majority does. One that
-    /// has accepted the seal of its epoch decides nothing more in it.
+    /// Of each epoch, so few members would decide in it without knowing this version that no majority does.
+    /// One that has accepted the seal of its epoch decides nothing more in it.
     fn is_held(&self, version: u64) -> bool {
         let states = || self.replicas.iter().map(Replica::state);
         states().map(|s| &s.membership).all(|membership| {
@@ -579,8 +581,8 @@
 ];
 const LEFT: [Plan; 4] = [Plan::Write(1, "a"), Plan::Change(&["d0", "d1"]), Plan::Write(1, "b"), Plan::Read];
 
-/// What is explored beyond the guards: its name, the register, the depth and the least number of states in continuous
-/// integration, and the depth by hand. A depth of 99 is beyond the last event of all runs.
+/// What is explored beyond the guards: its name, the register, the depth and the least number of states in
+/// continuous integration, and the depth by hand. A depth of 99 is beyond the last event of all runs.
 fn scenarios() -> Vec<(&'static str, Register, usize, usize, usize)> {
     vec![
         ("a race", Register { tries: 1, ..Register::of(2, &RACE) }, 99, 20_000, 99),
--- a/crates/quorum/tests/schedule.rs
+++ b/crates/quorum/tests/schedule.rs
@@ -1,7 +1,8 @@
 //! Machines with disks under drawn schedules: kills and losses of power at any moment, disks wiped, machines
-//! replaced at other addresses, cuts, messages late and lost. Time is counted, nothing is waited for. What was
-//! acknowledged is read ever after, each epoch has one set, and in calm times writes go through. With rivals, operators
-//! race under one number and send old orders again, and messages come twice: each version has one text for all.
+//! replaced at other addresses, cuts, messages late and lost. Time is counted, nothing is waited for. What
+//! was acknowledged is read ever after, each epoch has one set, and in calm times writes go through. With
+//! rivals, operators race under one number and send old orders again, and messages come twice: each version
+//! has one text for all.
 
 #[allow(dead_code, reason = "each test uses its part")]
 mod acknowledgements;
@@ -173,7 +174,8 @@
             calm_since: 0,
             faults: Vec::new(),
             puts_in_calm: (0, 0),
-            // Beside rivals a change has to end within CATCH_UP, in which so many proposers lose more messages.
+            // Beside rivals a change has to end within CATCH_UP, in which so many proposers lose more
+            // messages.
             loss: [if rivals { 5 } else { 3 }, 10, 50][(seed % 3) as usize],
             keeps_name,
             broken: false,
@@ -325,7 +327,8 @@
         }
     }
 
-    /// What an operator sends: a new order, or beside rivals another text under the last number, or an old order again.
+    /// What an operator sends: a new order, or beside rivals another text under the last number, or an old
+    /// order again.
     fn order(&mut self) -> Order {
         let kind = if self.orders.is_some() { self.rng.u32(0..4) } else { 0 };
         let sent = self.orders.as_deref().unwrap_or_default();
@@ -365,8 +368,8 @@
         self.check();
     }
 
-    /// What was acknowledged is known to a member of every majority that may decide: fewer than a majority of the
-    /// members vote in the newest epoch without it.
+    /// What was acknowledged is known to a member of every majority that may decide: fewer than a majority of
+    /// the members vote in the newest epoch without it.
     fn check(&mut self) {
         let states = || self.machines.iter().map(|m| m.disk.state());
         let Some(newest) = states().map(|s| &s.membership).max_by_key(|m| m.epoch) else { return };
--- a/crates/quota/src/gateway_count.rs
+++ b/crates/quota/src/gateway_count.rs
@@ -1,9 +1,9 @@
-//! How many gateways share a budget.
+//! Number of gateways that share a budget.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which a gateway that cannot be reached keeps its share: it may be partitioned off and go on using it.
+/// Time for which an unreachable gateway keeps its share. It may be partitioned and still use that share.
 const SHARE_RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
@@ -12,15 +12,16 @@
     gateways: usize,
 }
 
-/// How many gateways share a budget: the most that were known at once of late.
+/// Number of gateways that share a budget: the maximum known at the same time within the last 30 seconds.
 #[derive(Debug, Default)]
 pub struct GatewayCount {
-    /// In falling order of gateways: a later observation of as many replaces an earlier one.
+    /// Observations in descending order of the number of gateways. A new observation replaces earlier ones
+    /// with the same number or fewer.
     observations: VecDeque<Observation>,
 }
 
 impl GatewayCount {
-    /// Records how many gateways are known now.
+    /// Records the number of gateways known at this time.
     pub fn observe(&mut self, now: Duration, gateways: usize) {
         let is_relevant = |observation: &Observation| {
             observation.observed_at + SHARE_RETENTION > now && observation.gateways > gateways
@@ -29,7 +30,7 @@
         self.observations.push_back(Observation { observed_at: now, gateways });
     }
 
-    /// How many gateways to share with, at least one.
+    /// Returns the number of gateways that share the budget, at least one.
     #[must_use]
     pub fn current(&self) -> usize {
         self.observations.iter().map(|observation| observation.gateways).max().unwrap_or(0).max(1)
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,8 @@
-//! Budgets that all gateways share, and the share of them that each may use without asking: retries at a service,
-//! connections to a server. The shares never add up to more than the budget, whoever is partitioned off from whom.
+//! Budgets shared by all gateways: retries to a service and connections to a server. Each gateway may use its
+//! share without coordination. The shares never add up to more than the budget, even during a network
+//! partition.
 //!
-//! Nothing here reads a clock or a socket: times are those since the start of the process, and are passed in.
+//! This crate reads no clock and no socket: times are passed in, relative to the start of the process.
 
 mod connection_share;
 mod gateway_count;
@@ -11,5 +12,6 @@
 pub use gateway_count::GatewayCount;
 pub use retry_budget::{RetryAllowance, RetryBudget, RetryUsage};
 
-/// Gateways counted at the least while few are known: a share of the budget that is too large cannot be taken back.
+/// Minimum number of gateways among which a budget is divided. When a gateway knows only few others, it would
+/// otherwise use too large a share, which cannot be revoked later.
 pub const MIN_GATEWAYS: usize = 8;
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -50,7 +50,8 @@
         (requests, retries)
     };
     let first = RetryBudget { ratio: 0.2, slack: 58.0, window, is_restarted: false };
-    // The former incarnation spares its part until just before its end; the next one uses all that it may at once.
+    // The former incarnation spares its part until just before its end; the next one uses all that it may at
+    // once.
     let killed = Duration::from_secs(30);
     let (mut requests, mut retries) = steady(first, Duration::ZERO, Duration::from_millis(29_500), killed);
     let again = RetryBudget { is_restarted: true, ..first };
