--- a/crates/gossip/src/directory/mod.rs
+++ b/crates/gossip/src/directory/mod.rs
@@ -250,8 +250,8 @@
             return Vec::new();
         };
         // If this process has not received a heartbeat of the new server, the apparently new one may be the
-        // older of the two. Only a previous server that has timed out or is draining has certainly terminated.
-        // Otherwise the running server itself resolves the doubt, by responding with status 421.
+        // older of the two. Only a previous server that has timed out or is draining has certainly
+        // terminated. Otherwise the running server itself resolves the doubt, by responding with status 421.
         if previous.is_available() && !self.heartbeats.is_monitored(id) {
             return Vec::new();
         }
--- a/crates/gossip/src/directory/node_table.rs
+++ b/crates/gossip/src/directory/node_table.rs
@@ -17,7 +17,7 @@
 /// connect to it, because it may restart without knowing any of them.
 const CONTROL_NODE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// The entries of processes, and the times since when processes are down.
+/// The entries of processes, and the times at which processes went down.
 #[derive(Default)]
 pub(super) struct NodeTable {
     nodes: BTreeMap<NodeName, Node>,
@@ -92,8 +92,8 @@
         self.down_since(name).is_some_and(|since| since + DEPARTED_ENTRY_RETENTION > now)
     }
 
-    /// Replaces entries that have been down for the retention time by tombstones, and removes expired
-    /// tombstones.
+    /// Replaces the entries of processes that are down by tombstones after the retention time, and removes
+    /// expired tombstones.
     pub(super) fn expire(&mut self, own: &NodeName, now: Duration) {
         let is_control_node = |name: &NodeName| self.nodes.get(name).is_some_and(|node| node.disk.is_some());
         let retention = |name: &NodeName| match is_control_node(name) {
--- a/crates/gossip/src/directory/orphans.rs
+++ b/crates/gossip/src/directory/orphans.rs
@@ -20,7 +20,7 @@
     /// Time after which an orphan has timed out: the time to switch to another control node, plus the missed
     /// heartbeats.
     timeout: Duration,
-    /// Unknown control nodes that are named by known servers, each with the time since when it is unknown.
+    /// Unknown control nodes that are named by known servers, with the time at which each was first observed.
     unknown_monitors: BTreeMap<NodeName, Duration>,
 }
 
--- a/crates/gossip/src/directory/server_table.rs
+++ b/crates/gossip/src/directory/server_table.rs
@@ -15,7 +15,7 @@
 /// [`DEPARTED_ENTRY_RETENTION`], since it gets no tombstone.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// The entries of servers, the server at each address, and the times since when servers have timed out or
+/// The entries of servers, the server at each address, and the times at which servers timed out or
 /// terminated.
 #[derive(Default)]
 pub(super) struct ServerTable {
@@ -119,9 +119,9 @@
         })
     }
 
-    /// Replaces entries that terminated the retention time ago by tombstones, and removes expired tombstones.
-    /// A server whose termination was only inferred from its time-out gets no tombstone: it may still run,
-    /// and its next heartbeat restores it.
+    /// Replaces the entries of terminated servers by tombstones after the retention time, and removes expired
+    /// tombstones. A server whose termination was only inferred from its time-out gets no tombstone: it may
+    /// still run, and its next heartbeat restores it.
     pub(super) fn expire(&mut self, now: Duration) {
         let is_expired = |(_, since): &(&ServerId, &Duration)| **since + DEPARTED_ENTRY_RETENTION <= now;
         let expired: Vec<ServerId> =
--- a/crates/gossip/src/peers.rs
+++ b/crates/gossip/src/peers.rs
@@ -27,9 +27,10 @@
 
 /// Returns the peers to which a process opens connections. Other processes may also connect to it.
 ///
-/// All control nodes connect to each other, because they vote together. A gateway connects to one more control node
-/// than `max_failures`, preferably in its own zone and spread over zones, and to a few gateways. `is_reachable`
-/// excludes processes to which recent connection attempts have failed.
+/// All control nodes connect to each other, because they vote together. A gateway connects to one more
+/// control node than may fail at once (`max_failures`), in different zones if possible and starting with its
+/// own zone, and to a few gateways. `is_reachable` excludes processes to which recent connection attempts
+/// have failed.
 pub fn select_peers<'a>(
     own: &Node, nodes: impl Iterator<Item = &'a Node>, max_failures: usize,
     is_reachable: impl Fn(&Node) -> bool,
@@ -54,8 +55,8 @@
     peers
 }
 
-/// Returns up to `count` of the nodes. The first node of each zone precedes further nodes of the same zone,
-/// because one zone may be partitioned from the others.
+/// Returns up to `count` of the nodes, from different zones if possible, because one zone may be partitioned
+/// from the others.
 fn spread_over_zones<'a>(nodes: impl Iterator<Item = &'a Node>, count: usize) -> Vec<&'a Node> {
     let mut selected: Vec<&Node> = Vec::new();
     let mut others = Vec::new();
--- a/crates/quorum/src/membership_manager/membership_planner.rs
+++ b/crates/quorum/src/membership_manager/membership_planner.rs
@@ -12,8 +12,8 @@
 /// nodes are standbys, and send their operations to the members.
 pub const MAX_MEMBERS: usize = 11;
 
-/// Plans membership changes from the times since when members are unreachable, or alive but behind the epoch.
-/// All times are relative to the start of the process.
+/// Plans membership changes. Records when members became unreachable, and when live members fell behind the
+/// epoch. All times are relative to the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipPlanner {
     policy: MembershipPolicy,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Updates the time since when each member is in a state. Members that are not in that state are removed.
+/// Records when each member entered a state, and removes the members that are no longer in it.
 fn update_start_times(
     since: &mut BTreeMap<DiskId, Duration>, now: Duration, view: MembershipView<'_>,
     is_in_state: impl Fn(&Member) -> bool,
--- a/crates/quorum/src/membership_manager/membership_view.rs
+++ b/crates/quorum/src/membership_manager/membership_view.rs
@@ -5,7 +5,8 @@
 use super::LiveReplica;
 use crate::{DiskId, Member, Membership};
 
-/// Time since its last message for which a process counts as alive. Peers exchange digests every second.
+/// Time after the last message of a process during which it counts as alive. Peers exchange digests every
+/// second.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1400);
 
 /// The membership and the live replicas as known to one process.
--- a/crates/quorum/src/membership_manager/replica_report.rs
+++ b/crates/quorum/src/membership_manager/replica_report.rs
@@ -5,8 +5,8 @@
 use crate::Member;
 
 /// The epoch and version that a replica has on disk. A replica with greater progress contains every version
-/// chosen up to a smaller progress: an epoch starts with the value chosen in the previous one, and versions
-/// only increase within an epoch.
+/// chosen in a replica with smaller progress: an epoch starts with the value chosen in the previous one, and
+/// versions only increase within an epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaProgress {
     /// The epoch whose state is on disk.
--- a/crates/quorum/src/message/rejection.rs
+++ b/crates/quorum/src/message/rejection.rs
@@ -15,7 +15,7 @@
     /// The replica has promised a higher proposal number.
     #[serde(rename = "outbid")]
     HigherNumberPromised,
-    /// The proposal is a difference from a value that the replica has not accepted.
+    /// The proposed value was sent as a difference from a value that the replica has not accepted.
     #[serde(rename = "needs_whole")]
     NeedsCompleteValue,
     /// The request is inconsistent: the next membership is not that of the following epoch.
--- a/crates/quorum/src/operation/mod.rs
+++ b/crates/quorum/src/operation/mod.rs
@@ -97,8 +97,8 @@
         Operation::new(id, membership, Goal::ChangeMembership(next))
     }
 
-    /// Initializes the operation with the state of the proposer's own replica, which then need not be sent to
-    /// it.
+    /// Initializes the operation with the state of the proposer's own replica, so that the other replicas
+    /// need not send a value that is already known.
     #[must_use]
     pub fn with_local_state(mut self, local: &ReplicaState) -> Self {
         if local.membership == self.membership && local.membership.contains(&local.disk) {
@@ -153,8 +153,8 @@
 
     /// Returns the requests of this phase that have not been granted.
     fn unanswered_requests(&self) -> impl Iterator<Item = AddressedRequest> {
-        let has_responded = |request: &AddressedRequest| self.responses.contains_key(&request.member.disk);
-        self.requests().into_iter().filter(move |request| !has_responded(request))
+        let has_granted = |request: &AddressedRequest| self.responses.contains_key(&request.member.disk);
+        self.requests().into_iter().filter(move |request| !has_granted(request))
     }
 
     /// Whether so many members have rejected the request of this phase that no quorum can grant it.
@@ -367,15 +367,15 @@
         if self.responses.len() < self.recipients().quorum_size() {
             return Step::send(installs);
         }
-        let mut step = self.handle_quorum();
+        let mut step = self.complete_phase();
         if step.outcome.is_none() {
             step.requests.extend(installs);
         }
         step
     }
 
-    /// Handles the end of a phase, after a quorum has granted its request.
-    fn handle_quorum(&mut self) -> Step {
+    /// Completes the current phase, after a quorum has granted its request.
+    fn complete_phase(&mut self) -> Step {
         match self.phase.clone() {
             Phase::Reading => self.finish_reading(),
             Phase::Preparing(number) => self.finish_preparing(number),
--- a/crates/quorum/src/register_value/submission_status.rs
+++ b/crates/quorum/src/register_value/submission_status.rs
@@ -3,13 +3,13 @@
 /// How a submitted configuration relates to the chosen versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SubmissionStatus {
-    /// Its version is higher than every chosen version.
+    /// The version is higher than every chosen version.
     New,
-    /// This version was chosen with the same content.
+    /// The version was chosen with the same content.
     Chosen,
-    /// This version was chosen with different content.
+    /// The version was chosen with different content.
     Conflict,
-    /// This version was never chosen, but a higher one was.
+    /// The version was never chosen, but a higher one was.
     Superseded,
     /// The version is so old that the history no longer records whether it was chosen, or with which content.
     Forgotten,
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -133,8 +133,8 @@
         self.promise(number)
     }
 
-    /// Promises a number. No other method promises one within an epoch, so that the promised number only
-    /// increases.
+    /// Promises a number. Within an epoch, only this method and [`Replica::learn`] change the promised
+    /// number, and both only increase it.
     fn promise(&mut self, number: &ProposalNumber) -> Result<(), Rejection> {
         if *number < self.state.promised {
             return Err(Rejection::HigherNumberPromised);
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -21,7 +21,8 @@
 };
 use stateright::{Checker as _, HasDiscoveries, Model, Property};
 
-/// A guard of the protocol that is removed to check that the model checker detects its absence.
+/// A guard of the protocol that is removed to check that the model checker detects its absence. The comments
+/// describe the faulty behaviour without the guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RemovedGuard {
     Nothing,
@@ -97,13 +98,16 @@
     standby_count: usize,
     /// The operations in the order in which they start. Each may start at any time after the previous one.
     plans: Vec<Plan>,
+    /// Maximum number of disk wipes.
     wipes: u8,
+    /// Maximum number of duplicated messages.
     duplicates: u8,
-    /// Total number of retries of rejected operations.
+    /// Maximum number of retries of all operations together.
     retries: u8,
     removed_guard: RemovedGuard,
 }
 
+/// An operation to run.
 #[derive(Clone, Copy)]
 enum Plan {
     /// Write this version with this content.
@@ -119,8 +123,12 @@
     Member { disk: disk.into(), address: disk[1..2].into() }
 }
 
-fn config(version: u64, text: &str) -> VersionedConfig {
-    VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
+fn config(version: u64, content: &str) -> VersionedConfig {
+    VersionedConfig {
+        version,
+        digest: ContentDigest::of(content.as_bytes()),
+        compressed_text: content.into(),
+    }
 }
 
 /// Returns a replica with a modified state.
--- a/crates/quota/src/gateway_count.rs
+++ b/crates/quota/src/gateway_count.rs
@@ -12,7 +12,7 @@
     gateways: usize,
 }
 
-/// Number of gateways that share a budget: the maximum known at the same time within the last 30 seconds.
+/// Number of gateways that share a budget: the maximum known at the same time within `SHARE_RETENTION`.
 #[derive(Debug, Default)]
 pub struct GatewayCount {
     /// Observations in descending order of the number of gateways. A new observation replaces earlier ones
