--- a/crates/gossip/src/directory/server_table.rs
+++ b/crates/gossip/src/directory/server_table.rs
@@ -1,4 +1,4 @@
-//! The entries of servers.
+//! Table of the directory entries of servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,11 +10,13 @@
 use crate::tombstones::Tombstones;
 use crate::{Heartbeat, OrphanMonitorTerm, Server, ServerRank, ServerState};
 
-/// Time after which a server that has timed out is taken for ended: longer than any partition lasts. One that was cut off
-/// for so long and still runs counts again after [`DEPARTED_ENTRY_RETENTION`]: it gets no tombstone.
-const MAX_TIMED_OUT: Duration = Duration::from_secs(24 * 3600);
+/// Time after which a server that has timed out is considered terminated. It exceeds the duration of any
+/// partition. A server that was partitioned for longer and still runs is accepted again after
+/// [`DEPARTED_ENTRY_RETENTION`], since it gets no tombstone.
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// The entries of servers, the server that has each address, and since when servers have been gone.
+/// The entries of servers, the server at each address, and the times at which servers timed out or
+/// terminated.
 #[derive(Default)]
 pub(super) struct ServerTable {
     servers: BTreeMap<ServerId, Server>,
@@ -33,8 +35,8 @@
         self.servers.get(id)
     }
 
-    /// The server that has an address.
-    pub(super) fn at(&self, address: &Address) -> Option<&Server> {
+    /// Returns the current server at an address.
+    pub(super) fn server_at(&self, address: &Address) -> Option<&Server> {
         self.servers.get(self.by_address.get(address)?)
     }
 
@@ -46,37 +48,38 @@
         self.tombstones.contains(id)
     }
 
-    /// Whether a server that is remembered as gone had a state as high as this heartbeat says.
-    pub(super) fn is_tombstone_above(&self, heartbeat: &Heartbeat) -> bool {
+    /// Whether the tombstone of a server has at least the state of this heartbeat.
+    pub(super) fn has_tombstone_covering(&self, heartbeat: &Heartbeat) -> bool {
         self.tombstones.covers(&heartbeat.id, &heartbeat.state)
     }
 
-    /// Whether an entry, or a newer one, is known or was.
-    pub(super) fn has_seen(&self, server: &Server) -> bool {
+    /// Whether an entry is not newer than the stored entry or the tombstone of the server.
+    pub(super) fn is_stale(&self, server: &Server) -> bool {
         self.servers.get(&server.id).is_some_and(|known| known.rank() >= server.rank())
             || self.tombstones.covers(&server.id, &server.state)
     }
 
-    /// Whether a rank is above all that is known of a server, and it is not remembered as gone.
-    pub(super) fn is_news(&self, id: &ServerId, rank: &ServerRank) -> bool {
+    /// Whether a rank is higher than that of the stored entry of a server, and the server has no tombstone.
+    pub(super) fn is_newer(&self, id: &ServerId, rank: &ServerRank) -> bool {
         match self.servers.get(id) {
             Some(known) => known.rank() < *rank,
             None => !self.tombstones.contains(id),
         }
     }
 
-    /// The one place where the entry of a server changes. `term` is the highest one of the orphan monitor.
+    /// Stores the entry of a server. `term` is the highest known term of the orphan monitor. No other method
+    /// changes an entry.
     pub(super) fn insert(
         &mut self, server: Server, term: &OrphanMonitorTerm, digests: &mut EntryDigests, now: Duration,
     ) {
         self.update_address(&server);
-        self.update_times(&server, now);
+        self.update_timestamps(&server, now);
         digests.toggle(server.id.as_str(), server.digest());
         let (is_valid, rank) = (server.liveness.is_valid_in(term), server.rank());
-        debug_assert!(is_valid, "what was declared under an earlier term is void");
+        debug_assert!(is_valid, "a declaration under an earlier term of the orphan monitor is not stored");
         if let Some(previous) = self.servers.insert(server.id.clone(), server) {
             let was_valid = previous.liveness.is_valid_in(term);
-            debug_assert!(!was_valid || previous.rank() <= rank, "an entry's rank only rises");
+            debug_assert!(!was_valid || previous.rank() <= rank, "the rank of an entry only increases");
             digests.toggle(previous.id.as_str(), previous.digest());
         }
     }
@@ -91,7 +94,7 @@
         }
     }
 
-    fn update_times(&mut self, server: &Server, now: Duration) {
+    fn update_timestamps(&mut self, server: &Server, now: Duration) {
         if server.is_terminated() {
             self.terminated_since.entry(server.id.clone()).or_insert(now);
         }
@@ -103,21 +106,22 @@
     }
 
     fn has_available_server_at(&self, address: &Address) -> bool {
-        self.at(address).is_some_and(Server::is_available)
+        self.server_at(address).is_some_and(Server::is_available)
     }
 
-    /// Servers that timed out and have ended for certain: another one is alive at their address, which is not the server
-    /// itself for that has timed out, or they have been timed out for longer than any partition lasts.
-    pub(super) fn certainly_ended(&self, now: Duration) -> impl Iterator<Item = &Server> {
-        let is_overdue = move |since: &Duration| *since + MAX_TIMED_OUT <= now;
+    /// Returns the timed-out servers that are confirmed to have terminated: either another server is
+    /// available at their address, or they have been timed out for longer than any partition lasts.
+    pub(super) fn confirmed_terminated(&self, now: Duration) -> impl Iterator<Item = &Server> {
+        let is_overdue = move |since: &Duration| *since + TERMINATION_TIMEOUT <= now;
         self.timed_out_since.iter().filter_map(move |(id, since)| {
             let server = self.servers.get(id)?;
             (is_overdue(since) || self.has_available_server_at(&server.address)).then_some(server)
         })
     }
 
-    /// Puts tombstones in place of entries that terminated long ago, and removes old tombstones. A server that was only
-    /// taken for ended gets none: it may still run, and counts again from its next heartbeat on.
+    /// Replaces the entries of terminated servers by tombstones after the retention time, and removes expired
+    /// tombstones. A server whose termination was only inferred from its time-out gets no tombstone: it may
+    /// still run, and its next heartbeat restores it.
     pub(super) fn expire(&mut self, now: Duration) {
         let is_expired = |(_, since): &(&ServerId, &Duration)| **since + DEPARTED_ENTRY_RETENTION <= now;
         let expired: Vec<ServerId> =
