--- a/crates/node/src/agent/commands.rs
+++ b/crates/node/src/agent/commands.rs
@@ -11,7 +11,7 @@
 
 use super::Agent;
 use crate::engine::{
-    ClaimResult, Command, Engine, OnceSynced, SyncedResponse, UnsyncedResponse, VerificationRead,
+    AfterSync, ClaimResult, Command, Engine, SyncedResponse, UnsyncedResponse, VerificationRead,
 };
 use crate::links::{self, LinkId, Message, codec};
 
@@ -107,7 +107,7 @@
     }
 
     /// Hands the replica's state to the disk at once, and the response to the engine once that is synced.
-    fn sync_replica(self: &Rc<Self>, unsynced: UnsyncedResponse, then: OnceSynced) {
+    fn sync_replica(self: &Rc<Self>, unsynced: UnsyncedResponse, then: AfterSync) {
         let Some(disk) = &self.disk else { return };
         let UnsyncedResponse { response, state, progress } = unsynced;
         let synced = disk.save_replica(state);
--- a/crates/node/src/agent/log.rs
+++ b/crates/node/src/agent/log.rs
@@ -18,10 +18,10 @@
                 warn!(log, "a configuration that others hold cannot be read here";
                     "version" => version, "faults" => faults.to_string());
             }
-            LogEvent::Synced { version } => {
+            LogEvent::CaughtUp { version } => {
                 info!(log, "compared with a control node in contact with a majority"; "version" => version);
             }
-            LogEvent::QuorumWaitGivenUp => {
+            LogEvent::QuorumWaitTimedOut => {
                 warn!(
                     log,
                     "no control node has found a majority: the newest that is known is used from here on"
@@ -57,10 +57,10 @@
             "links" => engine.links().len(),
             "version" => engine.version(),
             "epoch" => directory.membership().epoch,
-            "lines_in" => counters.received,
-            "unread" => counters.unreadable,
-            "unasked" => counters.unrequested,
-            "lost" => counters.closed,
+            "lines_in" => counters.received_lines,
+            "unread" => counters.malformed_lines,
+            "unasked" => counters.unrequested_answers,
+            "lost" => counters.closed_connections,
             "said" => sent.collect::<Vec<_>>().join(","));
         if let Some(data_plane) = &self.data_plane {
             data_plane.log_counters();
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -210,7 +210,7 @@
     }
 
     fn handshake_failed(&self) {
-        self.engine.borrow_mut().links_mut().counters.unreadable += 1;
+        self.engine.borrow_mut().links_mut().counters.malformed_lines += 1;
     }
 
     fn connection_opened(self: &Rc<Self>, peer: Node, direction: Direction, queue: MessageQueue) -> LinkId {
--- a/crates/node/src/engine/anti_entropy.rs
+++ b/crates/node/src/engine/anti_entropy.rs
@@ -7,10 +7,10 @@
 /// How often digests are sent over each link.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(1000);
 /// Digests that differ in a row, after which an update has been missed: before that it may be on its way.
-const DIFFERING_DIGESTS: u32 = 2;
+const MIN_DIFFERING_DIGESTS: u32 = 2;
 /// Time after which a difference may be repaired over another link; shorter than the time between two digests. One at a
 /// time: what is missed is mostly known to all others alike, and a start would bring all of it over every link.
-const REPAIR_INTERVAL: Duration = Duration::from_millis(700);
+const MIN_REPAIR_INTERVAL: Duration = Duration::from_millis(700);
 
 /// What decides whether a difference is repaired over a link, beside the link.
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
     /// Whether this process is a control node.
     pub is_control_node: bool,
     /// Whether this process knows what a control node in contact with a quorum knew.
-    pub is_synced: bool,
+    pub is_caught_up: bool,
     /// Whether this process's name is the lower one: of two peers that one begins.
     pub is_lower_name: bool,
     /// Whether the peer's disk is a member.
@@ -52,13 +52,13 @@
         link.differing_digests += 1;
         let is_to_control_node = link.is_to_control_node();
         let is_first_comparison = match context.is_control_node {
-            true => is_to_control_node && !link.has_compared && context.is_lower_name,
-            false => is_to_control_node && !context.is_synced,
+            true => is_to_control_node && !link.has_applied_peer_entries && context.is_lower_name,
+            false => is_to_control_node && !context.is_caught_up,
         };
         // Members are compared with at once: a quorum of them has to be.
         let is_urgent = is_first_comparison && (context.is_peer_member || !context.is_control_node);
-        let has_missed_update = link.differing_digests >= DIFFERING_DIGESTS && context.is_lower_name;
-        let is_free = self.repair_started_at.is_none_or(|at| at + REPAIR_INTERVAL <= now);
+        let has_missed_update = link.differing_digests >= MIN_DIFFERING_DIGESTS && context.is_lower_name;
+        let is_free = self.repair_started_at.is_none_or(|at| at + MIN_REPAIR_INTERVAL <= now);
         if !is_urgent && !((is_first_comparison || has_missed_update) && is_free) {
             return false;
         }
--- a/crates/node/src/engine/command.rs
+++ b/crates/node/src/engine/command.rs
@@ -16,25 +16,25 @@
 
 /// What is done with a response of the own replica once its state is on disk.
 #[derive(Clone, Debug)]
-pub enum OnceSynced {
+pub enum AfterSync {
     /// An operation that runs here gets the response to its request of this number.
-    RespondHere(u64),
+    RespondLocally(u64),
     /// The response is sent over the link on which the request came, under its number.
-    Respond {
+    RespondOverLink {
         /// The link.
         link: LinkId,
         /// The number of the request.
         number: u64,
     },
     /// Nothing: a chosen value was taken over.
-    Nothing,
+    Discard,
 }
 
 /// A response of the own replica that has been synced.
 #[derive(Debug)]
 pub struct SyncedResponse {
     /// What is done with it.
-    pub then: OnceSynced,
+    pub then: AfterSync,
     /// The response.
     pub response: Response,
     /// What the disk holds.
@@ -59,7 +59,7 @@
         /// The response that rests on it.
         response: UnsyncedResponse,
         /// What is done with it then.
-        then: OnceSynced,
+        then: AfterSync,
     },
     /// Save the servers that are known, when there is time.
     SaveServers(Vec<Server>),
--- a/crates/node/src/engine/comparison_events.rs
+++ b/crates/node/src/engine/comparison_events.rs
@@ -20,12 +20,12 @@
         link.lacks_quorum = digest.lacks_quorum;
         if own.has_same_entries(&digest) {
             link.differing_digests = 0;
-            self.peer_compared(id);
+            self.peer_entries_applied(id);
             return;
         }
         let context = RepairContext {
             is_control_node: self.register.is_some(),
-            is_synced: self.readiness.is_synced(),
+            is_caught_up: self.readiness.is_caught_up(),
             is_lower_name: self.directory.own().name < link.peer.name,
             is_peer_member: link
                 .peer
@@ -56,22 +56,22 @@
         }
         match own {
             Some(own) => self.send(vec![link], Message::Summary(own)),
-            None => self.peer_compared(link),
+            None => self.peer_entries_applied(link),
         }
     }
 
     /// All that a peer knew has been applied.
-    fn peer_compared(&mut self, link: LinkId) {
+    fn peer_entries_applied(&mut self, link: LinkId) {
         if let Some(link) = self.links.get_mut(link) {
-            link.has_compared = true;
+            link.has_applied_peer_entries = true;
         }
-        self.sync_if_verified();
+        self.catch_up_if_verified();
     }
 
-    pub(super) fn sync_if_verified(&mut self) {
+    pub(super) fn catch_up_if_verified(&mut self) {
         let version = self.version();
-        if self.readiness.sync_if_verified(&self.links, version) {
-            self.log(LogEvent::Synced { version });
+        if self.readiness.catch_up_if_verified(&self.links, version) {
+            self.log(LogEvent::CaughtUp { version });
         }
     }
 }
--- a/crates/node/src/engine/config_events.rs
+++ b/crates/node/src/engine/config_events.rs
@@ -45,6 +45,6 @@
         self.log(LogEvent::ConfigInForce { version });
         self.commands.push(Command::ConfigureDataPlane(config));
         self.send_digest(self.links.one_per_peer(), now);
-        self.sync_if_verified();
+        self.catch_up_if_verified();
     }
 }
--- a/crates/node/src/engine/config_fetch.rs
+++ b/crates/node/src/engine/config_fetch.rs
@@ -7,9 +7,9 @@
 use crate::links::LinkId;
 
 /// Time after which a configuration that was requested and has not come is requested of another process.
-const REQUEST_ELSEWHERE_AFTER: Duration = Duration::from_millis(400);
+const OTHER_LINK_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time after which it is requested again over the same link: until then it is on its way, behind others on a narrow link.
-const REQUEST_AGAIN_AFTER: Duration = Duration::from_millis(2500);
+const SAME_LINK_RETRY_DELAY: Duration = Duration::from_millis(2500);
 
 /// A version and the link over which it was announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,9 +43,9 @@
         if self.newest.is_none_or(|newest| newest.version < announced.version) {
             self.newest = Some(announced);
         }
-        let was_just_requested = self.requested_at.values().any(|at| *at + REQUEST_ELSEWHERE_AFTER > now);
+        let was_just_requested = self.requested_at.values().any(|at| *at + OTHER_LINK_RETRY_DELAY > now);
         let is_on_its_way =
-            self.requested_at.get(&announced.link).is_some_and(|at| *at + REQUEST_AGAIN_AFTER > now);
+            self.requested_at.get(&announced.link).is_some_and(|at| *at + SAME_LINK_RETRY_DELAY > now);
         if was_just_requested || is_on_its_way {
             return false;
         }
--- a/crates/node/src/engine/dialer.rs
+++ b/crates/node/src/engine/dialer.rs
@@ -12,7 +12,7 @@
 /// Pause before a process to which no connection came up is called again.
 const REDIAL_DELAY: Duration = Duration::from_millis(200);
 /// Time for which another process is connected to in place of one that cannot be reached.
-const UNREACHABLE_FOR: Duration = Duration::from_millis(2500);
+const UNREACHABLE_PERIOD: Duration = Duration::from_millis(2500);
 
 /// The attempts to connect. Times are since the start of the process.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
     pub fn connection_ended(&mut self, address: &Address, end: ConnectionEnd, now: Duration) {
         self.in_progress.remove(address);
         if end == ConnectionEnd::NeverLinked {
-            self.unreachable_until.insert(address.clone(), now + UNREACHABLE_FOR);
+            self.unreachable_until.insert(address.clone(), now + UNREACHABLE_PERIOD);
         }
     }
 
@@ -87,24 +87,24 @@
         let mut addresses: Vec<Address> = missing.map(|node| node.address.clone()).collect();
         if is_control_node {
             // A control node that is down may be back with nothing but seeds that are gone: the others look for it.
-            let is_lost = |node: &&Node| {
+            let is_unlinked_and_down = |node: &&Node| {
                 node.is_down
                     && node.disk.is_some()
                     && !self.unreachable_until.contains_key(&node.address)
                     && !is_linked(node)
             };
-            addresses.extend(directory.nodes().filter(is_lost).map(|node| node.address.clone()));
+            addresses.extend(directory.nodes().filter(is_unlinked_and_down).map(|node| node.address.clone()));
         }
-        let waits_for_admission = is_control_node && directory.membership().epoch == 0;
-        if context.is_isolated || waits_for_admission {
-            addresses.extend(addresses_of_last_resort(context));
+        let is_awaiting_admission = is_control_node && directory.membership().epoch == 0;
+        if context.is_isolated || is_awaiting_admission {
+            addresses.extend(fallback_addresses(context));
         }
         addresses
     }
 }
 
 /// None of those that one would select answers: the seeds may, and any control node that is known.
-fn addresses_of_last_resort(context: DialContext<'_>) -> Vec<Address> {
+fn fallback_addresses(context: DialContext<'_>) -> Vec<Address> {
     let own = &context.directory.own().address;
     let is_unlinked = |address: &&Address| *address != own && context.links.to_address(address).is_none();
     let is_candidate = |node: &&Node| {
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -5,7 +5,7 @@
 use ashvane_gossip::{Node, Update, select_peers};
 use ashvane_identifiers::Address;
 
-use super::{Command, Engine, RequestPath, UpdateAnswer};
+use super::{Command, Engine, RequestPath, UpdateResponse};
 use crate::links::{ConnectionEnd, Direction, LinkId, Message};
 
 impl Engine {
@@ -23,7 +23,7 @@
         self.apply_updates(vec![Update::Node(peer)], Some(link), now);
         self.send_digest(vec![link], now);
         self.verify_control_nodes(now);
-        self.ask_for_acknowledgements();
+        self.request_acknowledgements();
         if let Some(report) = self.replica_report().filter(|_| is_control_node) {
             self.send(vec![link], Message::ReplicaReport(report));
             self.replica_reachable(&address, now);
@@ -33,7 +33,7 @@
 
     /// A connection has ended, whoever ended it.
     pub fn link_closed(&mut self, link: LinkId) {
-        self.links.counters.closed += 1;
+        self.links.counters.closed_connections += 1;
         if let Some(link) = self.links.remove(link) {
             self.dialer.link_closed(&link.peer.address);
         }
@@ -83,7 +83,7 @@
             Message::Hello(_) | Message::Compressed(_) => {}
             Message::Update { number, updates } => self.updates_received(link, number, updates, now),
             Message::UpdateApplied { number, is_applied, epoch } => {
-                self.update_answered(number, link, UpdateAnswer { is_applied, epoch });
+                self.update_response_received(number, link, UpdateResponse { is_applied, epoch });
             }
             Message::Digest(digest) => self.digest_received(link, digest, now),
             Message::Buckets(buckets) => self.buckets_received(link, &buckets),
@@ -100,7 +100,7 @@
                 self.replica_responded(number, RequestPath::Link(link), response, now);
             }
             Message::VerifyQuorum { number } => {
-                self.verification_questions.push(link, number);
+                self.verification_requests.push(link, number);
                 self.answer_verifications(now);
             }
             Message::QuorumVerified { number, digest } => self.quorum_verified(link, number, digest, now),
--- a/crates/node/src/engine/link_table.rs
+++ b/crates/node/src/engine/link_table.rs
@@ -12,11 +12,11 @@
 
 /// The question whether a control node is in contact with a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct VerificationQuestion {
+pub struct VerificationRequest {
     /// Names it in the answer.
     pub number: u64,
     /// When it was asked.
-    pub asked_at: Duration,
+    pub requested_at: Duration,
 }
 
 /// One link. Times are since the start of the process.
@@ -35,11 +35,11 @@
     /// How many times in a row the peer's digest differed.
     pub differing_digests: u32,
     /// All that the peer knew has been applied here once, since its last answer to a verification where it was asked.
-    pub has_compared: bool,
+    pub has_applied_peer_entries: bool,
     /// The peer has said that it is in contact with no quorum.
     pub lacks_quorum: bool,
     /// The last question to the peer whether it is in contact with a quorum.
-    pub verification: Option<VerificationQuestion>,
+    pub verification: Option<VerificationRequest>,
     /// The version that was in force at the peer when it had verified that, after the question.
     pub verified_version: Option<u64>,
     /// What the peer has reported of its disk.
@@ -64,7 +64,7 @@
 
     /// A configuration counts only on the link on which it was requested, and so from the incarnation that was asked. Other
     /// answers are bound to their links by whoever asks.
-    fn admits(&mut self, message: &Message) -> bool {
+    fn accept_if_requested(&mut self, message: &Message) -> bool {
         if !matches!(message, Message::Config(_)) {
             return true;
         }
@@ -89,13 +89,13 @@
     /// What was sent, by topic.
     pub sent: BTreeMap<&'static str, Traffic>,
     /// Lines received.
-    pub received: u64,
+    pub received_lines: u64,
     /// Lines that were no messages.
-    pub unreadable: u64,
+    pub malformed_lines: u64,
     /// Answers that nobody had asked for where they came.
-    pub unrequested: u64,
+    pub unrequested_answers: u64,
     /// Connections that have ended.
-    pub closed: u64,
+    pub closed_connections: u64,
 }
 
 /// What to do with a line that has come.
@@ -182,7 +182,7 @@
             last_received_at: now,
             is_subscribed: false,
             differing_digests: 0,
-            has_compared: false,
+            has_applied_peer_entries: false,
             lacks_quorum: false,
             verification: None,
             verified_version: None,
@@ -230,13 +230,13 @@
 
     /// A line has come over a link.
     pub fn receive(&mut self, id: LinkId, line: Result<Message, DecodeError>, now: Duration) -> Receipt {
-        self.counters.received += 1;
-        self.counters.unreadable += u64::from(line.is_err());
+        self.counters.received_lines += 1;
+        self.counters.malformed_lines += u64::from(line.is_err());
         let Some(link) = self.links.get_mut(&id) else { return Receipt::Closed };
         link.last_received_at = now;
         let Ok(message) = line else { return Receipt::Closed };
-        if !link.admits(&message) {
-            self.counters.unrequested += 1;
+        if !link.accept_if_requested(&message) {
+            self.counters.unrequested_answers += 1;
             return Receipt::Ignored;
         }
         Receipt::Accepted(message)
--- a/crates/node/src/engine/log_event.rs
+++ b/crates/node/src/engine/log_event.rs
@@ -22,12 +22,12 @@
         reason: UnusableConfig,
     },
     /// A gateway has applied what a control node in contact with a quorum knew: it may be ready.
-    Synced {
+    CaughtUp {
         /// The version of the configuration in force.
         version: u64,
     },
     /// A gateway has waited long enough for such a control node: it uses the newest that it knows.
-    QuorumWaitGivenUp,
+    QuorumWaitTimedOut,
     /// A process that was linked has not been linked for a while: it is marked as down.
     NodeFailed {
         /// Its name.
--- a/crates/node/src/engine/membership_events.rs
+++ b/crates/node/src/engine/membership_events.rs
@@ -13,13 +13,13 @@
     /// What this process reports of its own disk.
     pub(super) fn replica_report(&self) -> Option<ReplicaReport> {
         let register = self.register.as_ref()?;
-        Some(ReplicaReport { progress: register.synced(), is_shutting_down: self.is_shutting_down })
+        Some(ReplicaReport { progress: register.synced_progress(), is_shutting_down: self.is_shutting_down })
     }
 
     /// Tells the other control nodes what this disk holds, where that has changed.
     pub(super) fn report_replica(&mut self) {
         let Some(report) = self.replica_report() else { return };
-        if self.membership_role.report_changed(report) {
+        if self.membership_role.record_report(report) {
             let control_nodes = self.links.to_control_nodes().map(|(id, _)| id).collect();
             self.send(control_nodes, Message::ReplicaReport(report));
         }
@@ -40,7 +40,7 @@
         self.membership_role.change_started();
         let Some(register) = &mut self.register else { return };
         let started = register.change_membership(membership, next, now);
-        self.perform(started.commands, now);
+        self.execute_register_commands(started.commands, now);
         self.commands.push(Command::AwaitMembershipChange(started.outcome));
     }
 
--- a/crates/node/src/engine/membership_role.rs
+++ b/crates/node/src/engine/membership_role.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether others are to be told of this report, which is the last one from now on.
-    pub fn report_changed(&mut self, report: ReplicaReport) -> bool {
+    pub fn record_report(&mut self, report: ReplicaReport) -> bool {
         std::mem::replace(&mut self.last_report, report) != report
     }
 
@@ -56,7 +56,7 @@
     /// Whether this process, which is shutting down, leaves nothing undone in the membership.
     #[must_use]
     pub fn may_shut_down(&self, own: &DiskId, register: &Register, view: MembershipView<'_>) -> bool {
-        may_shut_down(own, register.synced(), view, self.planner.policy())
+        may_shut_down(own, register.synced_progress(), view, self.planner.policy())
     }
 }
 
@@ -81,9 +81,10 @@
         let member = Member { disk: node.disk.clone()?, address: node.address.clone() };
         Some((member.disk.clone(), LiveReplica { member, report }))
     };
-    let heard = links.iter().filter(|(_, link)| now.saturating_sub(link.last_received_at) < LIVENESS_TIMEOUT);
+    let recently_active =
+        links.iter().filter(|(_, link)| now.saturating_sub(link.last_received_at) < LIVENESS_TIMEOUT);
     let mut replicas: BTreeMap<DiskId, LiveReplica> =
-        heard.filter_map(|(_, link)| replica(&link.peer, link.replica_report)).collect();
+        recently_active.filter_map(|(_, link)| replica(&link.peer, link.replica_report)).collect();
     replicas.extend(replica(directory.own(), own_report));
     replicas.into_values().collect()
 }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -14,7 +14,7 @@
 //! | the configuration in force | [`ConfigInForce`], [`ConfigFetch`] |
 //! | the register | [`Register`] |
 //! | acknowledgements by a quorum | [`QuorumAcknowledgement`] |
-//! | contact with a quorum, readiness | [`QuorumContact`], [`Readiness`], [`VerificationQuestions`] |
+//! | contact with a quorum, readiness | [`QuorumContact`], [`Readiness`], [`VerificationRequests`] |
 //! | singleton roles | [`OrphanMonitorRole`], [`MembershipRole`] |
 //! | hints for the next start | [`ServerHints`] |
 //!
@@ -58,18 +58,18 @@
 use ashvane_quorum::{Membership, Replica};
 
 pub use self::anti_entropy::{AntiEntropy, RepairContext};
-pub use self::command::{Command, OnceSynced, SyncedResponse};
+pub use self::command::{AfterSync, Command, SyncedResponse};
 pub use self::config_fetch::{AnnouncedVersion, ConfigFetch};
 pub use self::config_in_force::{ConfigInForce, UnusableConfig};
 pub use self::dialer::{DialContext, Dialer};
 pub use self::failure_detector::FailureDetector;
-pub use self::link_table::{Link, LinkTable, Receipt, Traffic, TrafficCounters, VerificationQuestion};
+pub use self::link_table::{Link, LinkTable, Receipt, Traffic, TrafficCounters, VerificationRequest};
 pub use self::log_event::LogEvent;
 pub use self::membership_role::{MembershipRole, live_replicas, newest_membership};
 pub use self::orphan_monitor_role::{ClaimResult, OrphanMonitorRole, is_first_control_node};
-pub use self::quorum_acknowledgement::{LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+pub use self::quorum_acknowledgement::{LinkedReplica, QuorumAcknowledgement, UpdateResponse};
 pub use self::quorum_contact::QuorumContact;
-pub use self::readiness::{Readiness, VerificationQuestions, WaitState};
+pub use self::readiness::{Readiness, VerificationRequests, WaitState};
 pub use self::register::{
     OPERATION_TIMEOUT, OutgoingRequest, Register, RegisterCommands, RequestPath, StartedOperation,
     UnsyncedResponse,
@@ -110,7 +110,7 @@
     register_reads: RegisterReads,
     acknowledgements: BTreeMap<u64, QuorumAcknowledgement>,
     readiness: Readiness,
-    verification_questions: VerificationQuestions,
+    verification_requests: VerificationRequests,
     orphan_monitor: OrphanMonitorRole,
     membership_role: MembershipRole,
     server_hints: ServerHints,
@@ -125,8 +125,8 @@
 #[derive(Debug, Default)]
 struct RegisterReads {
     /// What is chosen has been read since the start.
-    has_read: bool,
-    is_reading: bool,
+    has_completed: bool,
+    is_in_progress: bool,
 }
 
 impl Engine {
@@ -140,8 +140,8 @@
             directory.apply(Update::Membership(register.membership().clone()), Duration::ZERO);
         }
         let readiness = match register {
-            Some(_) => Readiness::of_control_node(),
-            None => Readiness::of_gateway(),
+            Some(_) => Readiness::for_control_node(),
+            None => Readiness::for_gateway(),
         };
         let policy = MembershipPolicy { catch_up: settings.catch_up, max_failures: settings.max_failures };
         Engine {
@@ -161,7 +161,7 @@
             register_reads: RegisterReads::default(),
             acknowledgements: BTreeMap::new(),
             readiness,
-            verification_questions: VerificationQuestions::default(),
+            verification_requests: VerificationRequests::default(),
             orphan_monitor: OrphanMonitorRole::default(),
             membership_role: MembershipRole::new(policy),
             server_hints: ServerHints::default(),
@@ -222,7 +222,7 @@
     /// All that is known here, and the version in force, in a few bytes.
     #[must_use]
     pub fn digest(&self, now: Duration) -> Digest {
-        let lacks_quorum = self.quorum_contact(now).is_missing_at_control_node();
+        let lacks_quorum = self.quorum_contact(now).is_control_node_without_quorum();
         Digest { lacks_quorum, ..self.directory.digest(self.version()) }
     }
 
--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::{
-    Command, Engine, OnceSynced, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
+    AfterSync, Command, Engine, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
     SyncedResponse, UnsyncedResponse,
 };
 use crate::links::{LinkId, Message};
@@ -32,7 +32,7 @@
     }
 
     fn start_operation(&mut self, started: StartedOperation, now: Duration) -> oneshot::Receiver<Outcome> {
-        self.perform(started.commands, now);
+        self.execute_register_commands(started.commands, now);
         started.outcome
     }
 
@@ -53,7 +53,7 @@
 
     /// A read has ended.
     pub fn read_ended(&mut self, chosen: &Chosen, now: Duration) {
-        self.register_reads.has_read = true;
+        self.register_reads.has_completed = true;
         self.value_chosen(chosen, now);
     }
 
@@ -61,7 +61,7 @@
     fn value_chosen(&mut self, chosen: &Chosen, now: Duration) {
         if let Some(register) = &mut self.register {
             let response = register.learn(chosen);
-            self.commands.push(Command::SyncReplica { response, then: OnceSynced::Nothing });
+            self.commands.push(Command::SyncReplica { response, then: AfterSync::Discard });
         }
         if let Some(config) = chosen.config() {
             self.config_chosen(config.clone(), now);
@@ -69,20 +69,20 @@
     }
 
     /// Reads the register at start, and where the own disk is behind: that brings it up, whether or not anybody writes.
-    pub(super) fn refresh_register(&mut self, now: Duration) {
+    pub(super) fn read_register_if_due(&mut self, now: Duration) {
         if !self.is_control_node() {
             return;
         }
         self.poll_operations(now);
-        let is_due = !self.register_reads.has_read || self.is_replica_behind();
-        if is_due && !std::mem::replace(&mut self.register_reads.is_reading, true) {
+        let is_due = !self.register_reads.has_completed || self.is_replica_behind();
+        if is_due && !std::mem::replace(&mut self.register_reads.is_in_progress, true) {
             self.commands.push(Command::ReadRegister);
         }
     }
 
     /// A read that [`Command::ReadRegister`] asked for has ended, whatever it found.
     pub fn background_read_ended(&mut self) {
-        self.register_reads.is_reading = false;
+        self.register_reads.is_in_progress = false;
     }
 
     /// Whether this process's disk is a member and holds the state of an earlier epoch, or another version than the one in
@@ -91,14 +91,14 @@
         let (Some(register), Some(disk)) = (&self.register, self.own_disk()) else { return false };
         let membership = self.membership().unwrap_or_default();
         let is_other_version = register.accepted_version().unwrap_or(0) != self.version();
-        membership.contains(disk) && (register.synced().epoch < membership.epoch || is_other_version)
+        membership.contains(disk) && (register.synced_progress().epoch < membership.epoch || is_other_version)
     }
 
     /// Sends again what operations have no response to.
     pub fn poll_operations(&mut self, now: Duration) {
         if let Some(register) = &mut self.register {
             let commands = register.poll(now);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 
@@ -106,12 +106,12 @@
     pub(super) fn replica_reachable(&mut self, address: &Address, now: Duration) {
         if let Some(register) = &mut self.register {
             let commands = register.replica_reachable(address);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 
     /// Does what operations want.
-    pub(super) fn perform(&mut self, commands: RegisterCommands, now: Duration) {
+    pub(super) fn execute_register_commands(&mut self, commands: RegisterCommands, now: Duration) {
         for outgoing in commands.requests {
             self.send_request(outgoing);
         }
@@ -128,8 +128,8 @@
         let OutgoingRequest { member, number, request } = outgoing;
         if member.address == self.directory.own().address {
             register.request_sent(number, RequestPath::Local);
-            let response = register.handle(&request);
-            self.commands.push(Command::SyncReplica { response, then: OnceSynced::RespondHere(number) });
+            let response = register.handle_request(&request);
+            self.commands.push(Command::SyncReplica { response, then: AfterSync::RespondLocally(number) });
         } else if let Some(link) = self.links.to_address(&member.address) {
             register.request_sent(number, RequestPath::Link(link));
             self.send(vec![link], Message::ReplicaRequest { number, request });
@@ -140,8 +140,9 @@
     /// which the request came.
     pub(super) fn replica_requested(&mut self, link: LinkId, number: u64, request: &Request) {
         let Some(register) = &mut self.register else { return };
-        let response: UnsyncedResponse = register.handle(request);
-        self.commands.push(Command::SyncReplica { response, then: OnceSynced::Respond { link, number } });
+        let response: UnsyncedResponse = register.handle_request(request);
+        self.commands
+            .push(Command::SyncReplica { response, then: AfterSync::RespondOverLink { link, number } });
     }
 
     /// The state that a response of the own replica rests on is on disk.
@@ -152,13 +153,13 @@
         }
         self.report_replica();
         match then {
-            OnceSynced::RespondHere(number) => {
+            AfterSync::RespondLocally(number) => {
                 self.replica_responded(number, RequestPath::Local, response, now);
             }
-            OnceSynced::Respond { link, number } => {
+            AfterSync::RespondOverLink { link, number } => {
                 self.send(vec![link], Message::ReplicaResponse { number, response });
             }
-            OnceSynced::Nothing => {}
+            AfterSync::Discard => {}
         }
     }
 
@@ -168,7 +169,7 @@
     ) {
         if let Some(register) = &mut self.register {
             let commands = register.response_received(number, path, response, now);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 }
--- a/crates/node/src/engine/orphan_monitor_role.rs
+++ b/crates/node/src/engine/orphan_monitor_role.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct OrphanMonitorRole {
     /// The term under which this process has the role, once a quorum of the members has applied it.
-    held: Option<OrphanMonitorTerm>,
+    held_term: Option<OrphanMonitorTerm>,
     is_claiming: bool,
 }
 
@@ -26,7 +26,7 @@
     /// Whether this process has the role, under the highest term that is known.
     #[must_use]
     pub fn is_held(&self, directory: &Directory) -> bool {
-        self.held.as_ref().is_some_and(|term| term == directory.orphan_monitor_term())
+        self.held_term.as_ref().is_some_and(|term| term == directory.orphan_monitor_term())
     }
 
     /// Of which servers this process may say that they have timed out.
@@ -36,7 +36,7 @@
         if !is_control_node || !has_quorum_contact {
             return LivenessAuthority::None;
         }
-        match &self.held {
+        match &self.held_term {
             Some(term) => LivenessAuthority::MonitoredAndOrphans(term.clone()),
             None => LivenessAuthority::Monitored,
         }
@@ -48,7 +48,7 @@
         if is_first && self.is_held(directory) {
             return false;
         }
-        self.held = None;
+        self.held_term = None;
         is_first && !self.is_claiming
     }
 
@@ -60,7 +60,7 @@
     /// The claim has ended.
     pub fn claim_ended(&mut self, term: OrphanMonitorTerm, result: ClaimResult) {
         if result == ClaimResult::Acknowledged {
-            self.held = Some(term);
+            self.held_term = Some(term);
         }
         self.is_claiming = false;
     }
--- a/crates/node/src/engine/quorum_acknowledgement.rs
+++ b/crates/node/src/engine/quorum_acknowledgement.rs
@@ -19,7 +19,7 @@
 
 /// What a member has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UpdateAnswer {
+pub struct UpdateResponse {
     /// Whether the update is in force there.
     pub is_applied: bool,
     /// The epoch of the membership that is known there.
@@ -33,7 +33,7 @@
     memberships: Vec<Membership>,
     /// The links over which it was asked, and the disk that each reaches. A link has one peer and one incarnation of it, so
     /// that an answer counts only for the one that was asked.
-    asked: BTreeMap<LinkId, DiskId>,
+    sent_over: BTreeMap<LinkId, DiskId>,
     applied_by: BTreeSet<DiskId>,
     done: Option<oneshot::Sender<()>>,
 }
@@ -48,7 +48,7 @@
         let mut acknowledgement = QuorumAcknowledgement {
             update,
             memberships: vec![membership],
-            asked: BTreeMap::new(),
+            sent_over: BTreeMap::new(),
             applied_by: own.into_iter().collect(),
             done: Some(done),
         };
@@ -63,26 +63,26 @@
     }
 
     /// Of the control nodes that are linked, the links over which members are to be asked now. Each link is asked once.
-    pub fn links_to_ask(&mut self, linked: &[LinkedReplica]) -> Vec<LinkId> {
+    pub fn links_to_send_over(&mut self, linked: &[LinkedReplica]) -> Vec<LinkId> {
         let is_due = |replica: &&LinkedReplica| {
             self.memberships.iter().any(|membership| membership.contains(&replica.disk))
                 && !self.applied_by.contains(&replica.disk)
-                && !self.asked.contains_key(&replica.link)
+                && !self.sent_over.contains_key(&replica.link)
         };
         let due: Vec<LinkedReplica> = linked.iter().filter(is_due).cloned().collect();
         let links = due.iter().map(|replica| replica.link).collect();
-        self.asked.extend(due.into_iter().map(|replica| (replica.link, replica.disk)));
+        self.sent_over.extend(due.into_iter().map(|replica| (replica.link, replica.disk)));
         links
     }
 
     /// A member has answered over a link. One that knows a later membership does not count until this process knows it as
     /// well.
-    pub fn answered(&mut self, link: LinkId, answer: UpdateAnswer) {
+    pub fn response_received(&mut self, link: LinkId, response: UpdateResponse) {
         let known_epoch = self.memberships.iter().map(|membership| membership.epoch).max().unwrap_or(0);
-        if answer.epoch > known_epoch {
+        if response.epoch > known_epoch {
             // Asked again once the later membership is known here.
-            self.asked.remove(&link);
-        } else if let Some(disk) = self.asked.get(&link).filter(|_| answer.is_applied) {
+            self.sent_over.remove(&link);
+        } else if let Some(disk) = self.sent_over.get(&link).filter(|_| response.is_applied) {
             self.applied_by.insert(disk.clone());
             self.notify_if_done();
         }
--- a/crates/node/src/engine/quorum_contact.rs
+++ b/crates/node/src/engine/quorum_contact.rs
@@ -36,23 +36,23 @@
 
     /// Whether a control node has no contact: it says so in its digests.
     #[must_use]
-    pub fn is_missing_at_control_node(&self) -> bool {
+    pub fn is_control_node_without_quorum(&self) -> bool {
         self.is_control_node() && !self.exists()
     }
 
     /// Whether a control node has applied what a quorum of the members knew, over links that still hold.
     #[must_use]
     pub fn has_caught_up(&self) -> bool {
-        self.has_quorum_of(|link| link.has_compared)
+        self.has_quorum_of(|link| link.has_applied_peer_entries)
     }
 
     /// Whether this process and those over whose links this holds make up a quorum of the members.
-    fn has_quorum_of(&self, holds: impl Fn(&Link) -> bool) -> bool {
+    fn has_quorum_of(&self, satisfies: impl Fn(&Link) -> bool) -> bool {
         let membership = self.directory.membership();
         let own = self.directory.own().disk.as_ref();
         let is_reached = |disk: &DiskId| {
-            let leads_there = |link: &Link| link.peer.disk.as_ref() == Some(disk);
-            self.links.iter().any(|(_, link)| leads_there(link) && link.is_alive(self.now) && holds(link))
+            let is_to_disk = |link: &Link| link.peer.disk.as_ref() == Some(disk);
+            self.links.iter().any(|(_, link)| is_to_disk(link) && link.is_alive(self.now) && satisfies(link))
         };
         let reached =
             membership.members.iter().filter(|member| own == Some(&member.disk) || is_reached(&member.disk));
--- a/crates/node/src/engine/register.rs
+++ b/crates/node/src/engine/register.rs
@@ -90,7 +90,7 @@
     id_prefix: String,
     replica: Replica,
     /// What the disk holds for certain.
-    synced: ReplicaProgress,
+    synced_progress: ReplicaProgress,
     operations: BTreeMap<u64, RunningOperation>,
     pending: BTreeMap<u64, PendingRequest>,
     last_number: u64,
@@ -102,7 +102,7 @@
     pub fn new(replica: Replica, incarnation: u64) -> Self {
         Register {
             id_prefix: format!("{}/{incarnation:x}", replica.state().disk),
-            synced: progress_of(&replica),
+            synced_progress: progress_of(&replica),
             replica,
             operations: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -124,12 +124,12 @@
 
     /// What this process's own disk holds for certain.
     #[must_use]
-    pub fn synced(&self) -> ReplicaProgress {
-        self.synced
+    pub fn synced_progress(&self) -> ReplicaProgress {
+        self.synced_progress
     }
 
     /// Requests something of the own replica.
-    pub fn handle(&mut self, request: &Request) -> UnsyncedResponse {
+    pub fn handle_request(&mut self, request: &Request) -> UnsyncedResponse {
         let Handled { response, state_changed } = self.replica.handle(request);
         let state = state_changed.then(|| self.replica.state().clone());
         UnsyncedResponse { response, state, progress: progress_of(&self.replica) }
@@ -137,12 +137,12 @@
 
     /// The disk holds this for certain.
     pub fn state_synced(&mut self, progress: ReplicaProgress) {
-        self.synced = self.synced.max(progress);
+        self.synced_progress = self.synced_progress.max(progress);
     }
 
     /// What was chosen is taken over by the own replica where it missed it.
     pub fn learn(&mut self, chosen: &Chosen) -> UnsyncedResponse {
-        self.handle(&Request::Learn { epoch: chosen.epoch, accepted: chosen.accepted.clone() })
+        self.handle_request(&Request::Learn { epoch: chosen.epoch, accepted: chosen.accepted.clone() })
     }
 
     /// To have a configuration chosen.
@@ -226,7 +226,7 @@
             running.retry_at = now + delay;
         }
         if let Some(outcome) = outcome {
-            self.end(id, outcome);
+            self.finish(id, outcome);
         }
         RegisterCommands { requests: self.number_requests(id, requests), poll_after, membership }
     }
@@ -236,16 +236,16 @@
         if is_expected { self.pending.remove(&number) } else { None }
     }
 
-    fn end(&mut self, id: u64, outcome: Outcome) {
+    fn finish(&mut self, id: u64, outcome: Outcome) {
         if let Some(running) = self.operations.remove(&id) {
             // Whoever started it may have given up.
             let _ = running.done.send(outcome);
         }
-        self.forget_ended();
+        self.discard_ended_requests();
     }
 
     /// Forgets the requests of operations that have ended.
-    fn forget_ended(&mut self) {
+    fn discard_ended_requests(&mut self) {
         self.pending.retain(|_, pending| self.operations.contains_key(&pending.operation));
     }
 
@@ -267,7 +267,7 @@
     /// Sends again where responses stay out, and gives up what has taken too long or is waited for by nobody.
     pub fn poll(&mut self, now: Duration) -> RegisterCommands {
         self.operations.retain(|_, running| running.deadline > now && !running.done.is_closed());
-        self.forget_ended();
+        self.discard_ended_requests();
         let mut commands = RegisterCommands::default();
         let due = |running: &RunningOperation| running.retry_at <= now;
         let due: Vec<u64> =
--- a/crates/node/src/engine/server_events.rs
+++ b/crates/node/src/engine/server_events.rs
@@ -6,7 +6,7 @@
 use ashvane_identifiers::ServerId;
 use tokio::sync::oneshot;
 
-use super::{Engine, LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+use super::{Engine, LinkedReplica, QuorumAcknowledgement, UpdateResponse};
 use crate::links::{LinkId, Message};
 
 /// An update that waits for a quorum of the members to apply it.
@@ -21,13 +21,13 @@
     /// A server has sent a heartbeat.
     pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) {
         let updates = self.directory.record_heartbeat(heartbeat, now);
-        self.spread(updates, None, now);
+        self.disseminate(updates, None, now);
     }
 
     /// A server has said that it ends.
     pub fn deregister(&mut self, id: &ServerId, now: Duration) {
         let updates = self.directory.deregister(id, now);
-        self.spread(updates, None, now);
+        self.disseminate(updates, None, now);
     }
 
     /// Servers that were known before a restart: until they send heartbeats, better than none. Some may have ended since,
@@ -49,7 +49,7 @@
         let (membership, own) = (self.directory.membership().clone(), self.own_disk().cloned());
         let acknowledgement = QuorumAcknowledgement::new(update, membership, own, done);
         self.acknowledgements.insert(number, acknowledgement);
-        self.ask_for_acknowledgements();
+        self.request_acknowledgements();
         Some(PendingAcknowledgement { number, applied })
     }
 
@@ -59,35 +59,35 @@
     }
 
     /// Asks the members that are linked and have not been asked yet, over the links that they have now.
-    pub(super) fn ask_for_acknowledgements(&mut self) {
+    pub(super) fn request_acknowledgements(&mut self) {
         let linked: Vec<LinkedReplica> = self
             .links
             .iter()
             .filter_map(|(link, state)| Some(LinkedReplica { link, disk: state.peer.disk.clone()? }))
             .collect();
-        let mut questions = Vec::new();
+        let mut messages = Vec::new();
         for (number, acknowledgement) in &mut self.acknowledgements {
-            let links = acknowledgement.links_to_ask(&linked);
+            let links = acknowledgement.links_to_send_over(&linked);
             let updates = vec![acknowledgement.update().clone()];
-            questions.push((links, Message::Update { number: *number, updates }));
+            messages.push((links, Message::Update { number: *number, updates }));
         }
-        for (links, message) in questions {
+        for (links, message) in messages {
             self.send(links, message);
         }
     }
 
-    pub(super) fn update_answered(&mut self, number: u64, link: LinkId, answer: UpdateAnswer) {
+    pub(super) fn update_response_received(&mut self, number: u64, link: LinkId, response: UpdateResponse) {
         if let Some(acknowledgement) = self.acknowledgements.get_mut(&number) {
-            acknowledgement.answered(link, answer);
+            acknowledgement.response_received(link, response);
         }
     }
 
     /// What waits for a quorum waits for one of the next membership as well.
-    pub(super) fn acknowledgements_need_next_membership(&mut self) {
+    pub(super) fn require_quorum_of_next_membership(&mut self) {
         let membership = self.directory.membership().clone();
         for acknowledgement in self.acknowledgements.values_mut() {
             acknowledgement.membership_changed(membership.clone());
         }
-        self.ask_for_acknowledgements();
+        self.request_acknowledgements();
     }
 }
--- a/crates/node/src/engine/server_hints.rs
+++ b/crates/node/src/engine/server_hints.rs
@@ -13,21 +13,21 @@
     saved_at: Duration,
     saved_revision: u64,
     /// A server has begun to drain, or has ended, since.
-    has_lost_server: bool,
+    has_stopping_server: bool,
 }
 
 impl ServerHints {
-    /// These updates are spread.
+    /// These updates are disseminate.
     pub fn observe(&mut self, updates: &[Update]) {
-        let is_lost = |server: &Server| server.state > ServerState::Ready;
-        self.has_lost_server |=
-            updates.iter().any(|update| matches!(update, Update::Server(server) if is_lost(server)));
+        let is_stopping = |server: &Server| server.state > ServerState::Ready;
+        self.has_stopping_server |=
+            updates.iter().any(|update| matches!(update, Update::Server(server) if is_stopping(server)));
     }
 
     /// Whether to save the servers now, at this revision of the directory. One that left is struck out at once, lest a
     /// restart bring it back.
     pub fn should_save(&mut self, revision: u64, now: Duration) -> bool {
-        let is_due = self.saved_at + SAVE_INTERVAL <= now || std::mem::take(&mut self.has_lost_server);
+        let is_due = self.saved_at + SAVE_INTERVAL <= now || std::mem::take(&mut self.has_stopping_server);
         if !is_due || revision == self.saved_revision {
             return false;
         }
--- a/crates/node/src/engine/tick.rs
+++ b/crates/node/src/engine/tick.rs
@@ -13,10 +13,10 @@
         self.select_update_source(now);
         self.detect_failures(now);
         self.claim_orphan_monitor_if_due(now);
-        self.detect_lost_servers(now);
+        self.detect_server_timeouts(now);
         self.answer_verifications(now);
-        self.count_wait();
-        self.refresh_register(now);
+        self.count_quorum_wait();
+        self.read_register_if_due(now);
         self.report_replica();
         self.change_membership_if_due(now);
         self.save_servers_if_due(now);
@@ -54,7 +54,7 @@
             if !updates.is_empty() {
                 self.log(LogEvent::NodeFailed { name });
             }
-            self.spread(updates, None, now);
+            self.disseminate(updates, None, now);
         }
     }
 
@@ -80,16 +80,16 @@
         self.orphan_monitor.claim_ended(term, result);
     }
 
-    fn detect_lost_servers(&mut self, now: Duration) {
+    fn detect_server_timeouts(&mut self, now: Duration) {
         let has_contact = self.quorum_contact(now).exists();
         let authority = self.orphan_monitor.authority(has_contact, &self.directory);
         let updates = self.directory.tick(&authority, now);
-        self.spread(updates, None, now);
+        self.disseminate(updates, None, now);
     }
 
-    fn count_wait(&mut self) {
-        if self.readiness.tick() == WaitState::GivenUp {
-            self.log(LogEvent::QuorumWaitGivenUp);
+    fn count_quorum_wait(&mut self) {
+        if self.readiness.tick() == WaitState::TimedOut {
+            self.log(LogEvent::QuorumWaitTimedOut);
         }
     }
 
--- a/crates/node/src/engine/update_events.rs
+++ b/crates/node/src/engine/update_events.rs
@@ -1,4 +1,4 @@
-//! Updates: applied where they are newer, spread to those that have not heard them.
+//! Updates: applied where they are newer, disseminate to those that have not heard them.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     pub(super) fn updates_received(
         &mut self, link: LinkId, number: u64, updates: Vec<Update>, now: Duration,
     ) {
-        let is_answer_wanted = number > 0;
-        let wanted = is_answer_wanted.then(|| updates.clone());
+        let is_response_requested = number > 0;
+        let updates_to_acknowledge = is_response_requested.then(|| updates.clone());
         self.apply_updates(updates, Some(link), now);
-        if let Some(updates) = wanted {
+        if let Some(updates) = updates_to_acknowledge {
             let is_applied = updates.iter().all(|update| self.directory.has_applied(update));
             let epoch = self.directory.membership().epoch;
             self.send(vec![link], Message::UpdateApplied { number, is_applied, epoch });
@@ -30,9 +30,9 @@
         let changed: Vec<Update> =
             updates.into_iter().flat_map(|update| self.directory.apply(update, now)).collect();
         let is_membership_changed = changed.iter().any(|update| matches!(update, Update::Membership(_)));
-        self.spread(changed, from, now);
+        self.disseminate(changed, from, now);
         if is_membership_changed {
-            self.acknowledgements_need_next_membership();
+            self.require_quorum_of_next_membership();
         }
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Tells others what changed here; `from` is the link over which it came.
-    pub(super) fn spread(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
+    pub(super) fn disseminate(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
         if updates.is_empty() {
             return;
         }
@@ -56,7 +56,7 @@
         self.server_hints.observe(&updates);
         let is_from_control_node =
             from.and_then(|link| self.links.get(link)).is_some_and(Link::is_to_control_node);
-        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Here };
+        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Local };
         self.update_queue.push(updates, origin);
         self.flush_updates(now);
     }
@@ -64,7 +64,7 @@
     /// Sends the updates that wait, or asks for a timer.
     pub fn flush_updates(&mut self, now: Duration) {
         match self.update_queue.flush_time(now) {
-            FlushTime::Nothing => {}
+            FlushTime::NotNeeded => {}
             FlushTime::At(time) => self.commands.push(Command::FlushUpdatesAt(time)),
             FlushTime::Now => {
                 let queued = self.update_queue.take(now);
@@ -77,12 +77,12 @@
     /// Whoever is missed finds out by the next digests.
     fn send_updates(&mut self, queued: QueuedUpdates) {
         let QueuedUpdates { for_all, for_subscribers } = queued;
-        let to_all = match self.is_control_node() {
+        let links_for_all = match self.is_control_node() {
             true => self.links.to_control_nodes().map(|(id, _)| id).collect(),
             false => self.update_source.into_iter().collect(),
         };
         if !for_all.is_empty() {
-            self.send(to_all, Message::Update { number: 0, updates: for_all.clone() });
+            self.send(links_for_all, Message::Update { number: 0, updates: for_all.clone() });
         }
         if !self.is_control_node() {
             return;
--- a/crates/node/src/engine/update_queue.rs
+++ b/crates/node/src/engine/update_queue.rs
@@ -1,4 +1,4 @@
-//! Updates that wait to be spread: the first goes at once, those that follow closely go together, in one message.
+//! Updates that wait to be disseminated: the first goes at once, those that follow closely go together, in one message.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 /// Delay between two messages of updates. At a start each server's first heartbeat is an update for every control node: one
 /// message each was more than their processors could read. Far below the time in which a drain has to be known.
-const SPREAD_INTERVAL: Duration = Duration::from_millis(50);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Where an update came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOrigin {
     /// This process, a server or an operator, or a gateway.
-    Here,
+    Local,
     /// Another control node, which sends it to the others itself.
     ControlNode,
 }
@@ -23,7 +23,7 @@
     /// Now.
     Now,
     /// Nothing waits, or a timer is set.
-    Nothing,
+    NotNeeded,
     /// A timer is to be set for this time.
     At(Duration),
 }
@@ -37,7 +37,7 @@
     pub for_subscribers: Vec<Update>,
 }
 
-/// Updates that wait to be spread. Times are since the start of the process.
+/// Updates that wait to be disseminated. Times are since the start of the process.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     queued: QueuedUpdates,
@@ -49,7 +49,7 @@
     /// Queues updates.
     pub fn push(&mut self, updates: Vec<Update>, origin: UpdateOrigin) {
         match origin {
-            UpdateOrigin::Here => self.queued.for_all.extend(updates),
+            UpdateOrigin::Local => self.queued.for_all.extend(updates),
             UpdateOrigin::ControlNode => self.queued.for_subscribers.extend(updates),
         }
     }
@@ -57,14 +57,14 @@
     /// When what waits may be sent. Where the answer is [`FlushTime::At`] the caller sets a timer.
     pub fn flush_time(&mut self, now: Duration) -> FlushTime {
         if self.queued.for_all.is_empty() && self.queued.for_subscribers.is_empty() {
-            return FlushTime::Nothing;
+            return FlushTime::NotNeeded;
         }
-        let next = self.last_flush.map_or(now, |last| last + SPREAD_INTERVAL);
+        let next = self.last_flush.map_or(now, |last| last + FLUSH_INTERVAL);
         if next <= now {
             return FlushTime::Now;
         }
         if self.timer.is_some_and(|at| at > now) {
-            return FlushTime::Nothing;
+            return FlushTime::NotNeeded;
         }
         self.timer = Some(next);
         FlushTime::At(next)
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -13,7 +13,7 @@
 const SETTINGS: &str = "node = \"g\"\nip = \"10.0.0.1\"\nzone = \"z\"\ninternal-ports = [7080, 7095]\nbootstrap = false\n\
     seed-nodes = [\"10.0.0.2:8047\"]\nbeat-interval-ms = 1000\n[listen]\nfront = \"10.0.0.1:8043\"\n";
 
-fn me() -> Node {
+fn own_node() -> Node {
     Node {
         name: "g".to_owned().into(),
         incarnation: 1,
@@ -34,7 +34,7 @@
         let settings = Settings::parse(SETTINGS, "-").expect("settings");
         let plane = DataPlane::new(&settings, Rc::new(Tcp), Logger::root(Discard, o!()));
         let second = Duration::from_secs(1);
-        let mut directory = Directory::new(me(), second, Duration::ZERO);
+        let mut directory = Directory::new(own_node(), second, Duration::ZERO);
         for n in 0..500u32 {
             let heartbeat = Heartbeat {
                 id: format!("s{n}").into(),
--- a/crates/node/tests/engine/connections.rs
+++ b/crates/node/tests/engine/connections.rs
@@ -86,14 +86,14 @@
 fn the_first_update_goes_at_once_and_those_that_follow_closely_together() {
     let mut queue = UpdateQueue::default();
     let update = |name| vec![Update::Node(gateway(name))];
-    assert_eq!(queue.flush_time(ms(0)), FlushTime::Nothing);
-    queue.push(update("a"), UpdateOrigin::Here);
+    assert_eq!(queue.flush_time(ms(0)), FlushTime::NotNeeded);
+    queue.push(update("a"), UpdateOrigin::Local);
     assert_eq!(queue.flush_time(ms(0)), FlushTime::Now);
     assert_eq!(queue.take(ms(0)).for_all, update("a"));
-    queue.push(update("b"), UpdateOrigin::Here);
+    queue.push(update("b"), UpdateOrigin::Local);
     assert_eq!(queue.flush_time(ms(10)), FlushTime::At(ms(50)));
     queue.push(update("c"), UpdateOrigin::ControlNode);
-    assert_eq!(queue.flush_time(ms(20)), FlushTime::Nothing, "the timer is set");
+    assert_eq!(queue.flush_time(ms(20)), FlushTime::NotNeeded, "the timer is set");
     assert_eq!(queue.flush_time(ms(50)), FlushTime::Now);
     let queued = queue.take(ms(50));
     assert_eq!((queued.for_all, queued.for_subscribers), (update("b"), update("c")));
@@ -102,8 +102,12 @@
 #[test]
 fn a_difference_is_repaired_once_it_lasts_and_over_one_link_at_a_time() {
     let (mut anti_entropy, mut links) = (AntiEntropy::default(), LinkTable::default());
-    let context =
-        RepairContext { is_control_node: true, is_synced: true, is_lower_name: true, is_peer_member: false };
+    let context = RepairContext {
+        is_control_node: true,
+        is_caught_up: true,
+        is_lower_name: true,
+        is_peer_member: false,
+    };
     let ids = ["a", "b"].map(|name| link_to(&mut links, gateway(name)));
     let mut repairs = |links: &mut LinkTable, n: usize, context, now| {
         let link = links.get_mut(ids[n]).expect("a link");
@@ -123,8 +127,12 @@
 #[test]
 fn members_are_compared_with_at_once_and_digests_are_due_each_second() {
     let (mut anti_entropy, mut links) = (AntiEntropy::default(), LinkTable::default());
-    let member =
-        RepairContext { is_control_node: true, is_synced: true, is_lower_name: true, is_peer_member: true };
+    let member = RepairContext {
+        is_control_node: true,
+        is_caught_up: true,
+        is_lower_name: true,
+        is_peer_member: true,
+    };
     for name in ["a", "b", "c"] {
         let link = link_to(&mut links, control_node(name));
         assert!(anti_entropy.should_repair(links.get_mut(link).expect("a link"), member, ms(0)));
--- a/crates/node/tests/engine/roles.rs
+++ b/crates/node/tests/engine/roles.rs
@@ -3,7 +3,7 @@
 use ashvane_gossip::{Liveness, LivenessAuthority, OrphanMonitorTerm, Server, ServerState, Update};
 use ashvane_node::engine::{
     ClaimResult, LinkTable, OrphanMonitorRole, QuorumContact, Readiness, ServerHints, TICK_INTERVAL,
-    VerificationQuestion, VerificationQuestions, WaitState, is_first_control_node,
+    VerificationRequest, VerificationRequests, WaitState, is_first_control_node,
 };
 
 use super::{control_node, directory, gateway, link_to, membership, ms};
@@ -18,7 +18,7 @@
     assert!(!contact(&links, 0));
     let to_b = link_to(&mut links, control_node("b"));
     assert!(contact(&links, 2599) && !contact(&links, 2600), "two of three, while b is heard");
-    links.get_mut(to_b).expect("a link").has_compared = true;
+    links.get_mut(to_b).expect("a link").has_applied_peer_entries = true;
     let caught_up = QuorumContact { directory: &directory_of_a, links: &links, now: ms(0) };
     assert!(caught_up.has_caught_up());
 
@@ -32,41 +32,44 @@
 
 #[test]
 fn a_gateway_is_synced_by_a_control_node_that_has_verified_its_quorum_or_gives_up_waiting() {
-    let (mut readiness, mut links) = (Readiness::of_gateway(), LinkTable::default());
+    let (mut readiness, mut links) = (Readiness::for_gateway(), LinkTable::default());
     let link = link_to(&mut links, control_node("a"));
     assert_eq!(readiness.links_to_verify(&links, ms(0)), [link]);
-    let question = VerificationQuestion { number: 1, asked_at: ms(0) };
-    links.get_mut(link).expect("a link").verification = Some(question);
+    let request = VerificationRequest { number: 1, requested_at: ms(0) };
+    links.get_mut(link).expect("a link").verification = Some(request);
     assert!(readiness.links_to_verify(&links, ms(999)).is_empty());
     assert_eq!(readiness.links_to_verify(&links, ms(1000)), [link], "asked again");
-    links.get_mut(link).expect("a link").has_compared = true;
-    assert!(!readiness.sync_if_verified(&links, 4), "compared, but not verified");
+    links.get_mut(link).expect("a link").has_applied_peer_entries = true;
+    assert!(!readiness.catch_up_if_verified(&links, 4), "compared, but not verified");
     links.get_mut(link).expect("a link").verified_version = Some(5);
-    assert!(!readiness.sync_if_verified(&links, 4), "the configuration that was in force there is missing");
-    assert!(readiness.sync_if_verified(&links, 5) && !readiness.sync_if_verified(&links, 5), "once");
+    assert!(
+        !readiness.catch_up_if_verified(&links, 4),
+        "the configuration that was in force there is missing"
+    );
+    assert!(readiness.catch_up_if_verified(&links, 5) && !readiness.catch_up_if_verified(&links, 5), "once");
     assert!(readiness.is_current() && readiness.links_to_verify(&links, ms(9000)).is_empty());
 
-    let mut readiness = Readiness::of_gateway();
+    let mut readiness = Readiness::for_gateway();
     let ticks = ms(30_000).as_millis() / TICK_INTERVAL.as_millis();
     assert!((1..ticks).all(|_| readiness.tick() == WaitState::Unchanged) && !readiness.is_current());
-    assert_eq!(readiness.tick(), WaitState::GivenUp);
-    assert!(readiness.is_current() && !readiness.is_synced());
+    assert_eq!(readiness.tick(), WaitState::TimedOut);
+    assert!(readiness.is_current() && !readiness.is_caught_up());
 }
 
 #[test]
 fn one_read_answers_all_questions_that_have_come_and_later_ones_wait_for_the_next() {
     let mut links = LinkTable::default();
     let [a, b] = ["a", "b"].map(|name| link_to(&mut links, gateway(name)));
-    let mut questions = VerificationQuestions::default();
-    assert!(questions.begin().is_none());
-    questions.push(a, 1);
-    questions.push(a, 2);
-    questions.push(b, 7);
-    assert_eq!(questions.begin(), Some([(a, 2), (b, 7)].into()), "the last one over each link");
-    questions.push(a, 3);
-    assert!(questions.begin().is_none(), "a read is under way");
-    questions.end();
-    assert_eq!(questions.begin(), Some([(a, 3)].into()));
+    let mut requests = VerificationRequests::default();
+    assert!(requests.begin().is_none());
+    requests.push(a, 1);
+    requests.push(a, 2);
+    requests.push(b, 7);
+    assert_eq!(requests.begin(), Some([(a, 2), (b, 7)].into()), "the last one over each link");
+    requests.push(a, 3);
+    assert!(requests.begin().is_none(), "a read is under way");
+    requests.end();
+    assert_eq!(requests.begin(), Some([(a, 3)].into()));
 }
 
 #[test]
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -160,7 +160,7 @@
         let (_, mut peer) = link(&process, "peer", 9).await;
         peer.say(&Message::Config(config(1))).await;
         assert!(process.received.borrow().is_empty(), "what was asked on other links is not owed here");
-        assert_eq!(process.links.borrow().counters.unrequested, 1);
+        assert_eq!(process.links.borrow().counters.unrequested_answers, 1);
     });
 }
 
@@ -183,7 +183,7 @@
                 let number = outgoing.number;
                 if outgoing.member == member(1) {
                     register.request_sent(number, RequestPath::Local);
-                    let response = register.handle(&outgoing.request).response;
+                    let response = register.handle_request(&outgoing.request).response;
                     let wrong = RequestPath::Link(LinkId::from(1));
                     let misled = register.response_received(number, wrong, response.clone(), now);
                     assert!(misled.requests.is_empty());
--- a/crates/node/tests/quorum_acknowledgement.rs
+++ b/crates/node/tests/quorum_acknowledgement.rs
@@ -1,7 +1,7 @@
 //! Which answers make up the majority that an acknowledgement waits for.
 
 use ashvane_gossip::{OrphanMonitorTerm, Update};
-use ashvane_node::engine::{LinkedReplica, QuorumAcknowledgement, UpdateAnswer};
+use ashvane_node::engine::{LinkedReplica, QuorumAcknowledgement, UpdateResponse};
 use ashvane_node::links::LinkId;
 use ashvane_quorum::{DiskId, Member, Membership};
 use tokio::sync::oneshot::{self, Receiver};
@@ -29,8 +29,8 @@
 }
 
 /// A member answers over a link.
-fn answer(acknowledgement: &mut QuorumAcknowledgement, link: u64, is_applied: bool, epoch: u64) {
-    acknowledgement.answered(link.into(), UpdateAnswer { is_applied, epoch });
+fn respond(acknowledgement: &mut QuorumAcknowledgement, link: u64, is_applied: bool, epoch: u64) {
+    acknowledgement.response_received(link.into(), UpdateResponse { is_applied, epoch });
 }
 
 fn begin(membership: Membership, own: Option<DiskId>) -> (QuorumAcknowledgement, Receiver<()>) {
@@ -54,27 +54,27 @@
 fn only_members_count_each_once_and_over_the_link_that_was_asked() {
     let (mut acknowledgement, mut applied) = begin(membership(1, "abcde"), own("a"));
     // Two links to b, one to somebody who is no member.
-    let asked = acknowledgement.links_to_ask(&links("bbxc"));
-    assert_eq!(asked, ids([1, 2, 4]), "who is no member is not asked");
+    let sent_over = acknowledgement.links_to_send_over(&links("bbxc"));
+    assert_eq!(sent_over, ids([1, 2, 4]), "who is no member is not asked");
     for link in [1, 2, 3, 9] {
-        answer(&mut acknowledgement, link, true, 1);
+        respond(&mut acknowledgement, link, true, 1);
     }
-    answer(&mut acknowledgement, 4, false, 1);
+    respond(&mut acknowledgement, 4, false, 1);
     assert!(
         !is_done(&mut applied),
         "a and b are two of five; c refuses, and what was not asked counts for nothing"
     );
-    answer(&mut acknowledgement, 4, true, 1);
+    respond(&mut acknowledgement, 4, true, 1);
     assert!(is_done(&mut applied));
 }
 
 #[test]
 fn who_asks_counts_only_where_it_is_a_member() {
     let (mut acknowledgement, mut applied) = begin(membership(1, "abc"), own("x"));
-    acknowledgement.links_to_ask(&links("ab"));
-    answer(&mut acknowledgement, 1, true, 1);
+    acknowledgement.links_to_send_over(&links("ab"));
+    respond(&mut acknowledgement, 1, true, 1);
     assert!(!is_done(&mut applied));
-    answer(&mut acknowledgement, 2, true, 1);
+    respond(&mut acknowledgement, 2, true, 1);
     assert!(is_done(&mut applied));
     let (_, mut alone) = begin(membership(1, "a"), own("a"));
     assert!(is_done(&mut alone), "the only member is a majority");
@@ -87,37 +87,37 @@
     // Links 1 and 2 reach the other members of the old one, 4 to 6 those of the new one.
     let begun = || {
         let (mut acknowledgement, applied) = begin(membership(1, "abc"), own("a"));
-        assert_eq!(acknowledgement.links_to_ask(&links("bcdefg")), ids([1, 2]));
+        assert_eq!(acknowledgement.links_to_send_over(&links("bcdefg")), ids([1, 2]));
         acknowledgement.membership_changed(membership(2, "aefg"));
         assert_eq!(
-            acknowledgement.links_to_ask(&links("bcdefg")),
+            acknowledgement.links_to_send_over(&links("bcdefg")),
             ids([4, 5, 6]),
             "the new members are asked as well"
         );
         (acknowledgement, applied)
     };
     let (mut acknowledgement, mut applied) = begun();
-    answer(&mut acknowledgement, 1, true, 1);
+    respond(&mut acknowledgement, 1, true, 1);
     assert!(!is_done(&mut applied), "a majority of the old one is not enough");
-    answer(&mut acknowledgement, 4, true, 2);
+    respond(&mut acknowledgement, 4, true, 2);
     assert!(!is_done(&mut applied), "a and e are two of four");
-    answer(&mut acknowledgement, 5, true, 2);
+    respond(&mut acknowledgement, 5, true, 2);
     assert!(is_done(&mut applied));
     let (mut acknowledgement, mut applied) = begun();
-    (4..=6).for_each(|link| answer(&mut acknowledgement, link, true, 2));
+    (4..=6).for_each(|link| respond(&mut acknowledgement, link, true, 2));
     assert!(!is_done(&mut applied), "all of the new one are not enough");
-    answer(&mut acknowledgement, 2, true, 1);
+    respond(&mut acknowledgement, 2, true, 1);
     assert!(is_done(&mut applied));
 }
 
 #[test]
 fn an_answer_from_a_later_membership_counts_once_that_is_known_here() {
     let (mut acknowledgement, mut applied) = begin(membership(1, "abc"), own("a"));
-    acknowledgement.links_to_ask(&links("b"));
-    answer(&mut acknowledgement, 1, true, 2);
+    acknowledgement.links_to_send_over(&links("b"));
+    respond(&mut acknowledgement, 1, true, 2);
     assert!(!is_done(&mut applied), "it may be the last of the old ones that says yes");
     acknowledgement.membership_changed(membership(2, "ab"));
-    assert_eq!(acknowledgement.links_to_ask(&links("b")), ids([1]), "it is asked again");
-    answer(&mut acknowledgement, 1, true, 2);
+    assert_eq!(acknowledgement.links_to_send_over(&links("b")), ids([1]), "it is asked again");
+    respond(&mut acknowledgement, 1, true, 2);
     assert!(is_done(&mut applied));
 }
