--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What a gateway's data plane keeps of servers that are gone: nothing.
+//! A gateway's data plane keeps no state of servers that have terminated.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,12 +27,13 @@
     }
 }
 
-/// Forty thousand servers a day start anew, each under an id of its own: they used to stay for good.
+/// Guards against a leak: forty thousand servers start per day, each under a new identifier, so that state
+/// kept for terminated servers would grow without bound.
 #[tokio::test(start_paused = true)]
-async fn a_data_plane_keeps_nothing_of_servers_that_have_ended() {
+async fn a_data_plane_keeps_no_state_of_terminated_servers() {
     let test = async {
-        let settings = Settings::parse(SETTINGS, "-").expect("settings");
-        let plane = DataPlane::new(&settings, Rc::new(Tcp), Logger::root(Discard, o!()));
+        let settings = Settings::parse(SETTINGS, "-").expect("the settings are valid");
+        let data_plane = DataPlane::new(&settings, Rc::new(Tcp), Logger::root(Discard, o!()));
         let second = Duration::from_secs(1);
         let mut directory = Directory::new(own_node(), second, Duration::ZERO);
         for n in 0..500u32 {
@@ -49,10 +50,14 @@
             if n >= 10 {
                 updates.extend(directory.deregister(&format!("s{}", n - 10).into(), second * n));
             }
-            plane.servers_changed(&directory, &updates);
-            assert!(plane.servers_kept() <= 11, "{} kept after {n}", plane.servers_kept());
+            data_plane.servers_changed(&directory, &updates);
+            assert!(
+                data_plane.servers_kept() <= 11,
+                "the data plane keeps {} servers after server {n} started",
+                data_plane.servers_kept()
+            );
         }
-        assert!(plane.knows_servers());
+        assert!(data_plane.knows_servers());
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/node/tests/engine.rs
+++ b/crates/node/tests/engine.rs
@@ -1,4 +1,5 @@
-//! Each concern of the engine alone: events in, decisions out, without I/O or a clock that runs.
+//! Tests of the engine and of each of its concerns alone: events in, decisions out, without I/O or a real
+//! clock.
 
 #[path = "engine/configuration.rs"]
 mod configuration;
@@ -20,7 +21,7 @@
     Duration::from_millis(ms)
 }
 
-/// A control node; its disk is named after it.
+/// A control node whose disk has the same name.
 fn control_node(name: &str) -> Node {
     Node {
         name: name.into(),
@@ -39,7 +40,7 @@
     Node { is_gateway: true, disk: None, control_address: None, ..control_node(name) }
 }
 
-/// What a process knows that has heard of these others.
+/// Directory of a process that knows these other processes.
 fn directory(own: Node, others: &[Node]) -> Directory {
     let mut directory = Directory::new(own, ms(1000), ms(0));
     for other in others {
@@ -48,13 +49,13 @@
     directory
 }
 
-/// The members of an epoch, by their names.
+/// Membership of an epoch, by the names of the members.
 fn membership(epoch: u64, names: &[&str]) -> Membership {
     let member = |name: &&str| Member { disk: (*name).into(), address: format!("{name}:7080").into() };
     Membership::new(epoch, names.iter().map(member).collect())
 }
 
-/// A link that this process opened at time 0.
+/// Opens an outgoing link at time 0.
 fn link_to(links: &mut LinkTable, peer: Node) -> LinkId {
     links.open(peer, Direction::Outgoing, ms(0))
 }
