--- a/crates/node/src/engine/anti_entropy.rs
+++ b/crates/node/src/engine/anti_entropy.rs
@@ -19,7 +19,7 @@
 pub struct RepairContext {
     /// Whether this process is a control node.
     pub is_control_node: bool,
-    /// Whether this process has applied the entries of a control node in contact with a quorum.
+    /// Whether this process has applied all entries of a control node in contact with a quorum.
     pub is_caught_up: bool,
     /// Whether this process's name is lower than the peer's. The lower one of two peers starts the repair.
     pub is_lower_name: bool,
--- a/crates/node/src/engine/command.rs
+++ b/crates/node/src/engine/command.rs
@@ -85,7 +85,7 @@
     UpdateDataPlane {
         /// Changed entries.
         updates: Vec<Update>,
-        /// Number of gateways that share the rate budgets.
+        /// Number of gateways that share the budgets.
         gateways: usize,
     },
     /// Passes the configuration in force to the data plane.
--- a/crates/node/src/engine/comparison_events.rs
+++ b/crates/node/src/engine/comparison_events.rs
@@ -14,6 +14,8 @@
         self.send(links, Message::Digest(digest));
     }
 
+    /// Handles the digest of a peer: requests the configuration if the peer has a newer one, and sends bucket
+    /// digests if entries differ and a repair is due.
     pub(super) fn digest_received(&mut self, id: LinkId, digest: Digest, now: Duration) {
         self.request_config_if_newer(AnnouncedVersion { version: digest.version, link: id }, now);
         let own = self.directory.digest(self.version());
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Handles the bucket digests of a peer: sends the ranks of the entries in the buckets that differ.
     pub(super) fn buckets_received(&mut self, link: LinkId, buckets: &BucketDigests) {
         let differing = self.directory.differing_buckets(buckets);
         if !differing.is_empty() || buckets.epoch != self.directory.membership().epoch {
@@ -46,6 +49,8 @@
         }
     }
 
+    /// Handles the entry ranks of a peer: sends the entries that are newer here, and the own ranks if the
+    /// peer has newer entries.
     pub(super) fn summary_received(&mut self, link: LinkId, summary: &RankSummary, now: Duration) {
         let is_behind = self.directory.is_behind(summary);
         let updates = self.directory.newer_than(summary);
@@ -69,6 +74,8 @@
         self.catch_up_if_verified();
     }
 
+    /// Marks a gateway as caught up once it has applied the state of a control node that has verified its
+    /// quorum.
     pub(super) fn catch_up_if_verified(&mut self) {
         let version = self.version();
         if self.readiness.catch_up_if_verified(&self.links, version) {
--- a/crates/node/src/engine/config_events.rs
+++ b/crates/node/src/engine/config_events.rs
@@ -8,6 +8,7 @@
 use crate::links::{LinkId, Message};
 
 impl Engine {
+    /// Sends the chosen configuration to a peer if its version is above `above`.
     pub(super) fn config_requested(&mut self, link: LinkId, above: u64) {
         let newer = self.config.chosen().filter(|chosen| chosen.version > above).cloned();
         if let Some(config) = newer {
@@ -15,6 +16,8 @@
         }
     }
 
+    /// Requests an announced configuration if it is newer than the one in force and no other transfer
+    /// precludes it.
     pub(super) fn request_config_if_newer(&mut self, announced: AnnouncedVersion, now: Duration) {
         let above = self.version();
         if announced.version <= above {
@@ -26,6 +29,7 @@
         }
     }
 
+    /// Handles a configuration that was requested from a peer.
     pub(super) fn config_received(&mut self, link: LinkId, config: VersionedConfig, now: Duration) {
         self.config_fetch.received(link);
         self.config_chosen(config, now);
--- a/crates/node/src/engine/config_fetch.rs
+++ b/crates/node/src/engine/config_fetch.rs
@@ -6,10 +6,10 @@
 use super::LinkTable;
 use crate::links::LinkId;
 
-/// Delay after which an outstanding configuration may be requested over another link.
+/// Delay after which a configuration that was requested and not received may be requested over another link.
 const OTHER_LINK_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Delay after which an outstanding configuration may be requested again over the same link. Before that, the
-/// transfer may still be in progress, queued behind other messages on a slow connection.
+/// Delay after which it may be requested again over the same link. Before that, the transfer may still be in
+/// progress, queued behind other messages on a slow connection.
 const SAME_LINK_RETRY_DELAY: Duration = Duration::from_millis(2500);
 
 /// Version of a configuration, and the link over which a peer announced it.
@@ -26,7 +26,7 @@
 pub struct ConfigFetch {
     /// Newest version that a peer has announced.
     newest: Option<AnnouncedVersion>,
-    /// Time of the last request over each link on which a requested configuration is outstanding.
+    /// Time of the last request over each link, until a configuration is received over it.
     requested_at: BTreeMap<LinkId, Duration>,
     /// Whether a peer other than the update source was the first to announce a newer configuration.
     was_announced_elsewhere: bool,
@@ -34,9 +34,10 @@
 
 impl ConfigFetch {
     /// Records that a peer announced a version above the one in force, and returns whether to request it over
-    /// that link. Returns false while a request to any peer is recent, or one to the same peer is
-    /// outstanding, so that at most one transfer at a time runs over a slow connection and superseded
-    /// versions are skipped. `update_source` is the link over which this process receives updates.
+    /// that link. Returns false while another request is recent or one to the same peer is outstanding, so
+    /// that at most one transfer at a time runs over a slow connection and superseded versions are skipped.
+    /// `update_source` is the link over which this process receives updates; its announcements have
+    /// precedence.
     pub fn should_request(
         &mut self, announced: AnnouncedVersion, update_source: Option<LinkId>, links: &LinkTable,
         now: Duration,
--- a/crates/node/src/engine/dialer.rs
+++ b/crates/node/src/engine/dialer.rs
@@ -87,8 +87,8 @@
         let missing = peers.into_iter().filter(|node| !is_linked(node));
         let mut addresses: Vec<Address> = missing.map(|node| node.address.clone()).collect();
         if is_control_node {
-            // A control node that was down may come back when all seeds in its settings are gone, so that it
-            // cannot find the others: they dial it.
+            // All control nodes dial one that is down. When it comes back, the seeds in its settings may all
+            // be gone, so that it cannot find the others itself.
             let is_unlinked_and_down = |node: &&Node| {
                 node.is_down
                     && node.disk.is_some()
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -9,7 +9,7 @@
 use crate::links::{ConnectionEnd, Direction, LinkId, Message};
 
 impl Engine {
-    /// Records a new link, after the handshake with the peer.
+    /// Handles a new link after the handshake with the peer, and returns its identifier.
     pub fn link_opened(&mut self, peer: Node, direction: Direction, now: Duration) -> LinkId {
         let link = self.links.open(peer.clone(), direction, now);
         for redundant in self.links.redundant_with(link, &self.directory.own().address) {
--- a/crates/node/src/engine/link_table.rs
+++ b/crates/node/src/engine/link_table.rs
@@ -169,8 +169,8 @@
     /// Returns one link for each linked process.
     #[must_use]
     pub fn one_per_peer(&self) -> Vec<LinkId> {
-        let mut seen = BTreeSet::new();
-        self.iter().filter(|(_, link)| seen.insert(&link.peer.name)).map(|(id, _)| id).collect()
+        let mut seen_peers = BTreeSet::new();
+        self.iter().filter(|(_, link)| seen_peers.insert(&link.peer.name)).map(|(id, _)| id).collect()
     }
 
     /// Adds a link after the handshake with the peer.
--- a/crates/node/src/engine/membership_events.rs
+++ b/crates/node/src/engine/membership_events.rs
@@ -54,7 +54,8 @@
         self.membership_role.change_ended();
     }
 
-    /// Whether a process that is shutting down may exit without risk to the membership.
+    /// Whether this process, which is shutting down, may exit: it has left the membership where possible, and
+    /// a quorum of the remaining members holds its state.
     #[must_use]
     pub fn may_shut_down(&self, now: Duration) -> bool {
         let Some(register) = &self.register else { return true };
--- a/crates/node/src/engine/membership_role.rs
+++ b/crates/node/src/engine/membership_role.rs
@@ -55,7 +55,8 @@
         self.is_changing = false;
     }
 
-    /// Whether a process that is shutting down may exit without risk to the membership.
+    /// Whether this process, which is shutting down, may exit: it has left the membership where possible, and
+    /// a quorum of the remaining members holds its state.
     #[must_use]
     pub fn may_shut_down(&self, own: &DiskId, register: &Register, view: MembershipView<'_>) -> bool {
         may_shut_down(own, register.synced_progress(), view, self.planner.policy())
--- a/crates/node/src/engine/register.rs
+++ b/crates/node/src/engine/register.rs
@@ -48,7 +48,7 @@
     pub requests: Vec<OutgoingRequest>,
     /// Delay after which [`Register::poll`] must be called.
     pub poll_after: Option<Duration>,
-    /// Membership that an operation has learned from a response.
+    /// Newest membership that an operation has encountered.
     pub membership: Option<Membership>,
 }
 
@@ -277,9 +277,9 @@
         self.operations.retain(|_, running| running.deadline > now && !running.done.is_closed());
         self.discard_ended_requests();
         let mut commands = RegisterCommands::default();
-        let due = |running: &RunningOperation| running.retry_at <= now;
+        let is_due = |running: &RunningOperation| running.retry_at <= now;
         let due: Vec<u64> =
-            self.operations.iter().filter(|(_, running)| due(running)).map(|(id, _)| *id).collect();
+            self.operations.iter().filter(|(_, running)| is_due(running)).map(|(id, _)| *id).collect();
         for id in due {
             let Some(running) = self.operations.get_mut(&id) else { continue };
             let delay = running.retries.delay_after_resend();
--- a/crates/node/src/engine/server_events.rs
+++ b/crates/node/src/engine/server_events.rs
@@ -77,6 +77,7 @@
         }
     }
 
+    /// Passes the response of a member to the wait with this number.
     pub(super) fn update_response_received(&mut self, number: u64, link: LinkId, response: UpdateResponse) {
         if let Some(acknowledgement) = self.acknowledgements.get_mut(&number) {
             acknowledgement.response_received(link, response);
--- a/crates/node/src/engine/status_report.rs
+++ b/crates/node/src/engine/status_report.rs
@@ -14,7 +14,7 @@
 pub struct StatusContext {
     /// Whether this process can serve clients' requests.
     pub is_ready: bool,
-    /// Use of the data plane's shares of rate budgets.
+    /// Use of the data plane's shares of the budgets.
     pub allotments: Value,
 }
 
--- a/crates/node/src/engine/update_events.rs
+++ b/crates/node/src/engine/update_events.rs
@@ -8,6 +8,7 @@
 use crate::links::{LinkId, Message};
 
 impl Engine {
+    /// Applies updates from a peer, and acknowledges them if `number` is above 0.
     pub(super) fn updates_received(
         &mut self, link: LinkId, number: u64, updates: Vec<Update>, now: Duration,
     ) {
@@ -57,7 +58,7 @@
         self.server_hints.observe(&updates);
         let is_from_control_node =
             from.and_then(|link| self.links.get(link)).is_some_and(Link::is_to_control_node);
-        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Local };
+        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Other };
         self.update_queue.push(updates, origin);
         self.flush_updates(now);
     }
--- a/crates/node/src/engine/update_queue.rs
+++ b/crates/node/src/engine/update_queue.rs
@@ -13,8 +13,8 @@
 /// Origin of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOrigin {
-    /// This process, one of its servers or operators, or a gateway.
-    Local,
+    /// Any other source: this process, one of its servers or operators, or a gateway.
+    Other,
     /// Another control node, which sends the update to the other control nodes itself.
     ControlNode,
 }
@@ -51,7 +51,7 @@
     /// Appends updates to the queue.
     pub fn push(&mut self, updates: Vec<Update>, origin: UpdateOrigin) {
         match origin {
-            UpdateOrigin::Local => self.queued.for_all.extend(updates),
+            UpdateOrigin::Other => self.queued.for_all.extend(updates),
             UpdateOrigin::ControlNode => self.queued.for_subscribers.extend(updates),
         }
     }
--- a/crates/node/tests/engine/connections.rs
+++ b/crates/node/tests/engine/connections.rs
@@ -97,10 +97,10 @@
     let mut queue = UpdateQueue::default();
     let update = |name| vec![Update::Node(gateway(name))];
     assert_eq!(queue.flush_time(ms(0)), FlushTime::NotNeeded);
-    queue.push(update("a"), UpdateOrigin::Local);
+    queue.push(update("a"), UpdateOrigin::Other);
     assert_eq!(queue.flush_time(ms(0)), FlushTime::Now);
     assert_eq!(queue.take(ms(0)).for_all, update("a"));
-    queue.push(update("b"), UpdateOrigin::Local);
+    queue.push(update("b"), UpdateOrigin::Other);
     assert_eq!(queue.flush_time(ms(10)), FlushTime::At(ms(50)));
     queue.push(update("c"), UpdateOrigin::ControlNode);
     assert_eq!(queue.flush_time(ms(20)), FlushTime::NotNeeded, "the timer is already set");
