--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -4,7 +4,7 @@
 
 use ashvane_gossip::Update;
 use ashvane_identifiers::Address;
-use ashvane_quorum::{Chosen, Member, Membership, Outcome, Request, Response, VersionedConfig};
+use ashvane_quorum::{ChosenProposal, Member, Membership, Outcome, Request, Response, VersionedConfig};
 use tokio::sync::oneshot;
 
 use super::{
@@ -38,7 +38,7 @@
 
     /// Returns the newest membership if a quorum of it can be reached from this process.
     fn reachable_membership(&self) -> Option<Membership> {
-        let own = &self.directory.own().address;
+        let own = &self.directory.own_node().address;
         let is_reachable =
             |member: &&Member| member.address == *own || self.links.to_address(&member.address).is_some();
         let membership = self.membership()?;
@@ -47,18 +47,18 @@
     }
 
     /// Records the result of a write.
-    pub fn write_ended(&mut self, chosen: &Chosen, now: Duration) {
+    pub fn write_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
         self.value_chosen(chosen, now);
     }
 
     /// Records the result of a read.
-    pub fn read_ended(&mut self, chosen: &Chosen, now: Duration) {
+    pub fn read_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
         self.register_reads.has_completed = true;
         self.value_chosen(chosen, now);
     }
 
     /// Puts a chosen value in force, and stores it in the local replica if that has missed it.
-    fn value_chosen(&mut self, chosen: &Chosen, now: Duration) {
+    fn value_chosen(&mut self, chosen: &ChosenProposal, now: Duration) {
         if let Some(register) = &mut self.register {
             let response = register.learn(chosen);
             self.commands.push(Command::SyncReplica { response, then: AfterSync::Discard });
@@ -128,7 +128,7 @@
     fn send_request(&mut self, outgoing: OutgoingRequest) {
         let Some(register) = &mut self.register else { return };
         let OutgoingRequest { member, number, request } = outgoing;
-        if member.address == self.directory.own().address {
+        if member.address == self.directory.own_node().address {
             register.request_sent(number, RequestPath::Local);
             let response = register.handle_request(&request);
             self.commands.push(Command::SyncReplica { response, then: AfterSync::RespondLocally(number) });
--- a/crates/node/src/engine/quorum_contact.rs
+++ b/crates/node/src/engine/quorum_contact.rs
@@ -20,7 +20,7 @@
 
 impl QuorumContact<'_> {
     fn is_control_node(&self) -> bool {
-        self.directory.own().disk.is_some()
+        self.directory.own_node().disk.is_some()
     }
 
     /// At a control node, whether a quorum of the members is reachable, counting its own disk if it is a
@@ -51,7 +51,7 @@
     /// members.
     fn has_quorum_of(&self, satisfies: impl Fn(&Link) -> bool) -> bool {
         let membership = self.directory.membership();
-        let own = self.directory.own().disk.as_ref();
+        let own = self.directory.own_node().disk.as_ref();
         let is_reached = |disk: &DiskId| {
             let is_to_disk = |link: &Link| link.peer.disk.as_ref() == Some(disk);
             self.links.iter().any(|(_, link)| is_to_disk(link) && link.is_alive(self.now) && satisfies(link))
