--- a/crates/node/src/engine/failure_detector.rs
+++ b/crates/node/src/engine/failure_detector.rs
@@ -18,7 +18,7 @@
 }
 
 impl FailureDetector {
-    /// Starts to monitor a process that has opened a link.
+    /// Starts to monitor a process to which a link was opened.
     pub fn link_opened(&mut self, name: NodeName) {
         self.unlinked_since.insert(name, None);
     }
--- a/crates/node/src/engine/log_event.rs
+++ b/crates/node/src/engine/log_event.rs
@@ -38,7 +38,7 @@
     MembershipChanging {
         /// Epoch that the change starts.
         epoch: u64,
-        /// Disks of the members in that epoch.
+        /// Disks of the members after the change.
         disks: Vec<DiskId>,
     },
     /// A membership change started by this process has completed.
--- a/crates/node/src/engine/server_events.rs
+++ b/crates/node/src/engine/server_events.rs
@@ -11,7 +11,7 @@
 
 /// Update that waits for a quorum of the members to apply it.
 pub struct PendingAcknowledgement {
-    /// Identifies the wait in [`Engine::acknowledgement_ended`].
+    /// Identifies the pending acknowledgement in [`Engine::acknowledgement_ended`].
     pub number: u64,
     /// Notified once a quorum has applied the update.
     pub applied: oneshot::Receiver<()>,
@@ -54,7 +54,7 @@
         Some(PendingAcknowledgement { number, applied })
     }
 
-    /// Removes a wait, completed or not.
+    /// Removes a pending acknowledgement, completed or not.
     pub fn acknowledgement_ended(&mut self, number: u64) {
         self.acknowledgements.remove(&number);
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Passes the response of a member to the wait with this number.
+    /// Passes the response of a member to the pending acknowledgement with this number.
     pub(super) fn update_response_received(&mut self, number: u64, link: LinkId, response: UpdateResponse) {
         if let Some(acknowledgement) = self.acknowledgements.get_mut(&number) {
             acknowledgement.response_received(link, response);
