--- a/crates/node/src/engine/comparison_events.rs
+++ b/crates/node/src/engine/comparison_events.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: two processes compare what they know by digests, and exchange what either has missed.
+//! Anti-entropy: two processes compare digests of their directories and exchange the entries that either one
+//! has missed.
 
 use std::time::Duration;
 
@@ -13,6 +14,8 @@
         self.send(links, Message::Digest(digest));
     }
 
+    /// Handles the digest of a peer: requests the configuration if the peer has a newer one, and sends bucket
+    /// digests if entries differ and a repair is due.
     pub(super) fn digest_received(&mut self, id: LinkId, digest: Digest, now: Duration) {
         self.request_config_if_newer(AnnouncedVersion { version: digest.version, link: id }, now);
         let own = self.directory.digest(self.version());
@@ -20,12 +23,12 @@
         link.lacks_quorum = digest.lacks_quorum;
         if own.has_same_entries(&digest) {
             link.differing_digests = 0;
-            self.peer_compared(id);
+            self.peer_entries_applied(id);
             return;
         }
         let context = RepairContext {
             is_control_node: self.register.is_some(),
-            is_synced: self.readiness.is_synced(),
+            is_caught_up: self.readiness.is_caught_up(),
             is_lower_name: self.directory.own_node().name < link.peer.name,
             is_peer_member: link
                 .peer
@@ -38,6 +41,7 @@
         }
     }
 
+    /// Handles the bucket digests of a peer: sends the ranks of the entries in the buckets that differ.
     pub(super) fn buckets_received(&mut self, link: LinkId, buckets: &BucketDigests) {
         let differing = self.directory.differing_buckets(buckets);
         if !differing.is_empty() || buckets.epoch != self.directory.membership().epoch {
@@ -45,33 +49,37 @@
         }
     }
 
+    /// Handles the entry ranks of a peer: sends the entries that are newer here, and the own ranks if the
+    /// peer has newer entries.
     pub(super) fn summary_received(&mut self, link: LinkId, summary: &RankSummary, now: Duration) {
         let is_behind = self.directory.is_behind(summary);
         let updates = self.directory.updates_missing_from(summary);
         let own = is_behind.then(|| self.directory.summary(summary.buckets));
         if !updates.is_empty() {
             self.send(vec![link], Message::Update { number: 0, updates });
-            // The peer sees at once whether that was all.
+            // Lets the peer detect at once whether entries still differ.
             self.send_digest(vec![link], now);
         }
         match own {
             Some(own) => self.send(vec![link], Message::Summary(own)),
-            None => self.peer_compared(link),
+            None => self.peer_entries_applied(link),
         }
     }
 
-    /// All that a peer knew has been applied.
-    fn peer_compared(&mut self, link: LinkId) {
+    /// Records that all entries known to a peer have been applied here.
+    fn peer_entries_applied(&mut self, link: LinkId) {
         if let Some(link) = self.links.get_mut(link) {
-            link.has_compared = true;
+            link.has_applied_peer_entries = true;
         }
-        self.sync_if_verified();
+        self.catch_up_if_verified();
     }
 
-    pub(super) fn sync_if_verified(&mut self) {
+    /// Marks a gateway as caught up once it has applied the state of a control node that has verified its
+    /// quorum.
+    pub(super) fn catch_up_if_verified(&mut self) {
         let version = self.version();
-        if self.readiness.sync_if_verified(&self.links, version) {
-            self.log(LogEvent::Synced { version });
+        if self.readiness.catch_up_if_verified(&self.links, version) {
+            self.log(LogEvent::CaughtUp { version });
         }
     }
 }
--- a/crates/node/src/engine/link_events.rs
+++ b/crates/node/src/engine/link_events.rs
@@ -1,15 +1,15 @@
-//! What happens on the links: they open and close, and messages come.
+//! Events of links: opened, closed, message received.
 
 use std::time::Duration;
 
 use ashvane_gossip::{Node, Update, select_peers};
 use ashvane_identifiers::Address;
 
-use super::{Command, Engine, RequestPath, UpdateAnswer};
+use super::{Command, Engine, RequestPath, UpdateResponse};
 use crate::links::{ConnectionEnd, Direction, LinkId, Message};
 
 impl Engine {
-    /// A peer has presented itself on a new connection.
+    /// Handles a new link after the handshake with the peer, and returns its identifier.
     pub fn link_opened(&mut self, peer: Node, direction: Direction, now: Duration) -> LinkId {
         let link = self.links.open(peer.clone(), direction, now);
         for redundant in self.links.redundant_with(link, &self.directory.own_node().address) {
@@ -23,7 +23,7 @@
         self.apply_updates(vec![Update::Node(peer)], Some(link), now);
         self.send_digest(vec![link], now);
         self.verify_control_nodes(now);
-        self.ask_for_acknowledgements();
+        self.request_acknowledgements();
         if let Some(report) = self.replica_report().filter(|_| is_control_node) {
             self.send(vec![link], Message::ReplicaReport(report));
             self.replica_reachable(&address, now);
@@ -31,21 +31,21 @@
         link
     }
 
-    /// A connection has ended, whoever ended it.
+    /// Records that a connection was closed by either side.
     pub fn link_closed(&mut self, link: LinkId) {
-        self.links.counters.closed += 1;
+        self.links.counters.closed_connections += 1;
         if let Some(link) = self.links.remove(link) {
             self.dialer.link_closed(&link.peer.address);
         }
     }
 
-    /// An attempt to connect has ended, and with it the link if it led to one.
+    /// Records that a connection attempt, or the connection that resulted from it, has ended.
     pub fn connection_ended(&mut self, address: &Address, end: ConnectionEnd, now: Duration) {
         self.dialer.connection_ended(address, end, now);
     }
 
-    /// A gateway has one control node that sends it updates: the first of its peers that is linked, and is in contact with a
-    /// quorum if there is such a one.
+    /// At a gateway, subscribes to updates from one control node: the first linked one among its selected
+    /// peers, preferably one in contact with a quorum.
     pub(super) fn select_update_source(&mut self, now: Duration) {
         if self.is_control_node() {
             return;
@@ -76,14 +76,15 @@
         candidates.iter().find(is_in_contact).or(candidates.first()).copied()
     }
 
-    /// A message has come over a link.
+    /// Handles a message received over a link.
     pub fn message_received(&mut self, link: LinkId, message: Message, now: Duration) {
         match message {
-            // The first message of a link only, and never compressed twice.
+            // `Hello` is valid only as the first message of a link, and `Compressed` messages are never
+            // nested.
             Message::Hello(_) | Message::Compressed(_) => {}
             Message::Update { number, updates } => self.updates_received(link, number, updates, now),
             Message::UpdateApplied { number, is_applied, epoch } => {
-                self.update_answered(number, link, UpdateAnswer { is_applied, epoch });
+                self.update_response_received(number, link, UpdateResponse { is_applied, epoch });
             }
             Message::Digest(digest) => self.digest_received(link, digest, now),
             Message::Buckets(buckets) => self.buckets_received(link, &buckets),
@@ -100,7 +101,7 @@
                 self.replica_responded(number, RequestPath::Link(link), response, now);
             }
             Message::VerifyQuorum { number } => {
-                self.verification_questions.push(link, number);
+                self.verification_requests.push(link, number);
                 self.answer_verifications(now);
             }
             Message::QuorumVerified { number, digest } => self.quorum_verified(link, number, digest, now),
--- a/crates/node/src/engine/operations.rs
+++ b/crates/node/src/engine/operations.rs
@@ -1,4 +1,4 @@
-//! The register as this process uses it: requests and responses between the operations that run here and the replicas.
+//! Exchange of requests and responses between local register operations and the replicas.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use tokio::sync::oneshot;
 
 use super::{
-    Command, Engine, OnceSynced, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
+    AfterSync, Command, Engine, OutgoingRequest, RegisterCommands, RequestPath, StartedOperation,
     SyncedResponse, UnsyncedResponse,
 };
 use crate::links::{LinkId, Message};
 
 impl Engine {
-    /// Starts to have a configuration chosen. None where that cannot end: this is no control node, or no quorum of the
-    /// members is linked.
+    /// Starts a write of a configuration to the register. Returns `None` if the write cannot succeed: this
+    /// process is not a control node, or is not linked to a quorum of the members.
     pub fn start_write(
         &mut self, config: VersionedConfig, now: Duration,
     ) -> Option<oneshot::Receiver<Outcome>> {
@@ -24,7 +24,7 @@
         Some(self.start_operation(started, now))
     }
 
-    /// Starts to read what is chosen. None as for [`Engine::start_write`].
+    /// Starts a read of the register. Returns `None` under the same conditions as [`Engine::start_write`].
     pub fn start_read(&mut self, now: Duration) -> Option<oneshot::Receiver<Outcome>> {
         let membership = self.reachable_membership()?;
         let started = self.register.as_mut()?.read(membership, now);
@@ -32,11 +32,11 @@
     }
 
     fn start_operation(&mut self, started: StartedOperation, now: Duration) -> oneshot::Receiver<Outcome> {
-        self.perform(started.commands, now);
+        self.execute_register_commands(started.commands, now);
         started.outcome
     }
 
-    /// The newest membership, where a quorum of it can be asked from here.
+    /// Returns the newest membership if a quorum of it can be reached from this process.
     fn reachable_membership(&self) -> Option<Membership> {
         let own = &self.directory.own_node().address;
         let is_reachable =
@@ -46,72 +46,74 @@
         (reachable >= membership.quorum_size()).then_some(membership)
     }
 
-    /// A write has ended.
+    /// Records the result of a write.
     pub fn write_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
         self.value_chosen(chosen, now);
     }
 
-    /// A read has ended.
+    /// Records the result of a read.
     pub fn read_ended(&mut self, chosen: &ChosenProposal, now: Duration) {
-        self.register_reads.has_read = true;
+        self.register_reads.has_completed = true;
         self.value_chosen(chosen, now);
     }
 
-    /// A chosen value is in force here, and on the own disk where that missed it.
+    /// Puts a chosen value in force, and stores it in the local replica if that has missed it.
     fn value_chosen(&mut self, chosen: &ChosenProposal, now: Duration) {
         if let Some(register) = &mut self.register {
             let response = register.learn(chosen);
-            self.commands.push(Command::SyncReplica { response, then: OnceSynced::Nothing });
+            self.commands.push(Command::SyncReplica { response, then: AfterSync::Discard });
         }
         if let Some(config) = chosen.config() {
             self.config_chosen(config.clone(), now);
         }
     }
 
-    /// Reads the register at start, and where the own disk is behind: that brings it up, whether or not anybody writes.
-    pub(super) fn refresh_register(&mut self, now: Duration) {
+    /// Starts a background read at the start of the process, and whenever the local replica is behind. The
+    /// read brings the replica up to date even if no operator writes.
+    pub(super) fn read_register_if_due(&mut self, now: Duration) {
         if !self.is_control_node() {
             return;
         }
         self.poll_operations(now);
-        let is_due = !self.register_reads.has_read || self.is_replica_behind();
-        if is_due && !std::mem::replace(&mut self.register_reads.is_reading, true) {
+        let is_due = !self.register_reads.has_completed || self.is_replica_behind();
+        if is_due && !std::mem::replace(&mut self.register_reads.is_in_progress, true) {
             self.commands.push(Command::ReadRegister);
         }
     }
 
-    /// A read that [`Command::ReadRegister`] asked for has ended, whatever it found.
+    /// Records the end of a read started by [`Command::ReadRegister`], successful or not.
     pub fn background_read_ended(&mut self) {
-        self.register_reads.is_reading = false;
+        self.register_reads.is_in_progress = false;
     }
 
-    /// Whether this process's disk is a member and holds the state of an earlier epoch, or another version than the one in
-    /// force: it has missed a choice, or holds what may not have been chosen.
+    /// Whether the local disk is a member, and holds the state of an earlier epoch or a version other than
+    /// the one in force: it has missed a chosen value, or holds one that may not have been chosen.
     fn is_replica_behind(&self) -> bool {
         let (Some(register), Some(disk)) = (&self.register, self.own_disk()) else { return false };
         let membership = self.membership().unwrap_or_default();
         let is_other_version = register.accepted_version().unwrap_or(0) != self.version();
-        membership.contains(disk) && (register.synced().epoch < membership.epoch || is_other_version)
+        membership.contains(disk) && (register.synced_progress().epoch < membership.epoch || is_other_version)
     }
 
-    /// Sends again what operations have no response to.
+    /// Resends requests of local operations that are due for a retry, and drops operations past their
+    /// deadline.
     pub fn poll_operations(&mut self, now: Duration) {
         if let Some(register) = &mut self.register {
             let commands = register.poll(now);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 
-    /// A replica can be reached from now on: it is sent what is open for it.
+    /// Sends pending requests to a replica that has become reachable.
     pub(super) fn replica_reachable(&mut self, address: &Address, now: Duration) {
         if let Some(register) = &mut self.register {
             let commands = register.replica_reachable(address);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 
-    /// Does what operations want.
-    pub(super) fn perform(&mut self, commands: RegisterCommands, now: Duration) {
+    /// Executes commands issued by the register.
+    pub(super) fn execute_register_commands(&mut self, commands: RegisterCommands, now: Duration) {
         for outgoing in commands.requests {
             self.send_request(outgoing);
         }
@@ -128,23 +130,25 @@
         let OutgoingRequest { member, number, request } = outgoing;
         if member.address == self.directory.own_node().address {
             register.request_sent(number, RequestPath::Local);
-            let response = register.handle(&request);
-            self.commands.push(Command::SyncReplica { response, then: OnceSynced::RespondHere(number) });
+            let response = register.handle_request(&request);
+            self.commands.push(Command::SyncReplica { response, then: AfterSync::RespondLocally(number) });
         } else if let Some(link) = self.links.to_address(&member.address) {
             register.request_sent(number, RequestPath::Link(link));
             self.send(vec![link], Message::ReplicaRequest { number, request });
         }
     }
 
-    /// Another process's operation requests something of this process's replica. The response goes back on the link on
-    /// which the request came.
+    /// Handles a request of another process's operation to the local replica. The response is sent over the
+    /// link on which the request was received.
     pub(super) fn replica_requested(&mut self, link: LinkId, number: u64, request: &Request) {
         let Some(register) = &mut self.register else { return };
-        let response: UnsyncedResponse = register.handle(request);
-        self.commands.push(Command::SyncReplica { response, then: OnceSynced::Respond { link, number } });
+        let response: UnsyncedResponse = register.handle_request(request);
+        self.commands
+            .push(Command::SyncReplica { response, then: AfterSync::RespondOverLink { link, number } });
     }
 
-    /// The state that a response of the own replica rests on is on disk.
+    /// Records that the state on which a response of the local replica depends is synced to disk, and handles
+    /// the response.
     pub fn response_synced(&mut self, synced: SyncedResponse, now: Duration) {
         let SyncedResponse { then, response, progress } = synced;
         if let Some(register) = &mut self.register {
@@ -152,23 +156,23 @@
         }
         self.report_replica();
         match then {
-            OnceSynced::RespondHere(number) => {
+            AfterSync::RespondLocally(number) => {
                 self.replica_responded(number, RequestPath::Local, response, now);
             }
-            OnceSynced::Respond { link, number } => {
+            AfterSync::RespondOverLink { link, number } => {
                 self.send(vec![link], Message::ReplicaResponse { number, response });
             }
-            OnceSynced::Nothing => {}
+            AfterSync::Discard => {}
         }
     }
 
-    /// A replica has responded to a request of an operation that runs here.
+    /// Passes the response of a replica to the local operation that sent the request.
     pub(super) fn replica_responded(
         &mut self, number: u64, path: RequestPath, response: Response, now: Duration,
     ) {
         if let Some(register) = &mut self.register {
             let commands = register.response_received(number, path, response, now);
-            self.perform(commands, now);
+            self.execute_register_commands(commands, now);
         }
     }
 }
--- a/crates/node/src/engine/update_events.rs
+++ b/crates/node/src/engine/update_events.rs
@@ -1,4 +1,4 @@
-//! Updates: applied where they are newer, spread to those that have not heard them.
+//! Events of updates: applied if they are newer, then disseminated to other processes.
 
 use std::time::Duration;
 
@@ -8,21 +8,22 @@
 use crate::links::{LinkId, Message};
 
 impl Engine {
+    /// Applies updates from a peer, and acknowledges them if `number` is above 0.
     pub(super) fn updates_received(
         &mut self, link: LinkId, number: u64, updates: Vec<Update>, now: Duration,
     ) {
-        let is_answer_wanted = number > 0;
-        let wanted = is_answer_wanted.then(|| updates.clone());
+        let is_response_requested = number > 0;
+        let updates_to_acknowledge = is_response_requested.then(|| updates.clone());
         self.apply_updates(updates, Some(link), now);
-        if let Some(updates) = wanted {
+        if let Some(updates) = updates_to_acknowledge {
             let is_applied = updates.iter().all(|update| self.directory.has_applied(update));
             let epoch = self.directory.membership().epoch;
             self.send(vec![link], Message::UpdateApplied { number, is_applied, epoch });
         }
     }
 
-    /// Applies updates that are newer, and spreads them. Whoever sends as running what is gone is told so over the same
-    /// link.
+    /// Applies updates that are newer, and disseminates them. A peer that sends a terminated server or a down
+    /// process as running receives a refutation over the same link.
     pub(super) fn apply_updates(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
         if let Some(link) = from {
             self.refute(link, &updates);
@@ -30,9 +31,9 @@
         let changed: Vec<Update> =
             updates.into_iter().flat_map(|update| self.directory.apply(update, now)).collect();
         let is_membership_changed = changed.iter().any(|update| matches!(update, Update::Membership(_)));
-        self.spread(changed, from, now);
+        self.disseminate(changed, from, now);
         if is_membership_changed {
-            self.acknowledgements_need_next_membership();
+            self.require_quorum_of_next_membership();
         }
     }
 
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Tells others what changed here; `from` is the link over which it came.
-    pub(super) fn spread(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
+    /// Passes changed entries on to other processes and to the local data plane. `from` is the link over
+    /// which they were received, if any.
+    pub(super) fn disseminate(&mut self, updates: Vec<Update>, from: Option<LinkId>, now: Duration) {
         if updates.is_empty() {
             return;
         }
@@ -56,15 +58,15 @@
         self.server_hints.observe(&updates);
         let is_from_control_node =
             from.and_then(|link| self.links.get(link)).is_some_and(Link::is_to_control_node);
-        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Here };
+        let origin = if is_from_control_node { UpdateOrigin::ControlNode } else { UpdateOrigin::Other };
         self.update_queue.push(updates, origin);
         self.flush_updates(now);
     }
 
-    /// Sends the updates that wait, or asks for a timer.
+    /// Sends queued updates, or requests a timer for sending them.
     pub fn flush_updates(&mut self, now: Duration) {
         match self.update_queue.flush_time(now) {
-            FlushTime::Nothing => {}
+            FlushTime::NotNeeded => {}
             FlushTime::At(time) => self.commands.push(Command::FlushUpdatesAt(time)),
             FlushTime::Now => {
                 let queued = self.update_queue.take(now);
@@ -73,16 +75,17 @@
         }
     }
 
-    /// Control nodes tell each other what is new to one of them, and their subscribers; a gateway tells its update source.
-    /// Whoever is missed finds out by the next digests.
+    /// Sends queued updates. A control node sends those that originate from itself, its servers or gateways
+    /// to the other control nodes, and all updates to its subscribers. A gateway sends its updates to its
+    /// update source. A process that misses an update detects the difference by its next digests.
     fn send_updates(&mut self, queued: QueuedUpdates) {
         let QueuedUpdates { for_all, for_subscribers } = queued;
-        let to_all = match self.is_control_node() {
+        let links_for_all = match self.is_control_node() {
             true => self.links.to_control_nodes().map(|(id, _)| id).collect(),
             false => self.update_source.into_iter().collect(),
         };
         if !for_all.is_empty() {
-            self.send(to_all, Message::Update { number: 0, updates: for_all.clone() });
+            self.send(links_for_all, Message::Update { number: 0, updates: for_all.clone() });
         }
         if !self.is_control_node() {
             return;
