--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -129,7 +129,7 @@
     pub fn is_ready(&self) -> bool {
         self.is_current()
             && !self.is_shutting_down()
-            && self.data_plane.as_ref().is_some_and(|data_plane| data_plane.knows_servers())
+            && self.data_plane.as_ref().is_some_and(|data_plane| data_plane.has_ready_server())
     }
 
     /// Whether the process shuts down.
@@ -192,7 +192,7 @@
     #[must_use]
     pub fn status(&self) -> Value {
         let allotments = match &self.data_plane {
-            Some(data_plane) => data_plane.allotments(),
+            Some(data_plane) => data_plane.budget_usage(),
             None => Value::Array(Vec::new()),
         };
         let context = StatusContext { is_ready: self.is_ready(), allotments };
--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -18,8 +18,8 @@
 
 use crate::call_error::{CallError, Execution};
 use crate::config::{Config, Route, Target, WeightedService};
-use crate::merge::greatest;
-use crate::pool::{Answer, Asked, Connector, Pool, SERVER_SEAL};
+use crate::merge::merge_top_k;
+use crate::pool::{Connector, ForwardedRequest, Pool, SERVER_SEAL, ServerResponse};
 use crate::settings::Settings;
 
 /// Utility of an answer after the target time, as a share of the full: the configuration doesn't say.
@@ -32,7 +32,7 @@
 /// What becomes of a query.
 pub enum Reply {
     /// The server's own answer, unchanged.
-    Relayed(Answer),
+    Relayed(ServerResponse),
     Gathered {
         seals: Vec<HeaderValue>,
         missing: usize,
@@ -98,17 +98,17 @@
     arrived: u32,
     /// ... and how many have not ended.
     out: u32,
-    answer: Option<Answer>,
+    answer: Option<ServerResponse>,
 }
 
 struct Query {
     reply: oneshot::Sender<Reply>,
-    asked: Rc<Asked>,
+    asked: Rc<ForwardedRequest>,
     route: Rc<Route>,
     /// A part for each shard.
     parts: Vec<Part>,
     /// A server's own word that it failed.
-    failure: Option<Answer>,
+    failure: Option<ServerResponse>,
     may_have_run: bool,
 }
 
@@ -267,7 +267,7 @@
         Reply::Rejected(after)
     }
 
-    fn failed(&self, failure: Option<Answer>) -> Reply {
+    fn failed(&self, failure: Option<ServerResponse>) -> Reply {
         bump(&self.counters.aborted);
         failure.map_or(Reply::Aborted, Reply::Relayed)
     }
@@ -302,11 +302,11 @@
     // What is known of servers and gatherers.
 
     /// How many servers are kept here.
-    pub fn servers_kept(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.known.borrow().len()
     }
 
-    pub fn knows_servers(&self) -> bool {
+    pub fn has_ready_server(&self) -> bool {
         self.known.borrow().values().any(|(_, health)| *health == Health::Ready)
     }
 
@@ -367,9 +367,9 @@
         for (s, health) in &changed {
             match health {
                 Health::Ready => {
-                    self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()))
+                    self.pool.add_server(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()))
                 }
-                _ if s.state > ServerState::Ready => self.pool.is_gone(s.id.as_str()),
+                _ if s.state > ServerState::Ready => self.pool.remove_server(s.id.as_str()),
                 _ => {}
             }
         }
@@ -397,7 +397,7 @@
         let Some((server, health)) = self.known.borrow().get(id).cloned() else { return };
         if health != Health::Gone {
             self.known.borrow_mut().insert(id.to_owned(), (server.clone(), Health::Gone));
-            self.pool.is_gone(id);
+            self.pool.remove_server(id);
             let cell = self.cell(&server.service.as_str().into());
             self.tell(|g| {
                 g.list_begins(false);
@@ -413,7 +413,7 @@
         *self.config.borrow_mut() = Some(config.clone());
         let known: Vec<Server> = self.known.borrow().values().map(|(s, _)| s.clone()).collect();
         for s in known.iter().filter(|s| s.state == ServerState::Ready) {
-            self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()));
+            self.pool.add_server(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()));
         }
         for route in config.routes() {
             match &route.target {
@@ -455,7 +455,7 @@
 
     /// Takes a query; the reply comes once it is settled. Its number is for [`DataPlane::left`].
     pub fn ask(
-        self: &Rc<Self>, route: &Rc<Route>, asked: Asked, until: Instant,
+        self: &Rc<Self>, route: &Rc<Route>, asked: ForwardedRequest, until: Instant,
     ) -> (u64, oneshot::Receiver<Reply>) {
         bump(&self.counters.queries);
         let (reply, answer) = oneshot::channel();
@@ -529,7 +529,7 @@
         });
     }
 
-    fn settled(self: &Rc<Self>, part: u64, call: u32, server: &str, sent: Result<Answer, CallError>) {
+    fn settled(self: &Rc<Self>, part: u64, call: u32, server: &str, sent: Result<ServerResponse, CallError>) {
         if let Err(e) = &sent {
             let word = format!("{e:?}").split([' ', '{']).next().unwrap_or_default().to_owned();
             *self.counters.failed.borrow_mut().entry(word).or_default() += 1;
@@ -583,7 +583,7 @@
     fn answer(&self, query: u64) {
         let Some(q) = self.take(query) else { return };
         let asked_for = q.parts.len();
-        let answers: Vec<Answer> = q.parts.into_iter().filter_map(|part| part.answer).collect();
+        let answers: Vec<ServerResponse> = q.parts.into_iter().filter_map(|part| part.answer).collect();
         bump(if answers.len() < asked_for { &self.counters.partial } else { &self.counters.whole });
         let reply = match (&q.route.target, answers.len()) {
             (_, 0) => Reply::Aborted,
@@ -591,19 +591,19 @@
             (Target::All(_), got) => {
                 let seals = answers.iter().filter_map(|a| a.headers.get(SERVER_SEAL).cloned()).collect();
                 let parts: Vec<Bytes> = answers.into_iter().map(|a| a.body).collect();
-                Reply::Gathered { seals, missing: asked_for - got, body: greatest(&parts, q.route.top_k) }
+                Reply::Gathered { seals, missing: asked_for - got, body: merge_top_k(&parts, q.route.top_k) }
             }
         };
         let _ = q.reply.send(reply);
     }
 
     /// Connections that are open to servers.
-    pub fn open_connections(&self) -> usize {
-        self.pool.open()
+    pub fn open_connection_count(&self) -> usize {
+        self.pool.open_count()
     }
 
     /// This gatherer's part of what all share, by service.
-    pub fn allotments(&self) -> Value {
+    pub fn budget_usage(&self) -> Value {
         let shares = self.shares.borrow();
         let services: BTreeMap<u32, Rc<str>> =
             self.cells.borrow().iter().map(|(name, cell)| (*cell, name.clone())).collect();
@@ -625,7 +625,7 @@
             "again" => c.again.get(), "whole" => c.whole.get(), "partial" => c.partial.get(),
             "rejected" => c.rejected.get(), "aborted" => c.aborted.get(), "failed" => failed.join(" "),
             "held" => self.queries.borrow().len(), "parts" => self.parts.borrow().len(),
-            "open" => self.pool.open(), "connects" => p.connects.get(), "refused" => p.refused.get(),
+            "open" => self.pool.open_count(), "connects" => p.connects.get(), "refused" => p.refused.get(),
             "reused" => p.reused.get(), "foreign" => p.foreign.get());
     }
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -19,7 +19,7 @@
 use crate::agent::Agent;
 use crate::config::{Config, Limits};
 use crate::data_plane::{DataPlane, Reply};
-use crate::pool::{ATTEMPT_ID, Asked, Stream, drop_hop_headers, only};
+use crate::pool::{ATTEMPT_ID, ForwardedRequest, Stream, remove_hop_by_hop_headers, single_header};
 
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 const PART_SEALS: HeaderName = HeaderName::from_static("part-seals");
@@ -56,7 +56,7 @@
             let mut answer = Response::new(Full::new(relayed.body));
             *answer.status_mut() = relayed.status;
             *answer.headers_mut() = relayed.headers;
-            drop_hop_headers(answer.headers_mut());
+            remove_hop_by_hop_headers(answer.headers_mut());
             answer
         }
         Reply::Gathered { seals, missing, body } => {
@@ -74,23 +74,23 @@
 
 /// Connections of clients, for an orderly end.
 #[derive(Default)]
-pub struct Door {
+pub struct ClientConnections {
     open: RefCell<BTreeMap<u64, Rc<Notify>>>,
     busy: Cell<usize>,
     next: Cell<u64>,
 }
 
-impl Door {
+impl ClientConnections {
     /// Asks every connection to end after what it has open.
-    pub fn close(&self) {
+    pub fn close_gracefully(&self) {
         self.open.borrow().values().for_each(|end| end.notify_one());
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    pub fn busy(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.busy.get()
     }
 }
@@ -99,12 +99,12 @@
 struct Waiting {
     plane: Rc<DataPlane>,
     query: Option<u64>,
-    door: Rc<Door>,
+    clients: Rc<ClientConnections>,
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.door.busy.set(self.door.busy.get() - 1);
+        self.clients.busy.set(self.clients.busy.get() - 1);
         if let Some(query) = self.query.take() {
             self.plane.left(query);
         }
@@ -125,7 +125,8 @@
 }
 
 async fn answer(
-    request: Request<Incoming>, config: Option<Rc<Config>>, plane: &Rc<DataPlane>, door: &Rc<Door>,
+    request: Request<Incoming>, config: Option<Rc<Config>>, plane: &Rc<DataPlane>,
+    clients: &Rc<ClientConnections>,
 ) -> Answer {
     let came = Instant::now();
     let Some(config) = config else { return reject(Some(BACK_AFTER)) };
@@ -134,7 +135,7 @@
     let Some(route) = config.route(host, head.uri.path()).cloned() else {
         return say(StatusCode::NOT_FOUND, "no route\n");
     };
-    let Some(attempt) = only(&head.headers, &ATTEMPT_ID).cloned() else {
+    let Some(attempt) = single_header(&head.headers, &ATTEMPT_ID).cloned() else {
         return say(StatusCode::BAD_REQUEST, "one Attempt-Id is needed\n");
     };
     let stated = head.headers.get(DEADLINE_MS).and_then(|d| d.to_str().ok()?.parse::<u64>().ok());
@@ -143,36 +144,38 @@
         Ok(body) => body,
         Err(answer) => return answer,
     };
-    drop_hop_headers(&mut head.headers);
-    let asked = Asked {
+    remove_hop_by_hop_headers(&mut head.headers);
+    let asked = ForwardedRequest {
         method: head.method,
         // Servers are named by their path alone, though a client may name the host with it.
         uri: head.uri.path_and_query().cloned().map_or(head.uri, Uri::from),
         headers: head.headers,
         body,
-        attempt,
-        once: !route.is_idempotent,
+        attempt_id: attempt,
+        at_most_once: !route.is_idempotent,
         sent_to: RefCell::default(),
     };
-    door.busy.set(door.busy.get() + 1);
+    clients.busy.set(clients.busy.get() + 1);
     let (query, reply) = plane.ask(&route, asked, came + deadline);
-    let mut waiting = Waiting { plane: plane.clone(), query: Some(query), door: door.clone() };
+    let mut waiting = Waiting { plane: plane.clone(), query: Some(query), clients: clients.clone() };
     let reply = reply.await.unwrap_or(Reply::Aborted);
     waiting.query = None;
     encode(reply)
 }
 
 /// Serves one client's connection to its end.
-pub async fn serve(stream: impl Stream, agent: Rc<Agent>, plane: Rc<DataPlane>, door: Rc<Door>) {
-    let number = door.next.get();
-    door.next.set(number + 1);
+pub async fn serve_connection(
+    stream: impl Stream, agent: Rc<Agent>, plane: Rc<DataPlane>, clients: Rc<ClientConnections>,
+) {
+    let number = clients.next.get();
+    clients.next.set(number + 1);
     let end = Rc::new(Notify::new());
-    door.open.borrow_mut().insert(number, end.clone());
+    clients.open.borrow_mut().insert(number, end.clone());
     let limits = agent.config().map_or(Limits::default(), |c| c.limits);
     let service = service_fn(|request| {
-        let (agent, plane, door) = (agent.clone(), plane.clone(), door.clone());
+        let (agent, plane, clients) = (agent.clone(), plane.clone(), clients.clone());
         async move {
-            let mut answer = answer(request, agent.config(), &plane, &door).await;
+            let mut answer = answer(request, agent.config(), &plane, &clients).await;
             if agent.is_shutting_down() {
                 answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
@@ -192,16 +195,23 @@
             let _ = connection.await;
         }
     }
-    door.open.borrow_mut().remove(&number);
+    clients.open.borrow_mut().remove(&number);
 }
 
 /// Serves clients.
-pub async fn run(listener: TcpListener, agent: Rc<Agent>, plane: Rc<DataPlane>, door: Rc<Door>) {
+pub async fn accept_clients(
+    listener: TcpListener, agent: Rc<Agent>, plane: Rc<DataPlane>, clients: Rc<ClientConnections>,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                tokio::task::spawn_local(serve(stream, agent.clone(), plane.clone(), door.clone()));
+                tokio::task::spawn_local(serve_connection(
+                    stream,
+                    agent.clone(),
+                    plane.clone(),
+                    clients.clone(),
+                ));
             }
             Err(_) => sleep(ACCEPT_AGAIN).await,
         }
@@ -209,7 +219,7 @@
 }
 
 /// Answers whether this gatherer takes clients.
-pub async fn tell_readiness(listener: TcpListener, agent: Rc<Agent>) {
+pub async fn serve_readiness(listener: TcpListener, agent: Rc<Agent>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_AGAIN).await;
--- a/crates/node/src/merge.rs
+++ b/crates/node/src/merge.rs
@@ -6,7 +6,7 @@
 const RECORD: usize = 16;
 
 /// The greatest records of all parts, the greatest first.
-pub fn greatest(parts: &[Bytes], most: usize) -> Bytes {
+pub fn merge_top_k(parts: &[Bytes], most: usize) -> Bytes {
     let mut records: Vec<&[u8]> = parts.iter().flat_map(|part| part.chunks_exact(RECORD)).collect();
     if records.len() > most {
         if most == 0 {
@@ -42,7 +42,7 @@
             all.sort();
             all.reverse();
             all.truncate(most);
-            assert_eq!(greatest(&parts, most), all.concat());
+            assert_eq!(merge_top_k(&parts, most), all.concat());
         }
     }
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -44,18 +44,18 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
 /// A connection to a server that is coming up.
-pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
+pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
 /// What lies between a gateway and the servers.
 pub trait Connector {
-    fn connect(&self, address: &str) -> Connecting;
+    fn connect(&self, address: &str) -> ConnectFuture;
 }
 
 /// The network that the servers are on.
-pub struct Tcp;
+pub struct TcpConnector;
 
-impl Connector for Tcp {
-    fn connect(&self, address: &str) -> Connecting {
+impl Connector for TcpConnector {
+    fn connect(&self, address: &str) -> ConnectFuture {
         let address = address.to_owned();
         Box::pin(async move {
             let stream = TcpStream::connect(&address).await?;
@@ -66,21 +66,21 @@
 }
 
 /// A client's request as it is handed on: the same for every server.
-pub struct Asked {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub attempt: HeaderValue,
+    pub attempt_id: HeaderValue,
     /// It must not run twice, so nothing that breaks off can be sent again.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Servers that it was sent to.
     pub sent_to: RefCell<BTreeSet<Rc<str>>>,
 }
 
 /// A server's whole answer to this request.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -99,7 +99,7 @@
 }
 
 /// A server, and the connections to it.
-pub struct Target {
+pub struct ServerConnections {
     pub id: Rc<str>,
     address: String,
     most: Cell<usize>,
@@ -110,7 +110,7 @@
 }
 
 /// An open connection, counted as long as this lives.
-struct Open(Rc<Target>);
+struct Open(Rc<ServerConnections>);
 
 impl Drop for Open {
     fn drop(&mut self) {
@@ -128,7 +128,7 @@
 
 pub struct Pool {
     connector: Rc<dyn Connector>,
-    targets: RefCell<BTreeMap<Rc<str>, Rc<Target>>>,
+    targets: RefCell<BTreeMap<Rc<str>, Rc<ServerConnections>>>,
     pub counters: Rc<Counters>,
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// Headers that concern one connection only, and those that the connection itself names.
-pub fn drop_hop_headers(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -180,7 +180,7 @@
 }
 
 /// The value of a header that stands there once; none if it does not, or more than once.
-pub fn only<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+pub fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
@@ -207,7 +207,7 @@
 
 /// What a whole answer to this request counts for. That the request did not run is only ever the server's word, given
 /// with a failure: 421, or `Not-Executed`.
-fn judge(answer: Answer) -> Result<Answer, CallError> {
+fn judge(answer: ServerResponse) -> Result<ServerResponse, CallError> {
     let (status, headers) = (answer.status, &answer.headers);
     let fails = status.is_client_error() || status.is_server_error();
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -223,14 +223,14 @@
         return Err(CallError::Failed { status: status.as_u16() });
     }
     let one = |seal: &HeaderValue| !seal.is_empty() && !seal.as_bytes().contains(&b',');
-    let sealed = only(headers, &SERVER_SEAL).is_some_and(one);
+    let sealed = single_header(headers, &SERVER_SEAL).is_some_and(one);
     if status.is_success() && (headers.contains_key(header::CONTENT_ENCODING) || !sealed) {
         return Err(CallError::Unusable { what: "not the body of the server" });
     }
     Ok(answer)
 }
 
-impl Target {
+impl ServerConnections {
     /// The connection that fell idle last. A server may have forgotten one that has stood for a while, and then
     /// resets what is sent on it: what must not run twice would be lost, so it takes only one just used.
     fn take_idle(&self, once: bool) -> Option<Connection> {
@@ -287,11 +287,13 @@
     }
 
     /// Sends a request and reads the answer whole.
-    async fn send(self: &Rc<Self>, asked: &Asked, limit: Duration, pool: &Pool) -> Result<Answer, CallError> {
+    async fn send(
+        self: &Rc<Self>, asked: &ForwardedRequest, limit: Duration, pool: &Pool,
+    ) -> Result<ServerResponse, CallError> {
         let until = Instant::now() + limit;
         // A connection that has carried it may still bring a surplus answer to that call, under the same id.
         let first = asked.sent_to.borrow_mut().insert(self.id.clone());
-        let idle = if first { self.take_idle(asked.once) } else { None };
+        let idle = if first { self.take_idle(asked.at_most_once) } else { None };
         let mut connection = match idle {
             Some(connection) => {
                 bump(&pool.counters.reused);
@@ -323,7 +325,7 @@
             return Err(CallError::Unusable { what: "another protocol" });
         }
         // A surplus answer to an earlier request stands where this one's is due.
-        if only(&head.headers, &ATTEMPT_ID) != Some(&asked.attempt) {
+        if single_header(&head.headers, &ATTEMPT_ID) != Some(&asked.attempt_id) {
             bump(&pool.counters.foreign);
             return Err(CallError::Unusable { what: "an answer to another request" });
         }
@@ -335,7 +337,7 @@
         if let Some(kept) = kept_for(&head.headers) {
             self.give_back(connection, kept);
         }
-        judge(Answer { status: head.status, headers: head.headers, body })
+        judge(ServerResponse { status: head.status, headers: head.headers, body })
     }
 }
 
@@ -345,7 +347,7 @@
     }
 
     /// A server that may be sent requests, and how many connections it may have from here.
-    pub fn is_there(&self, id: &str, address: &str, most: usize) {
+    pub fn add_server(&self, id: &str, address: &str, most: usize) {
         let mut targets = self.targets.borrow_mut();
         if let Some(target) = targets.get(id) {
             target.most.set(most);
@@ -353,7 +355,7 @@
             return;
         }
         let id: Rc<str> = id.into();
-        let target = Target {
+        let target = ServerConnections {
             id: id.clone(),
             address: address.to_owned(),
             most: most.into(),
@@ -365,14 +367,16 @@
     }
 
     /// A server that gets nothing more.
-    pub fn is_gone(&self, id: &str) {
+    pub fn remove_server(&self, id: &str) {
         if let Some(target) = self.targets.borrow_mut().remove(id) {
             target.closed.set(true);
             target.idle.borrow_mut().clear();
         }
     }
 
-    pub async fn send(&self, id: &str, asked: &Asked, limit: Duration) -> Result<Answer, CallError> {
+    pub async fn send(
+        &self, id: &str, asked: &ForwardedRequest, limit: Duration,
+    ) -> Result<ServerResponse, CallError> {
         let target = self.targets.borrow().get(id).cloned();
         match target {
             Some(target) => target.send(asked, limit, self).await,
@@ -380,7 +384,7 @@
         }
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.targets.borrow().values().map(|t| t.open.get()).sum()
     }
 }
@@ -395,8 +399,8 @@
     #[tokio::test(start_paused = true)]
     async fn what_must_not_run_twice_takes_no_connection_that_rested() {
         let test = async {
-            let pool = Pool::new(Rc::new(Tcp));
-            pool.is_there("i-1", "127.0.0.1:1", 4);
+            let pool = Pool::new(Rc::new(TcpConnector));
+            pool.add_server("i-1", "127.0.0.1:1", 4);
             let target = pool.targets.borrow()["i-1"].clone();
             let (near, _far) = tokio::io::duplex(1024);
             let (mut sender, connection) = handshake(TokioIo::new(near)).await.expect("a connection");
@@ -409,7 +413,7 @@
             tokio::time::advance(JUST_USED * 2).await;
             assert!(target.take_idle(true).is_none(), "it may be forgotten by now");
             assert!(target.take_idle(false).is_some(), "what may be repeated takes it all the same");
-            pool.is_gone("i-1");
+            pool.remove_server("i-1");
             assert!(target.idle.borrow().is_empty());
         };
         LocalSet::new().run_until(test).await;
--- a/crates/node/src/program/graceful_shutdown.rs
+++ b/crates/node/src/program/graceful_shutdown.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::front::Door;
+use crate::front::ClientConnections;
 
 /// Time in which clients are sent elsewhere before the last connections are asked to end: whoever asks for readiness does so
 /// each second and goes by two answers.
@@ -29,16 +29,16 @@
     }
 
     /// Goes on with it. Whether the process is to end now.
-    pub fn is_complete(&mut self, agent: &Rc<Agent>, door: &Door) -> bool {
+    pub fn is_complete(&mut self, agent: &Rc<Agent>, clients: &ClientConnections) -> bool {
         let Some(began_at) = self.began_at else { return false };
         agent.shut_down();
         let has_clients = agent.settings.listen.gateway.is_some();
         let may_close_clients = !has_clients || began_at.elapsed() >= NOT_READY_BEFORE_CLOSE;
         if may_close_clients && !self.has_closed_clients {
             self.has_closed_clients = true;
-            door.close();
+            clients.close_gracefully();
         }
         let is_late = began_at.elapsed() + RESERVED_GRACE >= agent.settings.grace;
-        self.has_closed_clients && (is_late || (door.open() == 0 && agent.may_shut_down()))
+        self.has_closed_clients && (is_late || (clients.open_count() == 0 && agent.may_shut_down()))
     }
 }
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -22,7 +22,7 @@
 use crate::data_plane::DataPlane;
 use crate::disk::Disk;
 use crate::engine::TICK_INTERVAL;
-use crate::front::{self, Door};
+use crate::front::{self, ClientConnections};
 use crate::links::{self, Direction, TcpTransport, split_socket};
 use crate::settings::Settings;
 use crate::{control_api, pool};
@@ -63,14 +63,14 @@
     let internal = listeners::bind_internal(&settings)?;
     let address = internal.local_addr()?.to_string();
     let agent = start_agent(role, &settings, address.as_str().into(), &log).await?;
-    let door = Rc::new(Door::default());
+    let clients = Rc::new(ClientConnections::default());
     spawn_local(accept_peers(internal, agent.clone()));
-    spawn_listeners(&settings, &agent, &door)?;
+    spawn_listeners(&settings, &agent, &clients)?;
     info!(log, "started"; "node" => &settings.node, "address" => &address);
     let events = ProcessEvents::new()?;
-    run_until_shut_down(events, &agent, &door, file).await;
+    run_until_shut_down(events, &agent, &clients, file).await;
     agent.log_counters();
-    info!(log, "ended"; "open" => door.open(), "busy" => door.busy());
+    info!(log, "ended"; "open" => clients.open_count(), "busy" => clients.in_flight_count());
     Ok(())
 }
 
@@ -85,7 +85,7 @@
     }
     let disk = local_replica.as_ref().map(|local| local.replica.state().disk.clone());
     let data_plane =
-        settings.listen.gateway.map(|_| DataPlane::new(settings, Rc::new(pool::Tcp), log.clone()));
+        settings.listen.gateway.map(|_| DataPlane::new(settings, Rc::new(pool::TcpConnector), log.clone()));
     let agent = Agent::new(AgentParts {
         settings: settings.clone(),
         own: own_node(settings, incarnation, address, disk),
@@ -140,16 +140,18 @@
 }
 
 /// Starts to listen for all that the settings name.
-fn spawn_listeners(settings: &Settings, agent: &Rc<Agent>, door: &Rc<Door>) -> Result<(), StartError> {
+fn spawn_listeners(
+    settings: &Settings, agent: &Rc<Agent>, clients: &Rc<ClientConnections>,
+) -> Result<(), StartError> {
     let bind = |address: SocketAddr| listeners::bind(address);
     if let Some(address) = settings.listen.control {
         spawn_local(control_api::run(bind(address)?, address.to_string(), agent.clone()));
     }
     if let Some(address) = settings.listen.readiness {
-        spawn_local(front::tell_readiness(bind(address)?, agent.clone()));
+        spawn_local(front::serve_readiness(bind(address)?, agent.clone()));
     }
     if let (Some(address), Some(data_plane)) = (settings.listen.gateway, agent.data_plane()) {
-        spawn_local(front::run(bind(address)?, agent.clone(), data_plane, door.clone()));
+        spawn_local(front::accept_clients(bind(address)?, agent.clone(), data_plane, clients.clone()));
     }
     Ok(())
 }
@@ -176,7 +178,9 @@
 }
 
 /// Ticks until the process was told to end and has nothing left to do.
-async fn run_until_shut_down(mut events: ProcessEvents, agent: &Rc<Agent>, door: &Door, file: Option<&str>) {
+async fn run_until_shut_down(
+    mut events: ProcessEvents, agent: &Rc<Agent>, clients: &ClientConnections, file: Option<&str>,
+) {
     let mut housekeeping_done_at = Instant::now();
     let mut shutdown = GracefulShutdown::default();
     loop {
@@ -191,7 +195,7 @@
             agent.log_counters();
             reload_settings(agent, file);
         }
-        if shutdown.is_complete(agent, door) {
+        if shutdown.is_complete(agent, clients) {
             return;
         }
     }
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -5,7 +5,7 @@
 
 use ashvane_gossip::{Directory, Heartbeat, Node, ServerState};
 use ashvane_node::data_plane::DataPlane;
-use ashvane_node::pool::Tcp;
+use ashvane_node::pool::TcpConnector;
 use ashvane_node::settings::Settings;
 use slog::{Discard, Logger, o};
 use tokio::task::LocalSet;
@@ -32,7 +32,7 @@
 async fn a_data_plane_keeps_nothing_of_servers_that_have_ended() {
     let test = async {
         let settings = Settings::parse(SETTINGS, "-").expect("settings");
-        let plane = DataPlane::new(&settings, Rc::new(Tcp), Logger::root(Discard, o!()));
+        let plane = DataPlane::new(&settings, Rc::new(TcpConnector), Logger::root(Discard, o!()));
         let second = Duration::from_secs(1);
         let mut directory = Directory::new(me(), second, Duration::ZERO);
         for n in 0..500u32 {
@@ -50,9 +50,9 @@
                 updates.extend(directory.deregister(&format!("s{}", n - 10).into(), second * n));
             }
             plane.servers_changed(&directory, &updates);
-            assert!(plane.servers_kept() <= 11, "{} kept after {n}", plane.servers_kept());
+            assert!(plane.server_count() <= 11, "{} kept after {n}", plane.server_count());
         }
-        assert!(plane.knows_servers());
+        assert!(plane.has_ready_server());
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/node/tests/pool.rs
+++ b/crates/node/tests/pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashvane_node::call_error::CallError;
-use ashvane_node::pool::{Asked, Connecting, Connector, Pool};
+use ashvane_node::pool::{ConnectFuture, Connector, ForwardedRequest, Pool};
 use axum::http::{HeaderMap, HeaderValue, Method, Uri};
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt as _, DuplexStream, duplex};
@@ -16,7 +16,7 @@
 struct StandsStill(RefCell<Vec<DuplexStream>>);
 
 impl Connector for StandsStill {
-    fn connect(&self, _address: &str) -> Connecting {
+    fn connect(&self, _address: &str) -> ConnectFuture {
         let (near, far) = duplex(1024);
         self.0.borrow_mut().push(far);
         Box::pin(async { Ok(Box::new(near) as _) })
@@ -29,20 +29,20 @@
     let test = async {
         let server = Rc::new(StandsStill::default());
         let pool = Pool::new(server.clone());
-        pool.is_there("i-1", "127.0.0.1:1", 4);
-        let asked = Asked {
+        pool.add_server("i-1", "127.0.0.1:1", 4);
+        let asked = ForwardedRequest {
             method: Method::POST,
             uri: Uri::from_static("/"),
             headers: HeaderMap::new(),
             body: Bytes::from(vec![0; 1 << 20]),
-            attempt: HeaderValue::from_static("1"),
-            once: true,
+            attempt_id: HeaderValue::from_static("1"),
+            at_most_once: true,
             sent_to: RefCell::default(),
         };
         let sent = pool.send("i-1", &asked, Duration::from_millis(200)).await;
         assert_eq!(sent.expect_err("it does not answer"), CallError::TimedOut);
         yield_now().await;
-        assert_eq!(pool.open(), 0);
+        assert_eq!(pool.open_count(), 0);
         let mut read = Vec::new();
         let mut far = server.0.borrow_mut().remove(0);
         let _ = far.read_to_end(&mut read).await;
--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -65,7 +65,12 @@
 
 fn connect(world: &World) -> Wire {
     let (near, far) = wires();
-    spawn_local(front::serve(far, world.agent.clone(), world.plane.clone(), world.door.clone()));
+    spawn_local(front::serve_connection(
+        far,
+        world.agent.clone(),
+        world.plane.clone(),
+        world.clients.clone(),
+    ));
     near
 }
 
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -15,7 +15,7 @@
 use ashvane_node::data_plane::DataPlane;
 use ashvane_node::disk::{Disk, StoredState};
 use ashvane_node::engine::TICK_INTERVAL;
-use ashvane_node::front::Door;
+use ashvane_node::front::ClientConnections;
 use ashvane_node::links::{Connecting, Transport};
 use ashvane_node::program::{own_node, recover_replica};
 use ashvane_node::settings::Settings;
@@ -106,7 +106,7 @@
 pub(crate) struct World {
     pub agent: Rc<Agent>,
     pub plane: Rc<DataPlane>,
-    pub door: Rc<Door>,
+    pub clients: Rc<ClientConnections>,
     pub ledger: Rc<RefCell<Ledger>>,
     servers: Rc<Servers>,
     /// Until the end, servers do as they are drawn.
@@ -204,7 +204,7 @@
                 ticking.tick();
             }
         });
-        Rc::new(World { agent, plane, door: Rc::default(), ledger, servers, trouble })
+        Rc::new(World { agent, plane, clients: Rc::default(), ledger, servers, trouble })
     }
 
     /// Ends in order while clients go on, as a process does on SIGTERM.
@@ -212,7 +212,7 @@
         sleep(after).await;
         self.agent.shut_down();
         sleep(closes_after).await;
-        self.door.close();
+        self.clients.close_gracefully();
     }
 
     /// Nothing is left open or owed, and no promise was broken after all.
@@ -225,8 +225,8 @@
         let broken: Vec<String> =
             ledger.asked.iter().filter(|(_, a)| a.promised && a.runs > 0).map(|(id, _)| id.clone()).collect();
         broken.into_iter().for_each(|id| ledger.wrong(format!("REFUSED: {id} was promised not to run")));
-        let open = self.plane.open_connections();
-        if self.door.open() + self.door.busy() > 0 {
+        let open = self.plane.open_connection_count();
+        if self.clients.open_count() + self.clients.in_flight_count() > 0 {
             ledger.wrong("OPEN: clients' connections are counted though all have left");
         }
         if open > 0 {
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::rc::Rc;
 
-use ashvane_node::pool::{Connecting, Connector};
+use ashvane_node::pool::{ConnectFuture, Connector};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
@@ -506,7 +506,7 @@
 }
 
 impl Connector for Servers {
-    fn connect(&self, address: &str) -> Connecting {
+    fn connect(&self, address: &str) -> ConnectFuture {
         let server = self.0.borrow().get(address).cloned();
         Box::pin(async move {
             let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -16,7 +16,7 @@
 use ashvane_node::agent::{Agent, AgentParts, LocalReplica};
 use ashvane_node::disk::{Disk, StoredState};
 use ashvane_node::engine::TICK_INTERVAL;
-use ashvane_node::front::Door;
+use ashvane_node::front::ClientConnections;
 use ashvane_node::links::{self, Connecting, Halves, Transport};
 use ashvane_node::program::{GracefulShutdown, own_node, recover_replica};
 use ashvane_node::settings::Settings;
@@ -563,7 +563,7 @@
     *slot.borrow_mut() = Some(agent.clone());
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut shutdown, door) = (GracefulShutdown::default(), Door::default());
+    let (mut shutdown, clients) = (GracefulShutdown::default(), ClientConnections::default());
     loop {
         // In this order: without it the runtime draws one, and a seed's day is never the same twice.
         tokio::select! {
@@ -575,7 +575,7 @@
             Some(job) = orders.todo.recv() => job(agent.clone()),
             () = orders.terminated.notified() => shutdown.begin(),
         }
-        if shutdown.is_complete(&agent, &door) {
+        if shutdown.is_complete(&agent, &clients) {
             return;
         }
     }
