--- a/crates/node/src/call_error.rs
+++ b/crates/node/src/call_error.rs
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum CallError {
     /// No connection came up in time.
-    #[display("no connection to {address} within {within:?}")]
+    #[display("no connection to {address} within {timeout:?}")]
     NoConnection {
         /// The server's address.
         address: String,
         /// The time.
-        within: Duration,
+        timeout: Duration,
     },
     /// This gateway's share of the server's connections is in use.
     #[display("all connections that may be open to {address} are in use")]
@@ -50,10 +50,10 @@
         status: u16,
     },
     /// The answer is none to this request, or not complete.
-    #[display("the answer cannot be used: {what}")]
+    #[display("the answer cannot be used: {reason}")]
     Unusable {
         /// What is wrong with it.
-        what: &'static str,
+        reason: &'static str,
     },
     /// The connection broke before the answer was complete.
     #[display("the connection broke")]
--- a/crates/node/src/merge.rs
+++ b/crates/node/src/merge.rs
@@ -3,20 +3,20 @@
 use bytes::{BufMut as _, Bytes, BytesMut};
 
 /// Bytes of a record; a remainder shorter than this is none.
-const RECORD: usize = 16;
+const RECORD_BYTES: usize = 16;
 
 /// The greatest records of all parts, the greatest first.
-pub fn merge_top_k(parts: &[Bytes], most: usize) -> Bytes {
-    let mut records: Vec<&[u8]> = parts.iter().flat_map(|part| part.chunks_exact(RECORD)).collect();
-    if records.len() > most {
-        if most == 0 {
+pub fn merge_top_k(parts: &[Bytes], max_records: usize) -> Bytes {
+    let mut records: Vec<&[u8]> = parts.iter().flat_map(|part| part.chunks_exact(RECORD_BYTES)).collect();
+    if records.len() > max_records {
+        if max_records == 0 {
             return Bytes::new();
         }
-        records.select_nth_unstable_by(most - 1, |a, b| b.cmp(a));
-        records.truncate(most);
+        records.select_nth_unstable_by(max_records - 1, |a, b| b.cmp(a));
+        records.truncate(max_records);
     }
     records.sort_unstable_by(|a, b| b.cmp(a));
-    let mut merged = BytesMut::with_capacity(records.len() * RECORD);
+    let mut merged = BytesMut::with_capacity(records.len() * RECORD_BYTES);
     records.iter().for_each(|record| merged.put_slice(record));
     merged.freeze()
 }
@@ -33,7 +33,7 @@
             let parts: Vec<Bytes> = (0..rng.usize(1..7))
                 .map(|_| (0..rng.usize(0..200)).map(|_| rng.u8(0..2)).collect::<Vec<u8>>().into())
                 .collect();
-            let most = rng.usize(0..12);
+            let max_records = rng.usize(0..12);
             let mut all: Vec<Vec<u8>> = parts
                 .iter()
                 .flat_map(|p| p.chunks(16).filter(|c| c.len() == 16))
@@ -41,8 +41,8 @@
                 .collect();
             all.sort();
             all.reverse();
-            all.truncate(most);
-            assert_eq!(merge_top_k(&parts, most), all.concat());
+            all.truncate(max_records);
+            assert_eq!(merge_top_k(&parts, max_records), all.concat());
         }
     }
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -28,15 +28,15 @@
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Time for a connection to come up: several round trips between regions.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time before the server's own end of an idle connection at which it is no longer used.
-const IDLE_MARGIN: Duration = Duration::from_millis(1000);
+const IDLE_EXPIRY_MARGIN: Duration = Duration::from_millis(1000);
 /// How long an idle connection is kept where the server says nothing of it.
-const IDLE: Duration = Duration::from_secs(20);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a connection may have stood idle to carry what must not run twice.
-const JUST_USED: Duration = Duration::from_millis(200);
+const MAX_NON_IDEMPOTENT_IDLE: Duration = Duration::from_millis(200);
 /// The longest answer that is read, in bytes.
-const ANSWER_MOST: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// A connection's bytes both ways, whatever carries them.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
@@ -89,56 +89,56 @@
 /// A connection, which ends at once where this is dropped, also in the midst of a request that the server does not read.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    _held: oneshot::Sender<()>,
+    _close_on_drop: oneshot::Sender<()>,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
 /// A server, and the connections to it.
 pub struct ServerConnections {
     pub id: Rc<str>,
     address: String,
-    most: Cell<usize>,
-    open: Cell<usize>,
-    idle: RefCell<Vec<Idle>>,
+    max_open: Cell<usize>,
+    open_count: Cell<usize>,
+    idle: RefCell<Vec<IdleConnection>>,
     /// It takes no more: its connections are closed as they fall idle.
-    closed: Cell<bool>,
+    is_closed: Cell<bool>,
 }
 
 /// An open connection, counted as long as this lives.
-struct Open(Rc<ServerConnections>);
+struct OpenConnection(Rc<ServerConnections>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_count.set(self.0.open_count.get() - 1);
     }
 }
 
 #[derive(Default)]
 pub struct Counters {
     pub connects: Cell<u64>,
-    pub refused: Cell<u64>,
+    pub failed_connects: Cell<u64>,
     pub reused: Cell<u64>,
-    pub foreign: Cell<u64>,
+    pub mismatched_responses: Cell<u64>,
 }
 
 pub struct Pool {
     connector: Rc<dyn Connector>,
-    targets: RefCell<BTreeMap<Rc<str>, Rc<ServerConnections>>>,
+    servers: RefCell<BTreeMap<Rc<str>, Rc<ServerConnections>>>,
     pub counters: Rc<Counters>,
 }
 
-fn bump(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 /// Headers that concern one connection only, and those that the connection itself names.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
@@ -159,11 +159,11 @@
         header::EXPECT,
         HeaderName::from_static("proxy-connection"),
     ];
-    named.iter().chain(&always).for_each(|name| drop(headers.remove(name)));
+    listed.iter().chain(&always).for_each(|name| drop(headers.remove(name)));
 }
 
 /// How long the server keeps the connection idle, as it says; none if it closes it.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let has = |name: HeaderName, word: &str| {
         let values = headers.get_all(name);
         values.iter().filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
@@ -171,12 +171,12 @@
     if has(header::CONNECTION, "close") {
         return None;
     }
-    let stated = headers.get(KEEP_ALIVE).and_then(|v| v.to_str().ok()).and_then(|v| {
+    let requested = headers.get(KEEP_ALIVE).and_then(|v| v.to_str().ok()).and_then(|v| {
         let part = v.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
         part.trim().parse::<u64>().ok()
     });
-    let kept = stated.map_or(IDLE, Duration::from_secs);
-    kept.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero())
+    let idle_timeout = requested.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs);
+    idle_timeout.checked_sub(IDLE_EXPIRY_MARGIN).filter(|timeout| !timeout.is_zero())
 }
 
 /// The value of a header that stands there once; none if it does not, or more than once.
@@ -187,15 +187,15 @@
 
 /// Whether the answer itself tells where its body ends. One that ends with its connection looks whole wherever it
 /// breaks off.
-fn tells_its_end(headers: &HeaderMap, body: &Incoming) -> bool {
-    let codings = headers.get_all(header::TRANSFER_ENCODING).iter().next_back();
-    let last = codings.and_then(|codings| codings.to_str().ok()?.rsplit(',').next());
-    let chunked = last.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"));
-    chunked || body.size_hint().exact().is_some()
+fn is_self_delimited(headers: &HeaderMap, body: &Incoming) -> bool {
+    let encodings = headers.get_all(header::TRANSFER_ENCODING).iter().next_back();
+    let last_encoding = encodings.and_then(|encodings| encodings.to_str().ok()?.rsplit(',').next());
+    let is_chunked = last_encoding.is_some_and(|encoding| encoding.trim().eq_ignore_ascii_case("chunked"));
+    is_chunked || body.size_hint().exact().is_some()
 }
 
 /// Statuses that promise clients that their request has not run and never will.
-fn is_promise(status: StatusCode) -> bool {
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -207,40 +207,40 @@
 
 /// What a whole answer to this request counts for. That the request did not run is only ever the server's word, given
 /// with a failure: 421, or `Not-Executed`.
-fn judge(answer: ServerResponse) -> Result<ServerResponse, CallError> {
-    let (status, headers) = (answer.status, &answer.headers);
-    let fails = status.is_client_error() || status.is_server_error();
+fn check_response(response: ServerResponse) -> Result<ServerResponse, CallError> {
+    let (status, headers) = (response.status, &response.headers);
+    let is_error = status.is_client_error() || status.is_server_error();
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Err(CallError::OtherServer);
     }
     if headers.contains_key(NOT_EXECUTED) {
-        return Err(match fails {
+        return Err(match is_error {
             true => CallError::Rejected { status: status.as_u16() },
-            false => CallError::Unusable { what: "a success that did not run" },
+            false => CallError::Unusable { reason: "a success that did not run" },
         });
     }
-    if is_promise(status) {
+    if implies_not_executed(status) {
         return Err(CallError::Failed { status: status.as_u16() });
     }
-    let one = |seal: &HeaderValue| !seal.is_empty() && !seal.as_bytes().contains(&b',');
-    let sealed = single_header(headers, &SERVER_SEAL).is_some_and(one);
-    if status.is_success() && (headers.contains_key(header::CONTENT_ENCODING) || !sealed) {
-        return Err(CallError::Unusable { what: "not the body of the server" });
+    let is_single = |seal: &HeaderValue| !seal.is_empty() && !seal.as_bytes().contains(&b',');
+    let is_sealed = single_header(headers, &SERVER_SEAL).is_some_and(is_single);
+    if status.is_success() && (headers.contains_key(header::CONTENT_ENCODING) || !is_sealed) {
+        return Err(CallError::Unusable { reason: "not the body of the server" });
     }
-    Ok(answer)
+    Ok(response)
 }
 
 impl ServerConnections {
     /// The connection that fell idle last. A server may have forgotten one that has stood for a while, and then
     /// resets what is sent on it: what must not run twice would be lost, so it takes only one just used.
-    fn take_idle(&self, once: bool) -> Option<Connection> {
+    fn take_idle(&self, at_most_once: bool) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         while let Some(last) = idle.pop() {
-            if last.until <= now || !last.connection.sender.is_ready() {
+            if last.expires_at <= now || !last.connection.sender.is_ready() {
                 continue;
             }
-            if once && last.since + JUST_USED < now {
+            if at_most_once && last.idle_since + MAX_NON_IDEMPOTENT_IDLE < now {
                 // The others have stood for longer yet. They serve what may be repeated.
                 idle.push(last);
                 return None;
@@ -250,32 +250,33 @@
         None
     }
 
-    fn give_back(&self, connection: Connection, kept: Duration) {
-        if self.closed.get() {
+    fn return_idle(&self, connection: Connection, idle_timeout: Duration) {
+        if self.is_closed.get() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
-        idle.retain(|i| i.until > now && !i.connection.sender.is_closed());
-        idle.push(Idle { connection, since: now, until: now + kept });
+        idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        idle.push(IdleConnection { connection, idle_since: now, expires_at: now + idle_timeout });
     }
 
     async fn connect(self: &Rc<Self>, limit: Duration, pool: &Pool) -> Result<Connection, CallError> {
-        if self.open.get() >= self.most.get() {
+        if self.open_count.get() >= self.max_open.get() {
             return Err(CallError::PoolExhausted { address: self.address.clone() });
         }
-        self.open.set(self.open.get() + 1);
-        let open = Open(self.clone());
-        bump(&pool.counters.connects);
-        let within = CONNECT.min(limit);
-        let failed = || CallError::NoConnection { address: self.address.clone(), within };
-        let connected = timeout(within, pool.connector.connect(&self.address)).await;
+        self.open_count.set(self.open_count.get() + 1);
+        let open = OpenConnection(self.clone());
+        increment(&pool.counters.connects);
+        let connect_timeout = CONNECT_TIMEOUT.min(limit);
+        let connect_error =
+            || CallError::NoConnection { address: self.address.clone(), timeout: connect_timeout };
+        let connected = timeout(connect_timeout, pool.connector.connect(&self.address)).await;
         let Ok(Ok(stream)) = connected else {
-            bump(&pool.counters.refused);
-            return Err(failed());
+            increment(&pool.counters.failed_connects);
+            return Err(connect_error());
         };
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| failed())?;
-        let (_held, dropped) = oneshot::channel();
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| connect_error())?;
+        let (_close_on_drop, dropped) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let _open = open;
             tokio::select! {
@@ -283,109 +284,111 @@
                 _ = dropped => {}
             }
         });
-        Ok(Connection { sender, _held })
+        Ok(Connection { sender, _close_on_drop })
     }
 
     /// Sends a request and reads the answer whole.
     async fn send(
-        self: &Rc<Self>, asked: &ForwardedRequest, limit: Duration, pool: &Pool,
+        self: &Rc<Self>, request: &ForwardedRequest, timeout: Duration, pool: &Pool,
     ) -> Result<ServerResponse, CallError> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         // A connection that has carried it may still bring a surplus answer to that call, under the same id.
-        let first = asked.sent_to.borrow_mut().insert(self.id.clone());
-        let idle = if first { self.take_idle(asked.at_most_once) } else { None };
+        let is_first_at_server = request.sent_to.borrow_mut().insert(self.id.clone());
+        let idle = if is_first_at_server { self.take_idle(request.at_most_once) } else { None };
         let mut connection = match idle {
             Some(connection) => {
-                bump(&pool.counters.reused);
+                increment(&pool.counters.reused);
                 connection
             }
-            None => self.connect(limit, pool).await?,
+            None => self.connect(timeout, pool).await?,
         };
-        let left = until.saturating_duration_since(Instant::now()).as_millis();
-        let mut request = Request::new(Full::new(asked.body.clone()));
-        *request.method_mut() = asked.method.clone();
-        *request.uri_mut() = asked.uri.clone();
-        *request.headers_mut() = asked.headers.clone();
-        let headers = request.headers_mut();
-        headers.insert(DEADLINE_MS, HeaderValue::from(left.max(1) as u64));
+        let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
+        let mut http_request = Request::new(Full::new(request.body.clone()));
+        *http_request.method_mut() = request.method.clone();
+        *http_request.uri_mut() = request.uri.clone();
+        *http_request.headers_mut() = request.headers.clone();
+        let headers = http_request.headers_mut();
+        headers.insert(DEADLINE_MS, HeaderValue::from(remaining_ms.max(1) as u64));
         headers.insert(TARGET_INSTANCE, HeaderValue::from_str(&self.id).map_err(|_| CallError::NeverSent)?);
-        let answered = timeout_at(until, connection.sender.try_send_request(request)).await;
-        let response = match answered.map_err(|_| CallError::TimedOut)? {
+        let result = timeout_at(deadline, connection.sender.try_send_request(http_request)).await;
+        let response = match result.map_err(|_| CallError::TimedOut)? {
             Ok(response) => response,
             Err(mut e) => {
                 return Err(match e.take_message() {
                     Some(_) => CallError::NeverSent,
-                    None if e.error().is_parse() => CallError::Unusable { what: "no answer in the protocol" },
+                    None if e.error().is_parse() => {
+                        CallError::Unusable { reason: "no answer in the protocol" }
+                    }
                     None => CallError::Broken,
                 });
             }
         };
         let (head, body) = response.into_parts();
         if head.status.is_informational() {
-            return Err(CallError::Unusable { what: "another protocol" });
+            return Err(CallError::Unusable { reason: "another protocol" });
         }
         // A surplus answer to an earlier request stands where this one's is due.
-        if single_header(&head.headers, &ATTEMPT_ID) != Some(&asked.attempt_id) {
-            bump(&pool.counters.foreign);
-            return Err(CallError::Unusable { what: "an answer to another request" });
+        if single_header(&head.headers, &ATTEMPT_ID) != Some(&request.attempt_id) {
+            increment(&pool.counters.mismatched_responses);
+            return Err(CallError::Unusable { reason: "an answer to another request" });
         }
-        if !tells_its_end(&head.headers, &body) {
-            return Err(CallError::Unusable { what: "an answer that does not tell where it ends" });
+        if !is_self_delimited(&head.headers, &body) {
+            return Err(CallError::Unusable { reason: "an answer that does not tell where it ends" });
         }
-        let collected = timeout_at(until, Limited::new(body, ANSWER_MOST).collect()).await;
+        let collected = timeout_at(deadline, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
         let body = collected.map_err(|_| CallError::TimedOut)?.map_err(|_| CallError::Broken)?.to_bytes();
-        if let Some(kept) = kept_for(&head.headers) {
-            self.give_back(connection, kept);
+        if let Some(idle_timeout) = keep_alive_timeout(&head.headers) {
+            self.return_idle(connection, idle_timeout);
         }
-        judge(ServerResponse { status: head.status, headers: head.headers, body })
+        check_response(ServerResponse { status: head.status, headers: head.headers, body })
     }
 }
 
 impl Pool {
     pub fn new(connector: Rc<dyn Connector>) -> Self {
-        Pool { connector, targets: RefCell::default(), counters: Rc::default() }
+        Pool { connector, servers: RefCell::default(), counters: Rc::default() }
     }
 
     /// A server that may be sent requests, and how many connections it may have from here.
-    pub fn add_server(&self, id: &str, address: &str, most: usize) {
-        let mut targets = self.targets.borrow_mut();
-        if let Some(target) = targets.get(id) {
-            target.most.set(most);
-            target.closed.set(false);
+    pub fn add_server(&self, id: &str, address: &str, max_open: usize) {
+        let mut servers = self.servers.borrow_mut();
+        if let Some(server) = servers.get(id) {
+            server.max_open.set(max_open);
+            server.is_closed.set(false);
             return;
         }
         let id: Rc<str> = id.into();
-        let target = ServerConnections {
+        let server = ServerConnections {
             id: id.clone(),
             address: address.to_owned(),
-            most: most.into(),
-            open: 0.into(),
+            max_open: max_open.into(),
+            open_count: 0.into(),
             idle: RefCell::default(),
-            closed: false.into(),
+            is_closed: false.into(),
         };
-        targets.insert(id, Rc::new(target));
+        servers.insert(id, Rc::new(server));
     }
 
     /// A server that gets nothing more.
     pub fn remove_server(&self, id: &str) {
-        if let Some(target) = self.targets.borrow_mut().remove(id) {
-            target.closed.set(true);
-            target.idle.borrow_mut().clear();
+        if let Some(server) = self.servers.borrow_mut().remove(id) {
+            server.is_closed.set(true);
+            server.idle.borrow_mut().clear();
         }
     }
 
     pub async fn send(
-        &self, id: &str, asked: &ForwardedRequest, limit: Duration,
+        &self, id: &str, request: &ForwardedRequest, timeout: Duration,
     ) -> Result<ServerResponse, CallError> {
-        let target = self.targets.borrow().get(id).cloned();
-        match target {
-            Some(target) => target.send(asked, limit, self).await,
+        let server = self.servers.borrow().get(id).cloned();
+        match server {
+            Some(server) => server.send(request, timeout, self).await,
             None => Err(CallError::NeverSent),
         }
     }
 
     pub fn open_count(&self) -> usize {
-        self.targets.borrow().values().map(|t| t.open.get()).sum()
+        self.servers.borrow().values().map(|server| server.open_count.get()).sum()
     }
 }
 
@@ -401,20 +404,20 @@
         let test = async {
             let pool = Pool::new(Rc::new(TcpConnector));
             pool.add_server("i-1", "127.0.0.1:1", 4);
-            let target = pool.targets.borrow()["i-1"].clone();
+            let server = pool.servers.borrow()["i-1"].clone();
             let (near, _far) = tokio::io::duplex(1024);
             let (mut sender, connection) = handshake(TokioIo::new(near)).await.expect("a connection");
             tokio::task::spawn_local(connection);
             sender.ready().await.expect("ready");
-            let (_held, _dropped) = oneshot::channel();
-            target.give_back(Connection { sender, _held }, IDLE);
-            let connection = target.take_idle(true).expect("it was just used");
-            target.give_back(connection, IDLE);
-            tokio::time::advance(JUST_USED * 2).await;
-            assert!(target.take_idle(true).is_none(), "it may be forgotten by now");
-            assert!(target.take_idle(false).is_some(), "what may be repeated takes it all the same");
+            let (_close_on_drop, _dropped) = oneshot::channel();
+            server.return_idle(Connection { sender, _close_on_drop }, DEFAULT_IDLE_TIMEOUT);
+            let connection = server.take_idle(true).expect("it was just used");
+            server.return_idle(connection, DEFAULT_IDLE_TIMEOUT);
+            tokio::time::advance(MAX_NON_IDEMPOTENT_IDLE * 2).await;
+            assert!(server.take_idle(true).is_none(), "it may be forgotten by now");
+            assert!(server.take_idle(false).is_some(), "what may be repeated takes it all the same");
             pool.remove_server("i-1");
-            assert!(target.idle.borrow().is_empty());
+            assert!(server.idle.borrow().is_empty());
         };
         LocalSet::new().run_until(test).await;
     }
