--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -1,5 +1,5 @@
-//! The data plane: each query by the decisions of the `ashvane` module. What happens is told to the module, and
-//! what it decides is done here; nothing is decided here but what the configuration itself says.
+//! The data plane of a gateway: executes queries as the [`Gatherer`] decides. Events are passed to the gatherer, and the
+//! actions that it chooses are carried out here. The data plane itself decides only what the configuration prescribes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,28 +22,34 @@
 use crate::pool::{Connector, ForwardedRequest, Pool, SERVER_SEAL, ServerResponse};
 use crate::settings::Settings;
 
-/// Utility of an answer after the target time, as a share of the full: the configuration doesn't say.
+/// Utility of an answer that misses the latency target, as a share of the full utility. The configuration has no key for it.
 const LATE_UTILITY: f64 = 0.5;
-/// The shortest time between two looks at a query, and half of what is left for the way back to the client.
+/// Shortest time between two reviews of a query. The gatherer ends a query two of these before its deadline, which leaves
+/// time for the response to reach the client.
 const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(5);
-/// The longest time to come back that clients are told: they follow a third of what they have left.
+/// Longest `Retry-After` that clients are sent. Clients wait for at most a third of the time that they have left.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What becomes of a query.
+/// Result of a query.
 pub enum Reply {
-    /// The server's own answer, unchanged.
+    /// The response of one server, unchanged.
     Relayed(ServerResponse),
+    /// The merged responses of several shards.
     Gathered {
+        /// The `Server-Seal` of each shard that answered.
         seals: Vec<HeaderValue>,
+        /// Number of shards whose responses are missing.
         missing: usize,
+        /// The merged records.
         body: Bytes,
     },
-    /// It has not run and never will; when to come back.
+    /// The request has not run and never will. Holds the time after which the client should retry.
     Rejected(Option<Duration>),
-    /// No promise is made.
+    /// The query failed, and its request may have run.
     Aborted,
 }
 
+/// Action that the gatherer has chosen, by the ids of its query or part.
 enum Action {
     Call { part_id: u64, server: Rc<str>, limit: Duration },
     Answer(u64),
@@ -52,15 +58,18 @@
     Wake(u64, Duration),
 }
 
-/// The limits that all gatherers share, as this one sees them.
+/// Budgets that all gateways share, and what this gateway has used of them.
 struct SharedLimits {
     retry_budget: RetryBudget,
+    /// Allowance of this gateway at each service, by shard index.
     retry_allowances: BTreeMap<u32, RetryAllowance>,
     gateway_count: GatewayCount,
+    /// Time of the current event since the start, for [`Host::may_call_again`], which takes no time.
     now: Duration,
 }
 
-/// The module's hands: what it decides is queued and done as soon as it is through.
+/// Host of the gatherer. Queues the actions that it chooses; [`DataPlane::process_event`] executes them once the gatherer has
+/// returned.
 struct ActionQueue {
     actions: Rc<RefCell<VecDeque<Action>>>,
     shared_limits: Rc<RefCell<SharedLimits>>,
@@ -93,34 +102,40 @@
     }
 }
 
+/// Part of a query that one shard answers.
 struct Part {
     shard: u32,
+    /// Calls that were started.
     call_count: u32,
-    /// Of those, how many may have reached a server, ...
+    /// Calls that may have reached a server, pending ones included.
     received_count: u32,
-    /// ... and how many have not ended.
+    /// Calls that have not ended.
     pending_count: u32,
+    /// The first successful response.
     response: Option<ServerResponse>,
 }
 
+/// Query in flight.
 struct Query {
     reply_sender: oneshot::Sender<Reply>,
     request: Rc<ForwardedRequest>,
     route: Rc<Route>,
-    /// A part for each shard.
+    /// One part for each shard.
     parts: Vec<Part>,
-    /// A server's own word that it failed.
+    /// Failure that a server reported, relayed if the query fails. Only kept for queries of one part.
     failure_response: Option<ServerResponse>,
+    /// Whether a call that has ended may have run the request.
     may_have_run: bool,
 }
 
 impl Query {
-    /// Whether a call has not ended yet: it may run.
+    /// Whether calls are pending, any of which may still run the request.
     fn has_pending_calls(&self) -> bool {
         self.parts.iter().any(|part| part.pending_count > 0)
     }
 }
 
+/// Totals since the start, for the log.
 #[derive(Default)]
 struct Counters {
     queries: Cell<u64>,
@@ -130,12 +145,15 @@
     partial: Cell<u64>,
     rejected: Cell<u64>,
     aborted: Cell<u64>,
+    /// Failed calls by variant of [`CallError`].
     failed_calls: RefCell<BTreeMap<String, u64>>,
 }
 
-/// What a vertical is to the module: routes that are alike in all of this are one.
+/// Identity of a vertical: services, whether requests are idempotent, latency target, maximum of attempts, and bits of the
+/// minimal coverage. Routes that agree in all of them share a vertical.
 type VerticalKey = (Vec<Rc<str>>, bool, Duration, u32, u64);
 
+/// Executes the queries of a gateway's clients.
 pub struct DataPlane {
     log: Logger,
     started_at: Instant,
@@ -143,15 +161,22 @@
     actions: Rc<RefCell<VecDeque<Action>>>,
     shared_limits: Rc<RefCell<SharedLimits>>,
     zones: Vec<String>,
+    /// Shard index of each service. Each service is one shard to the gatherer.
     shards: RefCell<BTreeMap<Rc<str>, u32>>,
+    /// Indexes of the verticals that the gatherer knows.
     verticals: RefCell<BTreeMap<VerticalKey, usize>>,
     config: RefCell<Option<Rc<Config>>>,
     queries: RefCell<BTreeMap<u64, Query>>,
+    /// Query id of each part, and the part's position in the query, by part id.
     parts: RefCell<BTreeMap<u64, (u64, usize)>>,
+    /// Servers that have not terminated, with the health that the gatherer was given.
     servers: RefCell<BTreeMap<String, (Server, Health)>>,
     pool: Pool,
+    /// Due time and token of each timer that the gatherer has set.
     timers: RefCell<BTreeSet<(Instant, u64)>>,
+    /// Notified when a timer is added that is due before all others.
     timer_added: Notify,
+    /// Last id that was given to a query or part.
     last_id: Cell<u64>,
     counters: Counters,
 }
@@ -161,6 +186,7 @@
 }
 
 impl DataPlane {
+    /// Creates a data plane without servers or configuration, and starts its timers.
     pub fn new(settings: &Settings, connector: Rc<dyn Connector>, log: Logger) -> Rc<Self> {
         let started_at = Instant::now();
         let zone = settings.zones.iter().position(|z| *z == settings.zone).map(|z| z as u32);
@@ -177,7 +203,7 @@
             call_cost: Duration::ZERO,
             most_calls: 1,
             second_copies: true,
-            // A call that is broken off takes its server's work along: the answer is let come.
+            // Cancelling a call would discard the work that its server has done, so calls run to their end.
             call_off: false,
             back_after: Some(MAX_RETRY_AFTER),
             ask_within: None,
@@ -223,7 +249,7 @@
         data_plane
     }
 
-    /// Tells the module what happened, and does what it decides.
+    /// Passes an event to the gatherer, then executes the actions that it has queued.
     fn process_event(self: &Rc<Self>, event: impl FnOnce(&mut Gatherer<ActionQueue>)) {
         let now = self.started_at.elapsed();
         self.shared_limits.borrow_mut().now = now;
@@ -244,7 +270,8 @@
             Action::Answer(query_id) => self.send_response(query_id),
             Action::Reject(query_id, retry_after) => {
                 let Some(query) = self.remove_query(query_id) else { return };
-                // Harmless to repeat is not the same as never run: only that is promised.
+                // The gatherer also rejects idempotent queries that may have run. A rejection promises that the request never
+                // ran, so these fail instead.
                 let reply = if query.may_have_run || query.has_pending_calls() {
                     self.failure_reply(query.failure_response)
                 } else {
@@ -278,7 +305,7 @@
         response.map_or(Reply::Aborted, Reply::Relayed)
     }
 
-    /// Wakes the module when it asked for it.
+    /// Fires the timers that the gatherer has set.
     async fn run_timers(self: Rc<Self>) {
         loop {
             let earliest = self.timers.borrow().first().map(|(at, _)| *at);
@@ -299,29 +326,33 @@
         }
     }
 
+    /// Returns the shard index of a service. A new service gets the next one.
     fn shard_index(&self, service: &Rc<str>) -> u32 {
         let mut shards = self.shards.borrow_mut();
         let next = shards.len() as u32;
         *shards.entry(service.clone()).or_insert(next)
     }
 
-    // What is known of servers and gatherers.
+    // Servers and gateways.
 
-    /// How many servers are kept here.
+    /// Number of servers that are stored.
     pub fn server_count(&self) -> usize {
         self.servers.borrow().len()
     }
 
+    /// Whether any server is ready.
     pub fn has_ready_server(&self) -> bool {
         self.servers.borrow().values().any(|(_, health)| *health == Health::Ready)
     }
 
+    /// Records how many gateways share the budgets.
     pub fn gateways_changed(self: &Rc<Self>, count: usize) {
         let now = self.started_at.elapsed();
         self.shared_limits.borrow_mut().gateway_count.observe(now, count);
         self.process_event(|gatherer| gatherer.fleet_is(u32::try_from(count).ok()));
     }
 
+    /// Updates the servers of all services that the updates concern.
     pub fn servers_changed(self: &Rc<Self>, directory: &Directory, updates: &[Update]) {
         let services: BTreeSet<&str> = updates
             .iter()
@@ -337,7 +368,7 @@
         }
     }
 
-    /// Lists servers to the module, those of whole services at once.
+    /// Reports changes of servers to the pool and the gatherer. `listed` has all servers of each service that it has any of.
     fn update_servers(self: &Rc<Self>, listed: &[&Server]) {
         let mut ready_counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for s in listed.iter().filter(|s| s.state == ServerState::Ready) {
@@ -347,7 +378,8 @@
         let health = |s: &Server| match s.state {
             ServerState::Terminated => Health::Gone,
             ServerState::Draining => Health::Draining,
-            // Most of a service is not silent at once: those who hear it are cut off from it.
+            // If more than half of a service has timed out, this gateway is probably partitioned from it, so its servers stay
+            // ready.
             ServerState::Ready
                 if s.has_timed_out()
                     && ready_counts
@@ -363,7 +395,7 @@
             let health = health(s);
             let mut servers = self.servers.borrow_mut();
             let previous = servers.get(s.id.as_str()).map(|(_, health)| *health);
-            // Of one that has ended nothing is kept.
+            // Terminated servers are removed.
             if s.state == ServerState::Terminated {
                 servers.remove(s.id.as_str());
                 changed.extend(previous.map(|_| (*s, health)));
@@ -396,6 +428,7 @@
         });
     }
 
+    /// Returns how many connections this gateway may have open to each server of a service.
     fn connection_limit(&self, service: &str) -> usize {
         let max_connections =
             self.config.borrow().as_ref().and_then(|c| c.services.get(service).map(|s| s.max_connections));
@@ -405,7 +438,7 @@
         )
     }
 
-    /// Another server has this one's address, as the server there says.
+    /// Marks a server as gone after the server at its address reported another id.
     fn mark_server_gone(self: &Rc<Self>, id: &str) {
         let Some((server, health)) = self.servers.borrow().get(id).cloned() else { return };
         if health != Health::Gone {
@@ -419,9 +452,9 @@
         }
     }
 
-    // The configuration.
+    // Configuration.
 
-    /// From here on each new query goes by this version.
+    /// Applies a configuration to all queries that are submitted from here on.
     pub fn config_changed(self: &Rc<Self>, config: Rc<Config>) {
         *self.config.borrow_mut() = Some(config.clone());
         let servers: Vec<Server> = self.servers.borrow().values().map(|(s, _)| s.clone()).collect();
@@ -446,7 +479,7 @@
         }
     }
 
-    /// The vertical of a route at these services; the module is told of one that is new.
+    /// Returns the index of the vertical of a route at these services. A new vertical is announced to the gatherer.
     fn vertical_index(self: &Rc<Self>, route: &Route, services: &[Rc<str>]) -> usize {
         let slo = route.latency_target.min(route.deadline);
         let key: VerticalKey =
@@ -470,7 +503,7 @@
 
     // Queries.
 
-    /// Takes a query; the reply comes once it is settled. Its number is for [`DataPlane::left`].
+    /// Submits a query. Returns its id, for [`DataPlane::client_disconnected`], and the receiver of its reply.
     pub fn submit(
         self: &Rc<Self>, route: &Rc<Route>, request: ForwardedRequest, deadline: Instant,
     ) -> (u64, oneshot::Receiver<Reply>) {
@@ -520,13 +553,14 @@
         (first_id, reply_receiver)
     }
 
-    /// The client has left.
+    /// Abandons a query whose client has disconnected.
     pub fn client_disconnected(self: &Rc<Self>, query_id: u64) {
         if self.remove_query(query_id).is_some() {
             self.process_event(|gatherer| gatherer.abandoned(query_id));
         }
     }
 
+    /// Starts a call for a part. A call after one that may have reached a server counts as a retry.
     fn send_call(self: &Rc<Self>, part_id: u64, server: Rc<str>, limit: Duration) {
         let Some((query_id, at)) = self.parts.borrow().get(&part_id).copied() else { return };
         let (request, call, retried_shard) = {
@@ -562,6 +596,7 @@
         });
     }
 
+    /// Records the result of a call and passes its outcome to the gatherer.
     fn call_finished(
         self: &Rc<Self>, part_id: u64, call: u32, server: &str, result: Result<ServerResponse, CallError>,
     ) {
@@ -605,7 +640,7 @@
         self.process_event(|gatherer| gatherer.settled(part_id, call, outcome, server, false));
     }
 
-    /// Ends a query: what its calls still bring is for the module only.
+    /// Removes a query. Results of its pending calls are from here on only passed to the gatherer.
     fn remove_query(&self, query_id: u64) -> Option<Query> {
         let query = self.queries.borrow_mut().remove(&query_id)?;
         let mut parts = self.parts.borrow_mut();
@@ -615,6 +650,7 @@
         Some(query)
     }
 
+    /// Ends a query with the responses that have arrived.
     fn send_response(&self, query_id: u64) {
         let Some(query) = self.remove_query(query_id) else { return };
         let part_count = query.parts.len();
@@ -644,12 +680,12 @@
         let _ = query.reply_sender.send(reply);
     }
 
-    /// Connections that are open to servers.
+    /// Number of open connections to servers.
     pub fn open_connection_count(&self) -> usize {
         self.pool.open_count()
     }
 
-    /// This gatherer's part of what all share, by service.
+    /// Reports by service what this gateway has used of the shared budgets.
     pub fn budget_usage(&self) -> Value {
         let shared_limits = self.shared_limits.borrow();
         let services: BTreeMap<u32, Rc<str>> =
@@ -664,6 +700,7 @@
         rows.collect()
     }
 
+    /// Logs the counters of queries, calls and connections.
     pub fn log_counters(&self) {
         let counters = &self.counters;
         let pool = &self.pool.counters;
@@ -679,7 +716,7 @@
     }
 }
 
-/// One of the services, by weight.
+/// Picks a service at random, by weight.
 fn pick_service(services: &[WeightedService]) -> Rc<str> {
     let total: f64 = services.iter().map(|part| part.weight).sum();
     let mut point = fastrand::f64() * total;
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: requests read whole, looked up, handed to the data plane, answered.
+//! The HTTP listener for clients. Reads each request to its end, finds its route, passes it to the data plane and sends
+//! the response.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,13 +25,15 @@
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 const PART_SEALS: HeaderName = HeaderName::from_static("part-seals");
 const MISSING_PARTS: HeaderName = HeaderName::from_static("missing-parts");
-/// The least buffer that the HTTP library reads heads with, in bytes.
+/// Smallest `max_buf_size` that hyper accepts.
 const MIN_HTTP_BUFFER_BYTES: usize = 8 * 1024;
-/// Pause after a failed accept.
+/// Delay before `accept` is called again after it failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// When a client that came before there is a configuration is best back: a restart of all takes so long.
+/// `Retry-After` for requests that arrive before a configuration is in force. A restart of the whole system takes about
+/// this long.
 const RETRY_AFTER_WITHOUT_CONFIG: Duration = Duration::from_millis(700);
 
+/// Response to a client.
 pub type HttpResponse = Response<Full<Bytes>>;
 
 fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
@@ -39,6 +42,7 @@
     response
 }
 
+/// Returns the 503 response that promises that the request has not run and never will.
 fn rejection_response(retry_after: Option<Duration>) -> HttpResponse {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "not run; come back\n");
     if let Some(retry_after) = retry_after {
@@ -72,32 +76,38 @@
     }
 }
 
-/// Connections of clients, for an orderly end.
+/// Open connections of clients and their requests in flight, for graceful shutdown.
 #[derive(Default)]
 pub struct ClientConnections {
+    /// Shutdown signal of each open connection, by connection id.
     shutdown_signals: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    /// Requests that have been passed to the data plane and not been answered.
     in_flight: Cell<usize>,
     next_id: Cell<u64>,
 }
 
 impl ClientConnections {
-    /// Asks every connection to end after what it has open.
+    /// Asks every connection to close once its current request is answered.
     pub fn close_gracefully(&self) {
         self.shutdown_signals.borrow().values().for_each(|shutdown_signal| shutdown_signal.notify_one());
     }
 
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.shutdown_signals.borrow().len()
     }
 
+    /// Number of requests in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.get()
     }
 }
 
-/// Tells the data plane where a client leaves before its answer.
+/// Request that the data plane works on. Dropping it before the reply, as hyper does when the client disconnects, abandons
+/// the query.
 struct InFlightRequest {
     data_plane: Rc<DataPlane>,
+    /// Query to abandon on drop; `None` once its reply has arrived.
     query_id: Option<u64>,
     clients: Rc<ClientConnections>,
 }
@@ -111,6 +121,7 @@
     }
 }
 
+/// Reads a request body to its end, within the limits on its length and time.
 async fn read_body(body: Incoming, limits: &Limits) -> Result<Bytes, HttpResponse> {
     let body_too_long = || text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n");
     if body.size_hint().lower() > limits.body_bytes as u64 {
@@ -124,6 +135,7 @@
     }
 }
 
+/// Reads a request, submits it to the data plane and waits for the reply.
 async fn handle_request(
     request: Request<Incoming>, config: Option<Rc<Config>>, data_plane: &Rc<DataPlane>,
     clients: &Rc<ClientConnections>,
@@ -147,7 +159,7 @@
     remove_hop_by_hop_headers(&mut head.headers);
     let forwarded = ForwardedRequest {
         method: head.method,
-        // Servers are named by their path alone, though a client may name the host with it.
+        // Servers expect a path and query, also where the client sent the absolute form of the URI.
         uri: head.uri.path_and_query().cloned().map_or(head.uri, Uri::from),
         headers: head.headers,
         body,
@@ -167,7 +179,7 @@
     encode_reply(reply)
 }
 
-/// Serves one client's connection to its end.
+/// Serves one connection of a client until it closes.
 pub async fn serve_connection(
     stream: impl Stream, agent: Rc<Agent>, data_plane: Rc<DataPlane>, clients: Rc<ClientConnections>,
 ) {
@@ -187,7 +199,7 @@
         }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    // It runs from the answer before: a client may be idle for so long and then send a head.
+    // The time-out starts at the previous response, so it covers the idle time and the transfer of the next head.
     http.timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout + limits.header_timeout)
         .max_buf_size(limits.header_bytes.max(MIN_HTTP_BUFFER_BYTES));
@@ -202,7 +214,7 @@
     clients.shutdown_signals.borrow_mut().remove(&id);
 }
 
-/// Serves clients.
+/// Accepts connections of clients and serves each in a task of its own.
 pub async fn accept_clients(
     listener: TcpListener, agent: Rc<Agent>, data_plane: Rc<DataPlane>, clients: Rc<ClientConnections>,
 ) {
@@ -222,7 +234,7 @@
     }
 }
 
-/// Answers whether this gatherer takes clients.
+/// Serves the readiness check, which reports whether this process accepts clients, and the status report.
 pub async fn serve_readiness(listener: TcpListener, agent: Rc<Agent>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
