--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane::{Effect, Gatherer, Health, Host, Outcome, Settings as GathererSettings, VerticalSettings};
+use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings as GathererSettings, VerticalSettings};
 use ashvane_gossip::{Directory, Server, ServerState, Update};
 use ashvane_quota::{GatewayCount, RetryAllowance, RetryBudget, RetryUsage, connections_per_gateway};
 use axum::http::HeaderValue;
@@ -51,11 +51,11 @@
 
 /// Action that the gatherer has chosen, by the ids of its query or part.
 enum Action {
-    Call { part_id: u64, server: Rc<str>, limit: Duration },
+    Call { part_id: u64, server: Rc<str>, timeout: Duration },
     Answer(u64),
     Reject(u64, Option<Duration>),
     Abort(u64),
-    Wake(u64, Duration),
+    SetTimer(u64, Duration),
 }
 
 /// Budgets that all gateways share, and what this gateway has used of them.
@@ -64,7 +64,7 @@
     /// Allowance of this gateway at each service, by shard index.
     retry_allowances: BTreeMap<u32, RetryAllowance>,
     gateway_count: GatewayCount,
-    /// Time of the current event since the start, for [`Host::may_call_again`], which takes no time.
+    /// Time of the current event since the start, for [`Host::may_retry`], which takes no time.
     now: Duration,
 }
 
@@ -76,24 +76,24 @@
 }
 
 impl Host for ActionQueue {
-    fn call(&mut self, part_id: u64, server: &str, limit: Duration) {
-        self.actions.borrow_mut().push_back(Action::Call { part_id, server: server.into(), limit });
+    fn start_call(&mut self, part_id: u64, server: &str, timeout: Duration) {
+        self.actions.borrow_mut().push_back(Action::Call { part_id, server: server.into(), timeout });
     }
-    fn call_off(&mut self, _part: u64, _call: u32) {}
-    fn answer(&mut self, query_id: u64, _whole: bool) {
+    fn cancel_call(&mut self, _part: u64, _call: u32) {}
+    fn answer(&mut self, query_id: u64, _complete: bool) {
         self.actions.borrow_mut().push_back(Action::Answer(query_id));
     }
-    fn reject(&mut self, query_id: u64, back_after: Option<Duration>) {
-        self.actions.borrow_mut().push_back(Action::Reject(query_id, back_after));
+    fn reject(&mut self, query_id: u64, retry_after: Option<Duration>) {
+        self.actions.borrow_mut().push_back(Action::Reject(query_id, retry_after));
     }
     fn abort(&mut self, query_id: u64) {
         self.actions.borrow_mut().push_back(Action::Abort(query_id));
     }
-    fn wake(&mut self, token: u64, after: Duration) {
-        self.actions.borrow_mut().push_back(Action::Wake(token, after));
+    fn set_timer(&mut self, token: u64, delay: Duration) {
+        self.actions.borrow_mut().push_back(Action::SetTimer(token, delay));
     }
-    fn watch_list(&mut self) {}
-    fn may_call_again(&self, shard: u32) -> bool {
+    fn watch_server_list(&mut self) {}
+    fn may_retry(&self, shard: u32) -> bool {
         let shared_limits = self.shared_limits.borrow();
         let gateways = shared_limits.gateway_count.current();
         shared_limits.retry_allowances.get(&shard).is_none_or(|allowance| {
@@ -192,26 +192,26 @@
         let zone = settings.zones.iter().position(|z| *z == settings.zone).map(|z| z as u32);
         let gatherer_settings = GathererSettings {
             seed: fastrand::u64(..),
-            gatherers: 1,
+            gatherer_count: 1,
             zone,
             tick: MIN_REVIEW_INTERVAL,
             verticals: Vec::new(),
             tenant_rates: Vec::new(),
-            cells: u32::MAX,
-            span: 1,
-            parts_a_call: 1,
-            call_cost: Duration::ZERO,
-            most_calls: 1,
-            second_copies: true,
+            cell_count: u32::MAX,
+            cells_per_shard: 1,
+            max_parts_per_call: 1,
+            call_overhead: Duration::ZERO,
+            max_calls_per_part: 1,
+            allow_hedging: true,
             // Cancelling a call would discard the work that its server has done, so calls run to their end.
-            call_off: false,
-            back_after: Some(MAX_RETRY_AFTER),
-            ask_within: None,
-            budget: None,
-            cold_from: 1.0,
-            cold_time: Duration::ZERO,
+            allow_cancel: false,
+            max_retry_after: Some(MAX_RETRY_AFTER),
+            max_list_request_interval: None,
+            retry_budget: None,
+            cold_capacity_share: 1.0,
+            warm_up_time: Duration::ZERO,
             overload_factor: 1.0,
-            fall_time: Duration::from_secs(1),
+            overload_window: Duration::from_secs(1),
         };
         let retry_budget = RetryBudget {
             ratio: settings.retry_budget.ratio,
@@ -255,7 +255,7 @@
         self.shared_limits.borrow_mut().now = now;
         {
             let mut gatherer = self.gatherer.borrow_mut();
-            gatherer.at(now);
+            gatherer.advance_to(now);
             event(&mut gatherer);
         }
         loop {
@@ -266,7 +266,7 @@
 
     fn execute(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Call { part_id, server, limit } => self.send_call(part_id, server, limit),
+            Action::Call { part_id, server, timeout } => self.send_call(part_id, server, timeout),
             Action::Answer(query_id) => self.send_response(query_id),
             Action::Reject(query_id, retry_after) => {
                 let Some(query) = self.remove_query(query_id) else { return };
@@ -284,8 +284,8 @@
                 let reply = self.failure_reply(query.failure_response);
                 let _ = query.reply_sender.send(reply);
             }
-            Action::Wake(token, after) => {
-                let at = Instant::now() + after;
+            Action::SetTimer(token, delay) => {
+                let at = Instant::now() + delay;
                 let is_earliest = self.timers.borrow().first().is_none_or(|(earliest, _)| at < *earliest);
                 self.timers.borrow_mut().insert((at, token));
                 if is_earliest {
@@ -322,7 +322,7 @@
                 let later = timers.split_off(&(Instant::now() + Duration::from_nanos(1), 0));
                 std::mem::replace(&mut *timers, later).into_iter().map(|(_, token)| token).collect()
             };
-            self.process_event(|gatherer| due.iter().for_each(|token| gatherer.woke(*token)));
+            self.process_event(|gatherer| due.iter().for_each(|token| gatherer.timer_fired(*token)));
         }
     }
 
@@ -349,7 +349,7 @@
     pub fn gateways_changed(self: &Rc<Self>, count: usize) {
         let now = self.started_at.elapsed();
         self.shared_limits.borrow_mut().gateway_count.observe(now, count);
-        self.process_event(|gatherer| gatherer.fleet_is(u32::try_from(count).ok()));
+        self.process_event(|gatherer| gatherer.set_gatherer_count(u32::try_from(count).ok()));
     }
 
     /// Updates the servers of all services that the updates concern.
@@ -419,11 +419,11 @@
             return;
         }
         self.process_event(|gatherer| {
-            gatherer.list_begins(false);
+            gatherer.begin_server_list(false);
             for (s, health) in changed {
                 let shard = self.shard_index(&s.service.as_str().into());
                 let zone = self.zones.iter().position(|z| s.zone == z.as_str()).map(|z| z as u32);
-                gatherer.server_listed(s.id.as_str(), health, shard, zone, None);
+                gatherer.update_server(s.id.as_str(), health, shard, zone, None);
             }
         });
     }
@@ -446,8 +446,8 @@
             self.pool.remove_server(id);
             let shard = self.shard_index(&server.service.as_str().into());
             self.process_event(|gatherer| {
-                gatherer.list_begins(false);
-                gatherer.server_listed(id, Health::Gone, shard, None, None);
+                gatherer.begin_server_list(false);
+                gatherer.update_server(id, Health::Gone, shard, None, None);
             });
         }
     }
@@ -490,14 +490,18 @@
         let at = self.verticals.borrow().len();
         self.verticals.borrow_mut().insert(key, at);
         let settings = VerticalSettings {
-            need: 1.0,
-            floor: if services.len() > 1 { route.min_coverage } else { 1.0 },
-            follow_up: 0,
+            required_weight: 1.0,
+            min_weight: if services.len() > 1 { route.min_coverage } else { 1.0 },
+            follow_up_parts: 0,
             slo,
             late_utility: LATE_UTILITY,
-            effect: if route.is_idempotent { Effect::Repeatable } else { Effect::SideEffecting },
+            idempotency: if route.is_idempotent {
+                Idempotency::Idempotent
+            } else {
+                Idempotency::NonIdempotent
+            },
         };
-        self.process_event(|gatherer| gatherer.vertical_is(at, &settings, route.max_attempts, true));
+        self.process_event(|gatherer| gatherer.set_vertical(at, &settings, route.max_attempts, true));
         at
     }
 
@@ -545,9 +549,9 @@
         let deadline = deadline.saturating_duration_since(self.started_at);
         let weight = 1.0 / shards.len() as f64;
         self.process_event(|gatherer| {
-            gatherer.query_came(first_id, first_id, vertical, None, Some(&key), deadline, shards.len());
+            gatherer.query_arrived(first_id, first_id, vertical, None, Some(&key), deadline, shards.len());
             for (at, shard) in shards.iter().enumerate() {
-                gatherer.part_came(first_id + 1 + at as u64, first_id, *shard, weight);
+                gatherer.part_arrived(first_id + 1 + at as u64, first_id, *shard, weight);
             }
         });
         (first_id, reply_receiver)
@@ -556,12 +560,12 @@
     /// Abandons a query whose client has disconnected.
     pub fn client_disconnected(self: &Rc<Self>, query_id: u64) {
         if self.remove_query(query_id).is_some() {
-            self.process_event(|gatherer| gatherer.abandoned(query_id));
+            self.process_event(|gatherer| gatherer.query_abandoned(query_id));
         }
     }
 
     /// Starts a call for a part. A call after one that may have reached a server counts as a retry.
-    fn send_call(self: &Rc<Self>, part_id: u64, server: Rc<str>, limit: Duration) {
+    fn send_call(self: &Rc<Self>, part_id: u64, server: Rc<str>, timeout: Duration) {
         let Some((query_id, at)) = self.parts.borrow().get(&part_id).copied() else { return };
         let (request, call, retried_shard) = {
             let mut queries = self.queries.borrow_mut();
@@ -580,7 +584,7 @@
         increment(&self.counters.calls);
         let data_plane = self.clone();
         tokio::task::spawn_local(async move {
-            let result = data_plane.pool.send(&server, &request, limit).await;
+            let result = data_plane.pool.send(&server, &request, timeout).await;
             if let (Err(e), Some(shard)) = (&result, retried_shard)
                 && !e.may_have_arrived()
             {
@@ -592,12 +596,12 @@
                     .or_default()
                     .cancel_retry();
             }
-            data_plane.call_finished(part_id, call, &server, result);
+            data_plane.call_ended(part_id, call, &server, result);
         });
     }
 
     /// Records the result of a call and passes its outcome to the gatherer.
-    fn call_finished(
+    fn call_ended(
         self: &Rc<Self>, part_id: u64, call: u32, server: &str, result: Result<ServerResponse, CallError>,
     ) {
         if let Err(e) = &result {
@@ -637,7 +641,7 @@
             }
         };
         drop(queries);
-        self.process_event(|gatherer| gatherer.settled(part_id, call, outcome, server, false));
+        self.process_event(|gatherer| gatherer.call_ended(part_id, call, outcome, server, false));
     }
 
     /// Removes a query. Results of its pending calls are from here on only passed to the gatherer.
