--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -1,6 +1,6 @@
-//! Answers and their callers: servers that do everything wrong that a server may, in drawn order, behind a whole gateway,
-//! and clients that check whose answer they got, whether it is whole, and how often their request ran. Connections are
-//! played, time is counted, nothing is waited for.
+//! Matching of responses to requests: simulated servers with every kind of fault, in random order, behind a
+//! complete gateway. Clients check that each response belongs to their request and is complete, and how often
+//! the request ran. Connections and time are simulated.
 
 mod scripted;
 
@@ -12,72 +12,79 @@
 use scripted::{World, ms, play};
 use tokio::task::spawn_local;
 
-/// Clients of a day, and what each of them asks for.
-const CLIENTS: usize = 16;
-const EXCHANGES: usize = 40;
-/// Days that are played each time. One shows what most do not: a server that turns the same request away twice, the second
-/// time after it came again (4).
-const DAYS: [u64; 8] = [0, 1, 2, 3, 4, 10, 23, 111];
-/// Of all exchanges, at least this share is answered with success: a gateway that refuses all would break nothing.
-const SERVED: f64 = 0.5;
+/// Clients of one simulated day.
+const CLIENT_COUNT: usize = 16;
+/// Requests of each client.
+const REQUESTS_PER_CLIENT: usize = 40;
+/// Seeds of the days that every run simulates. Seed 4 shows a rare fault: a server rejects the same request
+/// twice, the second time after it was sent again.
+const SEEDS: [u64; 8] = [0, 1, 2, 3, 4, 10, 23, 111];
+/// Smallest share of all requests that must succeed. A gateway that rejects every request would break no
+/// other rule.
+const MIN_SUCCESS_RATIO: f64 = 0.5;
 
-/// One day: what was done how often, by its name.
-async fn day(seed: u64) -> Rc<World> {
+/// Simulates one day.
+async fn simulate_day(seed: u64) -> Rc<World> {
     let world = World::start(seed).await;
     let clients: Vec<_> =
-        (0..CLIENTS).map(|n| spawn_local(client(world.clone(), n, seed, EXCHANGES))).collect();
-    // On every second day the gateway is told to end meanwhile.
+        (0..CLIENT_COUNT).map(|n| spawn_local(client(world.clone(), n, seed, REQUESTS_PER_CLIENT))).collect();
+    // With every odd seed the gateway is shut down during the day.
     if seed % 2 == 1 {
         let mut rng = fastrand::Rng::with_seed(seed);
         world.leave(ms(rng.u64(..1500)), ms(rng.u64(..400))).await;
     }
     for client in clients {
-        client.await.expect("a client does not panic");
+        client.await.expect("the client does not panic");
     }
     world.check_at_the_end().await;
     world
 }
 
-/// What is broken on some of these days: how often, and where for the first time.
-type Broken = BTreeMap<String, (u32, String)>;
+/// Violations of all days by kind: how often each occurred, and its first example.
+type Violations = BTreeMap<String, (u32, String)>;
 
-fn hunt(seeds: impl Iterator<Item = u64>) -> (Broken, scripted::Counts) {
-    let (mut broken, mut counts) = (Broken::new(), scripted::Counts::new());
-    let mut note = |seed: u64, wrong: &str| {
-        let (kind, example) = wrong.split_once(": ").unwrap_or((wrong, ""));
+/// Simulates a day for each seed, and returns the violations and how often each event occurred.
+fn simulate_days(seeds: impl Iterator<Item = u64>) -> (Violations, scripted::Counts) {
+    let (mut violations, mut counts) = (Violations::new(), scripted::Counts::new());
+    let mut record = |seed: u64, violation: &str| {
+        let (kind, example) = violation.split_once(": ").unwrap_or((violation, ""));
         let first = || (0, format!("seed {seed}: {example}"));
-        broken.entry(kind.to_owned()).or_insert_with(first).0 += 1;
+        violations.entry(kind.to_owned()).or_insert_with(first).0 += 1;
     };
     for seed in seeds {
-        match catch_unwind(AssertUnwindSafe(|| play(day(seed)))) {
+        match catch_unwind(AssertUnwindSafe(|| play(simulate_day(seed)))) {
             Ok(world) => {
                 let ledger = world.ledger.borrow();
-                ledger.wrongs.iter().for_each(|wrong| note(seed, wrong));
+                ledger.wrongs.iter().for_each(|violation| record(seed, violation));
                 for (name, count) in &ledger.counts {
                     *counts.entry(*name).or_default() += count;
                 }
             }
-            Err(why) => {
-                let why = why.downcast_ref::<String>().cloned().unwrap_or_else(|| "a panic".to_owned());
-                note(seed, &format!("PANIC: {why}"));
+            Err(panic) => {
+                let message = panic.downcast_ref::<String>().cloned().unwrap_or_else(|| "a panic".to_owned());
+                record(seed, &format!("PANIC: {message}"));
             }
         }
     }
-    (broken, counts)
+    (violations, counts)
 }
 
-/// By hand: `CALLERS_FROM=0 CALLERS_DAYS=1000 cargo test --release -p ashvane-node --test callers -- --nocapture`.
+/// Simulates the days of [`SEEDS`]. To simulate others:
+/// `CALLERS_FROM=0 CALLERS_DAYS=1000 cargo test --release -p ashvane-node --test callers -- --nocapture`.
 #[test]
-fn every_answer_is_its_callers_and_nothing_runs_twice() {
+fn every_response_belongs_to_its_request_and_nothing_runs_twice() {
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
-    let (broken, counts) = match number("CALLERS_DAYS") {
-        Some(days) => hunt((0..days).map(|n| n + number("CALLERS_FROM").unwrap_or(0))),
-        None => hunt(DAYS.into_iter()),
+    let (violations, counts) = match number("CALLERS_DAYS") {
+        Some(days) => simulate_days((0..days).map(|n| n + number("CALLERS_FROM").unwrap_or(0))),
+        None => simulate_days(SEEDS.into_iter()),
     };
     println!("{counts:#?}");
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
     let missing: Vec<_> = scripted::server::DEEDS.iter().filter(|deed| !counts.contains_key(*deed)).collect();
-    assert!(missing.is_empty(), "never played: {missing:?}");
-    let (exchanges, served) = (counts["client: asked"], counts["client: served"]);
-    assert!(f64::from(served) > f64::from(exchanges) * SERVED, "{served} of {exchanges} were served");
+    assert!(missing.is_empty(), "faults that never occurred: {missing:?}");
+    let (requests, successes) = (counts["client: asked"], counts["client: served"]);
+    assert!(
+        f64::from(successes) > f64::from(requests) * MIN_SUCCESS_RATIO,
+        "{successes} of {requests} requests succeeded"
+    );
 }
