--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -52,7 +52,7 @@
     Aborted,
 }
 
-/// Action that the gatherer has chosen, by the ids of its query or part.
+/// Action that the gatherer has chosen. Queries and parts are given by their ids.
 enum Action {
     Call { part_id: u64, server: Rc<str>, timeout: Duration },
     Answer(u64),
@@ -152,7 +152,7 @@
     failed_calls: RefCell<BTreeMap<String, u64>>,
 }
 
-/// Identity of a vertical: services, whether requests are idempotent, latency target, maximum of attempts,
+/// Identity of a vertical: services, whether requests are idempotent, latency target, attempt limit,
 /// and bits of the minimal coverage. Routes that agree in all of them share a vertical.
 type VerticalKey = (Vec<Rc<str>>, bool, Duration, u32, u64);
 
@@ -179,7 +179,7 @@
     timers: RefCell<BTreeSet<(Instant, u64)>>,
     /// Notified when a timer is added that is due before all others.
     timer_added: Notify,
-    /// Last id that was given to a query or part.
+    /// Last id that was given out. The parts of a query have the ids that follow its own.
     last_id: Cell<u64>,
     counters: Counters,
 }
@@ -359,14 +359,14 @@
     pub fn servers_changed(self: &Rc<Self>, directory: &Directory, updates: &[Update]) {
         let services: BTreeSet<&str> = updates
             .iter()
-            .filter_map(|n| match n {
-                Update::Server(s) => Some(s.service.as_str()),
+            .filter_map(|update| match update {
+                Update::Server(server) => Some(server.service.as_str()),
                 _ => None,
             })
             .collect();
         if !services.is_empty() {
             let listed: Vec<&Server> =
-                directory.servers().filter(|s| services.contains(s.service.as_str())).collect();
+                directory.servers().filter(|server| services.contains(server.service.as_str())).collect();
             self.update_servers(&listed);
         }
     }
@@ -375,19 +375,19 @@
     /// it has any of.
     fn update_servers(self: &Rc<Self>, listed: &[&Server]) {
         let mut ready_counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for s in listed.iter().filter(|s| s.state == ServerState::Ready) {
-            let (all, timed_out) = ready_counts.entry(s.service.as_str()).or_default();
-            (*all, *timed_out) = (*all + 1, *timed_out + usize::from(s.has_timed_out()));
+        for server in listed.iter().filter(|server| server.state == ServerState::Ready) {
+            let (all, timed_out) = ready_counts.entry(server.service.as_str()).or_default();
+            (*all, *timed_out) = (*all + 1, *timed_out + usize::from(server.has_timed_out()));
         }
-        let health = |s: &Server| match s.state {
+        let health = |server: &Server| match server.state {
             ServerState::Terminated => Health::Gone,
             ServerState::Draining => Health::Draining,
             // If more than half of a service has timed out, this gateway is probably partitioned from it, so
             // its servers stay ready.
             ServerState::Ready
-                if s.has_timed_out()
+                if server.has_timed_out()
                     && ready_counts
-                        .get(s.service.as_str())
+                        .get(server.service.as_str())
                         .is_some_and(|(all, timed_out)| timed_out * 2 <= *all) =>
             {
                 Health::Draining
@@ -395,27 +395,27 @@
             ServerState::Ready => Health::Ready,
         };
         let mut changed = Vec::new();
-        for s in listed {
-            let health = health(s);
+        for server in listed {
+            let health = health(server);
             let mut servers = self.servers.borrow_mut();
-            let previous = servers.get(s.id.as_str()).map(|(_, health)| *health);
+            let previous = servers.get(server.id.as_str()).map(|(_, health)| *health);
             // Terminated servers are removed.
-            if s.state == ServerState::Terminated {
-                servers.remove(s.id.as_str());
-                changed.extend(previous.map(|_| (*s, health)));
+            if server.state == ServerState::Terminated {
+                servers.remove(server.id.as_str());
+                changed.extend(previous.map(|_| (*server, health)));
             } else if previous != Some(health) {
-                servers.insert(s.id.to_string(), ((*s).clone(), health));
-                changed.push((*s, health));
+                servers.insert(server.id.to_string(), ((*server).clone(), health));
+                changed.push((*server, health));
             }
         }
-        for (s, health) in &changed {
+        for (server, health) in &changed {
             match health {
                 Health::Ready => self.pool.add_server(
-                    s.id.as_str(),
-                    s.address.as_str(),
-                    self.connection_limit(s.service.as_str()),
+                    server.id.as_str(),
+                    server.address.as_str(),
+                    self.connection_limit(server.service.as_str()),
                 ),
-                _ if s.state > ServerState::Ready => self.pool.remove_server(s.id.as_str()),
+                _ if server.state > ServerState::Ready => self.pool.remove_server(server.id.as_str()),
                 _ => {}
             }
         }
@@ -424,10 +424,10 @@
         }
         self.process_event(|gatherer| {
             gatherer.begin_server_list(false);
-            for (s, health) in changed {
-                let shard = self.shard_index(&s.service.as_str().into());
-                let zone = self.zones.iter().position(|z| s.zone == z.as_str()).map(|z| z as u32);
-                gatherer.update_server(s.id.as_str(), health, shard, zone, None);
+            for (server, health) in changed {
+                let shard = self.shard_index(&server.service.as_str().into());
+                let zone = self.zones.iter().position(|z| server.zone == z.as_str()).map(|z| z as u32);
+                gatherer.update_server(server.id.as_str(), health, shard, zone, None);
             }
         });
     }
@@ -461,12 +461,12 @@
     /// Applies a configuration to all queries that are submitted from here on.
     pub fn config_changed(self: &Rc<Self>, config: Rc<Config>) {
         *self.config.borrow_mut() = Some(config.clone());
-        let servers: Vec<Server> = self.servers.borrow().values().map(|(s, _)| s.clone()).collect();
-        for s in servers.iter().filter(|s| s.state == ServerState::Ready) {
+        let servers: Vec<Server> = self.servers.borrow().values().map(|(server, _)| server.clone()).collect();
+        for server in servers.iter().filter(|server| server.state == ServerState::Ready) {
             self.pool.add_server(
-                s.id.as_str(),
-                s.address.as_str(),
-                self.connection_limit(s.service.as_str()),
+                server.id.as_str(),
+                server.address.as_str(),
+                self.connection_limit(server.service.as_str()),
             );
         }
         for route in config.routes() {
@@ -475,8 +475,8 @@
                     self.vertical_index(route, services);
                 }
                 Target::One(services) => {
-                    for part in services {
-                        self.vertical_index(route, std::slice::from_ref(&part.service));
+                    for entry in services {
+                        self.vertical_index(route, std::slice::from_ref(&entry.service));
                     }
                 }
             }
@@ -489,11 +489,11 @@
         let slo = route.latency_target.min(route.deadline);
         let key: VerticalKey =
             (services.to_vec(), route.is_idempotent, slo, route.max_attempts, route.min_coverage.to_bits());
-        if let Some(at) = self.verticals.borrow().get(&key) {
-            return *at;
+        if let Some(index) = self.verticals.borrow().get(&key) {
+            return *index;
         }
-        let at = self.verticals.borrow().len();
-        self.verticals.borrow_mut().insert(key, at);
+        let index = self.verticals.borrow().len();
+        self.verticals.borrow_mut().insert(key, index);
         let settings = VerticalSettings {
             required_weight: 1.0,
             min_weight: if services.len() > 1 { route.min_coverage } else { 1.0 },
@@ -506,8 +506,8 @@
                 Idempotency::NonIdempotent
             },
         };
-        self.process_event(|gatherer| gatherer.set_vertical(at, &settings, route.max_attempts, true));
-        at
+        self.process_event(|gatherer| gatherer.set_vertical(index, &settings, route.max_attempts, true));
+        index
     }
 
     // Queries.
@@ -524,8 +524,8 @@
             Target::One(services) => vec![pick_service(services)],
         };
         let vertical = self.vertical_index(route, &services);
-        let first_id = self.last_id.get() + 1;
-        self.last_id.set(first_id + services.len() as u64);
+        let query_id = self.last_id.get() + 1;
+        self.last_id.set(query_id + services.len() as u64);
         let now = self.started_at.elapsed();
         let key = request.uri.to_string();
         let shards: Vec<u32> = services.iter().map(|s| self.shard_index(s)).collect();
@@ -546,21 +546,21 @@
         let parts: Vec<Part> = shards.iter().map(part).collect();
         {
             let mut positions = self.parts.borrow_mut();
-            positions.extend((0..parts.len()).map(|at| (first_id + 1 + at as u64, (first_id, at))));
+            positions.extend((0..parts.len()).map(|at| (query_id + 1 + at as u64, (query_id, at))));
         }
         let (request, route) = (Rc::new(request), route.clone());
         let query =
             Query { reply_sender, request, route, parts, failure_response: None, may_have_run: false };
-        self.queries.borrow_mut().insert(first_id, query);
+        self.queries.borrow_mut().insert(query_id, query);
         let deadline = deadline.saturating_duration_since(self.started_at);
         let weight = 1.0 / shards.len() as f64;
         self.process_event(|gatherer| {
-            gatherer.query_arrived(first_id, first_id, vertical, None, Some(&key), deadline, shards.len());
+            gatherer.query_arrived(query_id, query_id, vertical, None, Some(&key), deadline, shards.len());
             for (at, shard) in shards.iter().enumerate() {
-                gatherer.part_arrived(first_id + 1 + at as u64, first_id, *shard, weight);
+                gatherer.part_arrived(query_id + 1 + at as u64, query_id, *shard, weight);
             }
         });
-        (first_id, reply_receiver)
+        (query_id, reply_receiver)
     }
 
     /// Abandons a query whose client has disconnected.
@@ -573,11 +573,12 @@
     /// Starts a call for a part. A call after one that may have reached a server counts as a retry.
     fn send_call(self: &Rc<Self>, part_id: u64, server: Rc<str>, timeout: Duration) {
         let Some((query_id, at)) = self.parts.borrow().get(&part_id).copied() else { return };
-        let (request, call, retried_shard) = {
+        let (request, call_index, retried_shard) = {
             let mut queries = self.queries.borrow_mut();
             let Some(query) = queries.get_mut(&query_id) else { return };
             let part = &mut query.parts[at];
-            let (call, retried_shard) = (part.call_count, (part.received_count > 0).then_some(part.shard));
+            let (call_index, retried_shard) =
+                (part.call_count, (part.received_count > 0).then_some(part.shard));
             (part.call_count, part.received_count, part.pending_count) =
                 (part.call_count + 1, part.received_count + 1, part.pending_count + 1);
             if let Some(shard) = retried_shard {
@@ -585,7 +586,7 @@
                 self.shared_limits.borrow_mut().retry_allowances.entry(shard).or_default().record_retry(now);
                 increment(&self.counters.retries);
             }
-            (query.request.clone(), call, retried_shard)
+            (query.request.clone(), call_index, retried_shard)
         };
         increment(&self.counters.calls);
         let data_plane = self.clone();
@@ -602,13 +603,14 @@
                     .or_default()
                     .cancel_retry();
             }
-            data_plane.call_ended(part_id, call, &server, result);
+            data_plane.call_ended(part_id, call_index, &server, result);
         });
     }
 
     /// Records the result of a call and passes its outcome to the gatherer.
     fn call_ended(
-        self: &Rc<Self>, part_id: u64, call: u32, server: &str, result: Result<ServerResponse, CallError>,
+        self: &Rc<Self>, part_id: u64, call_index: u32, server: &str,
+        result: Result<ServerResponse, CallError>,
     ) {
         if let Err(e) = &result {
             let kind = format!("{e:?}").split([' ', '{']).next().unwrap_or_default().to_owned();
@@ -647,7 +649,7 @@
             }
         };
         drop(queries);
-        self.process_event(|gatherer| gatherer.call_ended(part_id, call, outcome, server, false));
+        self.process_event(|gatherer| gatherer.call_ended(part_id, call_index, outcome, server, false));
     }
 
     /// Removes a query. Results of its pending calls are from here on only passed to the gatherer.
@@ -730,14 +732,14 @@
 
 /// Picks a service at random, by weight.
 fn pick_service(services: &[WeightedService]) -> Rc<str> {
-    let total: f64 = services.iter().map(|part| part.weight).sum();
+    let total: f64 = services.iter().map(|entry| entry.weight).sum();
     let mut point = fastrand::f64() * total;
-    for part in services {
-        point -= part.weight;
+    for entry in services {
+        point -= entry.weight;
         if point < 0.0 {
-            return part.service.clone();
+            return entry.service.clone();
         }
     }
-    let last = services.iter().rev().find(|part| part.weight > 0.0);
-    last.map_or_else(|| "".into(), |part| part.service.clone())
+    let last = services.iter().rev().find(|entry| entry.weight > 0.0);
+    last.map_or_else(|| "".into(), |entry| entry.service.clone())
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -172,7 +172,7 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != ATTEMPT_ID && *name != header::HOST)
         .collect();
-    let always = [
+    let hop_by_hop = [
         header::CONNECTION,
         KEEP_ALIVE,
         header::PROXY_AUTHENTICATE,
@@ -185,17 +185,17 @@
         header::EXPECT,
         HeaderName::from_static("proxy-connection"),
     ];
-    listed.iter().chain(&always).for_each(|name| drop(headers.remove(name)));
+    listed.iter().chain(&hop_by_hop).for_each(|name| drop(headers.remove(name)));
 }
 
 /// Returns how long the connection may stay idle according to the server, less [`IDLE_EXPIRY_MARGIN`]; `None`
 /// if the connection cannot be reused.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
-    let has = |name: HeaderName, word: &str| {
+    let contains = |name: HeaderName, token: &str| {
         let values = headers.get_all(name);
-        values.iter().filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
+        values.iter().filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(token))
     };
-    if has(header::CONNECTION, "close") {
+    if contains(header::CONNECTION, "close") {
         return None;
     }
     let requested = headers.get(KEEP_ALIVE).and_then(|v| v.to_str().ok()).and_then(|v| {
@@ -443,9 +443,9 @@
             let pool = Pool::new(Rc::new(TcpConnector));
             pool.add_server("i-1", "127.0.0.1:1", 4);
             let server = pool.servers.borrow()["i-1"].clone();
-            let (near, _far) = tokio::io::duplex(1024);
+            let (client_end, _server_end) = tokio::io::duplex(1024);
             let (mut sender, connection) =
-                handshake(TokioIo::new(near)).await.expect("the peer end of the duplex stream is open");
+                handshake(TokioIo::new(client_end)).await.expect("the peer end of the duplex stream is open");
             tokio::task::spawn_local(connection);
             sender.ready().await.expect("the connection was just opened");
             let (_close_on_drop, _dropped) = oneshot::channel();
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -40,16 +40,19 @@
         let request = "POST /r/x/y?q=1%202 HTTP/1.1\r\nHost: H.example:80\r\nAttempt-Id: 77\r\nX-Own: kept\r\n\
                        Connection: x-hop\r\nX-Hop: dropped\r\nTransfer-Encoding: chunked\r\n\r\n\
                        3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-        let got = ask(hall.front, request).await.expect("the response is complete");
-        assert_eq!((got.status(), got.header("server-seal"), &got.body[..]), (200, "a", &b"body"[..]));
-        let seen = servers[0].got.borrow();
+        let response = ask(hall.front, request).await.expect("the response is complete");
         assert_eq!(
-            (seen[0].first.as_str(), &seen[0].body[..]),
+            (response.status(), response.header("server-seal"), &response.body[..]),
+            (200, "a", &b"body"[..])
+        );
+        let received = servers[0].got.borrow();
+        assert_eq!(
+            (received[0].first.as_str(), &received[0].body[..]),
             ("POST /r/x/y?q=1%202 HTTP/1.1", &b"abcde"[..])
         );
-        assert_eq!((seen[0].header("attempt-id"), seen[0].header("x-own")), ("77", "kept"));
-        assert_eq!((seen[0].header("target-instance"), seen[0].header("x-hop")), ("i-0", ""));
-        let remaining_ms: u64 = seen[0].header("deadline-ms").parse().expect("Deadline-Ms is a number");
+        assert_eq!((received[0].header("attempt-id"), received[0].header("x-own")), ("77", "kept"));
+        assert_eq!((received[0].header("target-instance"), received[0].header("x-hop")), ("i-0", ""));
+        let remaining_ms: u64 = received[0].header("deadline-ms").parse().expect("Deadline-Ms is a number");
         assert!(remaining_ms > 0 && remaining_ms <= 2000, "{remaining_ms}");
     });
 }
@@ -97,8 +100,8 @@
     run(async {
         let hall = Hall::start("no-configuration");
         let request = "GET /r/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\n\r\n";
-        let got = hall.until(hall.front, request, 503).await;
-        assert!(got.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0));
+        let response = hall.until(hall.front, request, 503).await;
+        assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0));
         hall.configure(1, &route("r", "idempotent", r#""service":"s""#), &["s"]).await;
         hall.until(hall.front, "GET /other/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\n\r\n", 404)
             .await;
@@ -117,9 +120,9 @@
         };
         let (hall, _servers) = one_service("surplus", "idempotent", vec![first_request(surplus)]).await;
         for id in ["1", "2", "3", "4"] {
-            let got = hall.get("/r/x", id).await;
+            let response = hall.get("/r/x", id).await;
             assert_eq!(
-                (got.status(), got.header("attempt-id")),
+                (response.status(), response.header("attempt-id")),
                 (200, id),
                 "the response belongs to the request"
             );
@@ -136,8 +139,8 @@
         };
         let (hall, servers) = one_service("half", "idempotent", vec![first_request(cut), success("b")]).await;
         for id in ["1", "2", "3", "4", "5", "6"] {
-            let got = hall.get(&format!("/r/{id}"), id).await;
-            assert_eq!((got.status(), &got.body[..]), (200, &b"body"[..]));
+            let response = hall.get(&format!("/r/{id}"), id).await;
+            assert_eq!((response.status(), &response.body[..]), (200, &b"body"[..]));
         }
         assert!(servers.iter().all(|s| !s.got.borrow().is_empty()), "both servers got requests");
     });
@@ -152,8 +155,12 @@
             let invalid = move |request: &Message| (answer(request, "200 OK", headers, b"spoilt"), false);
             let (hall, _) =
                 one_service(&format!("spoilt-{n}"), "idempotent", vec![first_request(invalid)]).await;
-            let got = hall.get("/r/x", "1").await;
-            assert_eq!((got.status(), &got.body[..]), (200, &b"body"[..]), "the request is sent again");
+            let response = hall.get("/r/x", "1").await;
+            assert_eq!(
+                (response.status(), &response.body[..]),
+                (200, &b"body"[..]),
+                "the request is sent again"
+            );
         }
     });
 }
@@ -177,7 +184,7 @@
             let mut first_server_count = 0;
             for id in 0..40 {
                 let path = format!("/r/{id}");
-                let got = hall.get(&path, &id.to_string()).await;
+                let response = hall.get(&path, &id.to_string()).await;
                 let mut send_count = 0;
                 for s in &servers {
                     send_count +=
@@ -187,8 +194,8 @@
                     servers[0].got.borrow().iter().any(|r| r.first.contains(&format!("{path} ")));
                 if reached_first_server {
                     first_server_count += 1;
-                    assert_eq!(send_count > 1, is_retried, "{name}: {}", got.status());
-                    assert_eq!(got.status(), if is_retried { 200 } else { status }, "{name}");
+                    assert_eq!(send_count > 1, is_retried, "{name}: {}", response.status());
+                    assert_eq!(response.status(), if is_retried { 200 } else { status }, "{name}");
                 }
             }
             assert!(first_server_count > 0, "{name}: the first server got no request");
@@ -213,16 +220,16 @@
         let (hall, servers) = one_service("silent", "idempotent", vec![silent(), silent()]).await;
         for id in 0..5 {
             let head = "GET /r/x HTTP/1.1\r\nHost: h.example\r\nDeadline-Ms: 100\r\n";
-            let got = ask(hall.front, &format!("{head}Attempt-Id: {id}\r\n\r\n"))
+            let response = ask(hall.front, &format!("{head}Attempt-Id: {id}\r\n\r\n"))
                 .await
                 .expect("the response is complete");
             let reached_server = servers
                 .iter()
                 .any(|s| s.got.borrow().iter().any(|r| r.header("attempt-id") == id.to_string()));
             assert!(
-                !reached_server || got.status() == 502,
+                !reached_server || response.status() == 502,
                 "{}: 503 would promise that it never ran",
-                got.status()
+                response.status()
             );
             assert!(reached_server || id > 0, "the first request reaches a server");
         }
@@ -264,11 +271,11 @@
         control_node.beat(&s, "ready", 1).await;
         control_node.configure(3, &route("r", "idempotent", r#""service":"s""#), &["s"]).await;
         gateway.ready().await;
-        let got = ask(gateway.control, "GET /api/configuration HTTP/1.1\r\nHost: c\r\n\r\n")
+        let response = ask(gateway.control, "GET /api/configuration HTTP/1.1\r\nHost: c\r\n\r\n")
             .await
             .expect("the response is complete");
         let location = format!("http://{}/api/configuration", control_node.control);
-        assert_eq!((got.status(), got.header("location")), (307, location.as_str()));
+        assert_eq!((response.status(), response.header("location")), (307, location.as_str()));
         assert_eq!(gateway.get("/r/x", "1").await.header("server-seal"), "a");
         // Changes at the control node reach the gateway: the route is removed.
         control_node.configure(4, "", &["s"]).await;
@@ -352,9 +359,9 @@
     run(async {
         let third: common::Script = Box::new(|r| sealed(r, "three", &record(31)));
         let (hall, servers) = three_shards("whole", third, 0.5).await;
-        let got = hall.get("/r/x", "1").await;
-        assert_eq!(got.body, [record(31), record(31), record(30)].concat(), "duplicates are kept");
-        let seals = got.first.clone() + got.header("missing-parts");
+        let response = hall.get("/r/x", "1").await;
+        assert_eq!(response.body, [record(31), record(31), record(30)].concat(), "duplicates are kept");
+        let seals = response.first.clone() + response.header("missing-parts");
         assert!(seals.ends_with('0'), "no part is missing: {seals}");
         assert!(servers.iter().all(|s| s.got.borrow()[0].header("attempt-id") == "1"));
     });
@@ -368,11 +375,11 @@
             let third: common::Script =
                 Box::new(|r| (answer(r, "500 Failed", "Server-Seal: bad\r\n", &record(99)), false));
             let (hall, _servers) = three_shards(name, third, min_coverage).await;
-            let got = hall.get("/r/x", "1").await;
-            assert_eq!(got.status(), status, "{name}");
+            let response = hall.get("/r/x", "1").await;
+            assert_eq!(response.status(), status, "{name}");
             if status == 200 {
                 assert_eq!(
-                    (got.header("missing-parts"), &got.body),
+                    (response.header("missing-parts"), &response.body),
                     ("1", &[record(31), record(30), record(11)].concat())
                 );
             }
@@ -387,19 +394,21 @@
         hall.configure(5, &route("r", "idempotent", r#""service":"s""#), &["s"]).await;
         let bad = r#"{"version":9,"routes":[{"name":"x","host":"h","path-prefix":"/a","kind":"maybe",
             "deadline-ms":0,"target-ms":1,"service":"nobody"}],"services":[]}"#;
-        let got = ask(hall.control, &common::put("/api/configuration", bad))
+        let response = ask(hall.control, &common::put("/api/configuration", bad))
             .await
             .expect("the response is complete");
-        let text = String::from_utf8_lossy(&got.body).into_owned();
-        assert_eq!(got.status(), 400);
+        let text = String::from_utf8_lossy(&response.body).into_owned();
+        assert_eq!(response.status(), 400);
         for part in ["slash", "idempotent", "above 0", "nobody"] {
             assert!(text.contains(part), "{part} is not in {text}");
         }
         // An older version is acknowledged and changes nothing.
         hall.configure(4, "", &["s"]).await;
-        let got = hall.until(hall.control, "GET /api/configuration HTTP/1.1\r\nHost: c\r\n\r\n", 200).await;
-        assert!(String::from_utf8_lossy(&got.body).contains(r#""version":5"#));
-        let got = ask(hall.control, &common::put("/api/instances/i-1", r#"{"address":"nowhere"}"#)).await;
-        assert_eq!(got.map(|g| g.status()), Some(400));
+        let response =
+            hall.until(hall.control, "GET /api/configuration HTTP/1.1\r\nHost: c\r\n\r\n", 200).await;
+        assert!(String::from_utf8_lossy(&response.body).contains(r#""version":5"#));
+        let response =
+            ask(hall.control, &common::put("/api/instances/i-1", r#"{"address":"nowhere"}"#)).await;
+        assert_eq!(response.map(|response| response.status()), Some(400));
     });
 }
