--- a/crates/node/src/data_plane.rs
+++ b/crates/node/src/data_plane.rs
@@ -1,12 +1,13 @@
-//! The data plane: each query by the decisions of the `ashvane` module. What happens is told to the module, and
-//! what it decides is done here; nothing is decided here but what the configuration itself says.
+//! The data plane of a gateway: executes queries as the [`Gatherer`] decides. Events are passed to the
+//! gatherer, and the actions that it chooses are carried out here. The data plane itself decides only what
+//! the configuration prescribes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings as Start, VerticalSettings};
+use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings as GathererSettings, VerticalSettings};
 use ashvane_gossip::{Directory, Server, ServerState, Update};
 use ashvane_quota::{GatewayCount, RetryAllowance, RetryBudget, RetryUsage, connections_per_gateway};
 use axum::http::HeaderValue;
@@ -18,155 +19,185 @@
 
 use crate::call_error::{CallError, Execution};
 use crate::config::{Config, Route, Target, WeightedService};
-use crate::merge::greatest;
-use crate::pool::{Answer, Asked, Connector, Pool, SERVER_SEAL};
+use crate::merge::merge_top_k;
+use crate::pool::{Connector, ForwardedRequest, Pool, SERVER_SEAL, ServerResponse};
 use crate::settings::Settings;
 
-/// Utility of an answer after the target time, as a share of the full: the configuration doesn't say.
+/// Utility of an answer that misses the latency target, as a share of the full utility. The configuration has
+/// no key for it.
 const LATE_UTILITY: f64 = 0.5;
-/// The shortest time between two looks at a query, and half of what is left for the way back to the client.
-const TICK: Duration = Duration::from_millis(5);
-/// The longest time to come back that clients are told: they follow a third of what they have left.
-const BACK_AFTER: Duration = Duration::from_millis(500);
-
-/// What becomes of a query.
+/// Shortest time between two reviews of a query. The gatherer ends a query two of these before its deadline,
+/// which leaves time for the response to reach the client.
+const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest `Retry-After` that clients are sent. Clients wait for at most a third of the time that they have
+/// left.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Result of a query.
 pub enum Reply {
-    /// The server's own answer, unchanged.
-    Relayed(Answer),
+    /// The response of one server, unchanged.
+    Relayed(ServerResponse),
+    /// The merged responses of several shards.
     Gathered {
+        /// The `Server-Seal` of each shard that answered.
         seals: Vec<HeaderValue>,
+        /// Number of shards whose responses are missing.
         missing: usize,
+        /// The merged records.
         body: Bytes,
     },
-    /// It has not run and never will; when to come back.
+    /// The request has not run and never will. Holds the time after which the client should retry.
     Rejected(Option<Duration>),
-    /// No promise is made.
+    /// The query failed, and its request may have run.
     Aborted,
 }
 
-enum Act {
-    Call { part: u64, server: Rc<str>, limit: Duration },
+/// Action that the gatherer has chosen. Queries and parts are given by their ids.
+enum Action {
+    Call { part_id: u64, server: Rc<str>, timeout: Duration },
     Answer(u64),
     Reject(u64, Option<Duration>),
     Abort(u64),
-    Wake(u64, Duration),
+    SetTimer(u64, Duration),
 }
 
-/// The limits that all gatherers share, as this one sees them.
-struct Shares {
-    budget: RetryBudget,
-    retries: BTreeMap<u32, RetryAllowance>,
-    gateways: GatewayCount,
+/// Budgets that all gateways share, and what this gateway has used of them.
+struct SharedLimits {
+    retry_budget: RetryBudget,
+    /// Allowance of this gateway at each service, by shard index.
+    retry_allowances: BTreeMap<u32, RetryAllowance>,
+    gateway_count: GatewayCount,
+    /// Time of the current event since the start, for [`Host::may_retry`], which takes no time.
     now: Duration,
 }
 
-/// The module's hands: what it decides is queued and done as soon as it is through.
-struct Hands {
-    acts: Rc<RefCell<VecDeque<Act>>>,
-    shares: Rc<RefCell<Shares>>,
+/// Host of the gatherer. Queues the actions that it chooses; [`DataPlane::process_event`] executes them once
+/// the gatherer has returned.
+struct ActionQueue {
+    actions: Rc<RefCell<VecDeque<Action>>>,
+    shared_limits: Rc<RefCell<SharedLimits>>,
 }
 
-impl Host for Hands {
-    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
-        self.acts.borrow_mut().push_back(Act::Call { part, server: server.into(), limit: timeout });
+impl Host for ActionQueue {
+    fn start_call(&mut self, part_id: u64, server: &str, timeout: Duration) {
+        self.actions.borrow_mut().push_back(Action::Call { part_id, server: server.into(), timeout });
     }
     fn cancel_call(&mut self, _part: u64, _call: u32) {}
-    fn answer(&mut self, query: u64, _complete: bool) {
-        self.acts.borrow_mut().push_back(Act::Answer(query));
+    fn answer(&mut self, query_id: u64, _complete: bool) {
+        self.actions.borrow_mut().push_back(Action::Answer(query_id));
     }
-    fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
-        self.acts.borrow_mut().push_back(Act::Reject(query, retry_after));
+    fn reject(&mut self, query_id: u64, retry_after: Option<Duration>) {
+        self.actions.borrow_mut().push_back(Action::Reject(query_id, retry_after));
     }
-    fn abort(&mut self, query: u64) {
-        self.acts.borrow_mut().push_back(Act::Abort(query));
+    fn abort(&mut self, query_id: u64) {
+        self.actions.borrow_mut().push_back(Action::Abort(query_id));
     }
     fn set_timer(&mut self, token: u64, delay: Duration) {
-        self.acts.borrow_mut().push_back(Act::Wake(token, delay));
+        self.actions.borrow_mut().push_back(Action::SetTimer(token, delay));
     }
     fn watch_server_list(&mut self) {}
     fn may_retry(&self, shard: u32) -> bool {
-        let shares = self.shares.borrow();
-        let gateways = shares.gateways.current();
-        shares.retries.get(&shard).is_none_or(|r| r.allows_retry(shares.now, &shares.budget, gateways))
+        let shared_limits = self.shared_limits.borrow();
+        let gateways = shared_limits.gateway_count.current();
+        shared_limits.retry_allowances.get(&shard).is_none_or(|allowance| {
+            allowance.allows_retry(shared_limits.now, &shared_limits.retry_budget, gateways)
+        })
     }
 }
 
+/// Part of a query that one shard answers.
 struct Part {
-    cell: u32,
-    calls: u32,
-    /// Of those, how many may have reached a server, ...
-    arrived: u32,
-    /// ... and how many have not ended.
-    out: u32,
-    answer: Option<Answer>,
+    shard: u32,
+    /// Calls that were started.
+    call_count: u32,
+    /// Calls that may have reached a server, pending ones included.
+    received_count: u32,
+    /// Calls that have not ended.
+    pending_count: u32,
+    /// The first successful response.
+    response: Option<ServerResponse>,
 }
 
+/// Query in flight.
 struct Query {
-    reply: oneshot::Sender<Reply>,
-    asked: Rc<Asked>,
+    reply_sender: oneshot::Sender<Reply>,
+    request: Rc<ForwardedRequest>,
     route: Rc<Route>,
-    /// A part for each shard.
+    /// One part for each shard.
     parts: Vec<Part>,
-    /// A server's own word that it failed.
-    failure: Option<Answer>,
+    /// Failure that a server reported, relayed if the query fails. Only kept for queries of one part.
+    failure_response: Option<ServerResponse>,
+    /// Whether a call that has ended may have run the request.
     may_have_run: bool,
 }
 
 impl Query {
-    /// Whether a call has not ended yet: it may run.
-    fn is_out(&self) -> bool {
-        self.parts.iter().any(|part| part.out > 0)
+    /// Whether calls are pending, any of which may still run the request.
+    fn has_pending_calls(&self) -> bool {
+        self.parts.iter().any(|part| part.pending_count > 0)
     }
 }
 
+/// Totals since the start, for the log.
 #[derive(Default)]
 struct Counters {
     queries: Cell<u64>,
     calls: Cell<u64>,
-    again: Cell<u64>,
-    whole: Cell<u64>,
+    retries: Cell<u64>,
+    complete: Cell<u64>,
     partial: Cell<u64>,
     rejected: Cell<u64>,
     aborted: Cell<u64>,
-    failed: RefCell<BTreeMap<String, u64>>,
+    /// Failed calls by variant of [`CallError`].
+    failed_calls: RefCell<BTreeMap<String, u64>>,
 }
 
-/// What a vertical is to the module: routes that are alike in all of this are one.
-type Likeness = (Vec<Rc<str>>, bool, Duration, u32, u64);
+/// Identity of a vertical: services, whether requests are idempotent, latency target, attempt limit,
+/// and bits of the minimal coverage. Routes that agree in all of them share a vertical.
+type VerticalKey = (Vec<Rc<str>>, bool, Duration, u32, u64);
 
+/// Executes the queries of a gateway's clients.
 pub struct DataPlane {
     log: Logger,
-    started: Instant,
-    gatherer: RefCell<Gatherer<Hands>>,
-    acts: Rc<RefCell<VecDeque<Act>>>,
-    shares: Rc<RefCell<Shares>>,
+    started_at: Instant,
+    gatherer: RefCell<Gatherer<ActionQueue>>,
+    actions: Rc<RefCell<VecDeque<Action>>>,
+    shared_limits: Rc<RefCell<SharedLimits>>,
     zones: Vec<String>,
-    cells: RefCell<BTreeMap<Rc<str>, u32>>,
-    verticals: RefCell<BTreeMap<Likeness, usize>>,
+    /// Shard index of each service. Each service is one shard to the gatherer.
+    shards: RefCell<BTreeMap<Rc<str>, u32>>,
+    /// Indexes of the verticals that the gatherer knows.
+    verticals: RefCell<BTreeMap<VerticalKey, usize>>,
     config: RefCell<Option<Rc<Config>>>,
     queries: RefCell<BTreeMap<u64, Query>>,
+    /// Query id of each part, and the part's position in the query, by part id.
     parts: RefCell<BTreeMap<u64, (u64, usize)>>,
-    known: RefCell<BTreeMap<String, (Server, Health)>>,
+    /// Servers that have not terminated, with the health that the gatherer was given.
+    servers: RefCell<BTreeMap<String, (Server, Health)>>,
     pool: Pool,
-    wakes: RefCell<BTreeSet<(Instant, u64)>>,
-    woken: Notify,
-    next: Cell<u64>,
+    /// Due time and token of each timer that the gatherer has set.
+    timers: RefCell<BTreeSet<(Instant, u64)>>,
+    /// Notified when a timer is added that is due before all others.
+    timer_added: Notify,
+    /// Last id that was given out. The parts of a query have the ids that follow its own.
+    last_id: Cell<u64>,
     counters: Counters,
 }
 
-fn bump(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 impl DataPlane {
-    pub fn new(settings: &Settings, servers: Rc<dyn Connector>, log: Logger) -> Rc<Self> {
-        let started = Instant::now();
+    /// Creates a data plane without servers or configuration, and starts its timers.
+    pub fn new(settings: &Settings, connector: Rc<dyn Connector>, log: Logger) -> Rc<Self> {
+        let started_at = Instant::now();
         let zone = settings.zones.iter().position(|z| *z == settings.zone).map(|z| z as u32);
-        let start = Start {
+        let gatherer_settings = GathererSettings {
             seed: fastrand::u64(..),
             gatherer_count: 1,
             zone,
-            tick: TICK,
+            tick: MIN_REVIEW_INTERVAL,
             verticals: Vec::new(),
             tenant_rates: Vec::new(),
             cell_count: u32::MAX,
@@ -175,9 +206,9 @@
             call_overhead: Duration::ZERO,
             max_calls_per_part: 1,
             allow_hedging: true,
-            // A call that is broken off takes its server's work along: the answer is let come.
+            // Cancelling a call would discard the work that its server has done, so calls run to their end.
             allow_cancel: false,
-            max_retry_after: Some(BACK_AFTER),
+            max_retry_after: Some(MAX_RETRY_AFTER),
             max_list_request_interval: None,
             retry_budget: None,
             cold_capacity_share: 1.0,
@@ -185,260 +216,284 @@
             overload_factor: 1.0,
             overload_window: Duration::from_secs(1),
         };
-        let budget = RetryBudget {
+        let retry_budget = RetryBudget {
             ratio: settings.retry_budget.ratio,
             slack: settings.retry_budget.slack,
             window: settings.retry_budget.window,
             is_restarted: !settings.is_first_start,
         };
-        let (retries, gateways, now) = Default::default();
-        let shares = Rc::new(RefCell::new(Shares { budget, retries, gateways, now }));
-        let acts = Rc::default();
-        let hands = Hands { acts: Rc::clone(&acts), shares: shares.clone() };
-        let gatherer = Gatherer::new(hands, &start, Duration::ZERO).into();
-        let (cells, verticals, config, queries, parts, known, wakes) = Default::default();
-        let plane = Rc::new(DataPlane {
+        let (retry_allowances, gateway_count, now) = Default::default();
+        let shared_limits =
+            Rc::new(RefCell::new(SharedLimits { retry_budget, retry_allowances, gateway_count, now }));
+        let actions = Rc::default();
+        let action_queue = ActionQueue { actions: Rc::clone(&actions), shared_limits: shared_limits.clone() };
+        let gatherer = Gatherer::new(action_queue, &gatherer_settings, Duration::ZERO).into();
+        let (shards, verticals, config, queries, parts, servers, timers) = Default::default();
+        let data_plane = Rc::new(DataPlane {
             log,
-            started,
+            started_at,
             gatherer,
-            acts,
-            shares,
+            actions,
+            shared_limits,
             zones: settings.zones.clone(),
-            cells,
+            shards,
             verticals,
             config,
             queries,
             parts,
-            known,
-            pool: Pool::new(servers),
-            wakes,
-            woken: Notify::new(),
-            next: Cell::new(0),
+            servers,
+            pool: Pool::new(connector),
+            timers,
+            timer_added: Notify::new(),
+            last_id: Cell::new(0),
             counters: Counters::default(),
         });
-        tokio::task::spawn_local(plane.clone().keep_time());
-        plane
+        tokio::task::spawn_local(data_plane.clone().run_timers());
+        data_plane
     }
 
-    /// Tells the module what happened, and does what it decides.
-    fn tell(self: &Rc<Self>, what: impl FnOnce(&mut Gatherer<Hands>)) {
-        let now = self.started.elapsed();
-        self.shares.borrow_mut().now = now;
+    /// Passes an event to the gatherer, then executes the actions that it has queued.
+    fn process_event(self: &Rc<Self>, event: impl FnOnce(&mut Gatherer<ActionQueue>)) {
+        let now = self.started_at.elapsed();
+        self.shared_limits.borrow_mut().now = now;
         {
             let mut gatherer = self.gatherer.borrow_mut();
             gatherer.advance_to(now);
-            what(&mut gatherer);
+            event(&mut gatherer);
         }
         loop {
-            let Some(act) = self.acts.borrow_mut().pop_front() else { return };
-            self.act(act);
+            let Some(action) = self.actions.borrow_mut().pop_front() else { return };
+            self.execute(action);
         }
     }
 
-    fn act(self: &Rc<Self>, act: Act) {
-        match act {
-            Act::Call { part, server, limit } => self.call(part, server, limit),
-            Act::Answer(query) => self.answer(query),
-            Act::Reject(query, after) => {
-                let Some(q) = self.take(query) else { return };
-                // Harmless to repeat is not the same as never run: only that is promised.
-                let reply =
-                    if q.may_have_run || q.is_out() { self.failed(q.failure) } else { self.rejected(after) };
-                let _ = q.reply.send(reply);
+    fn execute(self: &Rc<Self>, action: Action) {
+        match action {
+            Action::Call { part_id, server, timeout } => self.send_call(part_id, server, timeout),
+            Action::Answer(query_id) => self.send_response(query_id),
+            Action::Reject(query_id, retry_after) => {
+                let Some(query) = self.remove_query(query_id) else { return };
+                // The gatherer also rejects idempotent queries that may have run. A rejection promises that
+                // the request never ran, so these fail instead.
+                let reply = if query.may_have_run || query.has_pending_calls() {
+                    self.failure_reply(query.failure_response)
+                } else {
+                    self.rejection_reply(retry_after)
+                };
+                let _ = query.reply_sender.send(reply);
             }
-            Act::Abort(query) => {
-                let Some(q) = self.take(query) else { return };
-                let reply = self.failed(q.failure);
-                let _ = q.reply.send(reply);
+            Action::Abort(query_id) => {
+                let Some(query) = self.remove_query(query_id) else { return };
+                let reply = self.failure_reply(query.failure_response);
+                let _ = query.reply_sender.send(reply);
             }
-            Act::Wake(token, after) => {
-                let at = Instant::now() + after;
-                let first = self.wakes.borrow().first().is_none_or(|(first, _)| at < *first);
-                self.wakes.borrow_mut().insert((at, token));
-                if first {
-                    self.woken.notify_one();
+            Action::SetTimer(token, delay) => {
+                let at = Instant::now() + delay;
+                let is_earliest = self.timers.borrow().first().is_none_or(|(earliest, _)| at < *earliest);
+                self.timers.borrow_mut().insert((at, token));
+                if is_earliest {
+                    self.timer_added.notify_one();
                 }
             }
         }
     }
 
-    fn rejected(&self, after: Option<Duration>) -> Reply {
-        bump(&self.counters.rejected);
-        Reply::Rejected(after)
+    fn rejection_reply(&self, retry_after: Option<Duration>) -> Reply {
+        increment(&self.counters.rejected);
+        Reply::Rejected(retry_after)
     }
 
-    fn failed(&self, failure: Option<Answer>) -> Reply {
-        bump(&self.counters.aborted);
-        failure.map_or(Reply::Aborted, Reply::Relayed)
+    fn failure_reply(&self, response: Option<ServerResponse>) -> Reply {
+        increment(&self.counters.aborted);
+        response.map_or(Reply::Aborted, Reply::Relayed)
     }
 
-    /// Wakes the module when it asked for it.
-    async fn keep_time(self: Rc<Self>) {
+    /// Fires the timers that the gatherer has set.
+    async fn run_timers(self: Rc<Self>) {
         loop {
-            let first = self.wakes.borrow().first().map(|(at, _)| *at);
-            let Some(first) = first else {
-                self.woken.notified().await;
+            let earliest = self.timers.borrow().first().map(|(at, _)| *at);
+            let Some(earliest) = earliest else {
+                self.timer_added.notified().await;
                 continue;
             };
             tokio::select! {
-                () = sleep_until(first) => {}
-                () = self.woken.notified() => continue,
+                () = sleep_until(earliest) => {}
+                () = self.timer_added.notified() => continue,
             }
             let due: Vec<u64> = {
-                let mut wakes = self.wakes.borrow_mut();
-                let later = wakes.split_off(&(Instant::now() + Duration::from_nanos(1), 0));
-                std::mem::replace(&mut *wakes, later).into_iter().map(|(_, token)| token).collect()
+                let mut timers = self.timers.borrow_mut();
+                let later = timers.split_off(&(Instant::now() + Duration::from_nanos(1), 0));
+                std::mem::replace(&mut *timers, later).into_iter().map(|(_, token)| token).collect()
             };
-            self.tell(|g| due.iter().for_each(|token| g.timer_fired(*token)));
+            self.process_event(|gatherer| due.iter().for_each(|token| gatherer.timer_fired(*token)));
         }
     }
 
-    fn cell(&self, service: &Rc<str>) -> u32 {
-        let mut cells = self.cells.borrow_mut();
-        let next = cells.len() as u32;
-        *cells.entry(service.clone()).or_insert(next)
+    /// Returns the shard index of a service. A new service gets the next one.
+    fn shard_index(&self, service: &Rc<str>) -> u32 {
+        let mut shards = self.shards.borrow_mut();
+        let next = shards.len() as u32;
+        *shards.entry(service.clone()).or_insert(next)
     }
 
-    // What is known of servers and gatherers.
+    // Servers and gateways.
 
-    /// How many servers are kept here.
-    pub fn servers_kept(&self) -> usize {
-        self.known.borrow().len()
+    /// Number of servers that are stored.
+    pub fn server_count(&self) -> usize {
+        self.servers.borrow().len()
     }
 
-    pub fn knows_servers(&self) -> bool {
-        self.known.borrow().values().any(|(_, health)| *health == Health::Ready)
+    /// Whether any server is ready.
+    pub fn has_ready_server(&self) -> bool {
+        self.servers.borrow().values().any(|(_, health)| *health == Health::Ready)
     }
 
+    /// Records how many gateways share the budgets.
     pub fn gateways_changed(self: &Rc<Self>, count: usize) {
-        let now = self.started.elapsed();
-        self.shares.borrow_mut().gateways.observe(now, count);
-        self.tell(|g| g.set_gatherer_count(u32::try_from(count).ok()));
+        let now = self.started_at.elapsed();
+        self.shared_limits.borrow_mut().gateway_count.observe(now, count);
+        self.process_event(|gatherer| gatherer.set_gatherer_count(u32::try_from(count).ok()));
     }
 
+    /// Updates the servers of all services that the updates concern.
     pub fn servers_changed(self: &Rc<Self>, directory: &Directory, updates: &[Update]) {
         let services: BTreeSet<&str> = updates
             .iter()
-            .filter_map(|n| match n {
-                Update::Server(s) => Some(s.service.as_str()),
+            .filter_map(|update| match update {
+                Update::Server(server) => Some(server.service.as_str()),
                 _ => None,
             })
             .collect();
         if !services.is_empty() {
             let listed: Vec<&Server> =
-                directory.servers().filter(|s| services.contains(s.service.as_str())).collect();
-            self.list(&listed);
+                directory.servers().filter(|server| services.contains(server.service.as_str())).collect();
+            self.update_servers(&listed);
         }
     }
 
-    /// Lists servers to the module, those of whole services at once.
-    fn list(self: &Rc<Self>, listed: &[&Server]) {
-        let mut silent: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for s in listed.iter().filter(|s| s.state == ServerState::Ready) {
-            let (all, quiet) = silent.entry(s.service.as_str()).or_default();
-            (*all, *quiet) = (*all + 1, *quiet + usize::from(s.has_timed_out()));
+    /// Reports changes of servers to the pool and the gatherer. `listed` has all servers of each service that
+    /// it has any of.
+    fn update_servers(self: &Rc<Self>, listed: &[&Server]) {
+        let mut ready_counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+        for server in listed.iter().filter(|server| server.state == ServerState::Ready) {
+            let (all, timed_out) = ready_counts.entry(server.service.as_str()).or_default();
+            (*all, *timed_out) = (*all + 1, *timed_out + usize::from(server.has_timed_out()));
         }
-        let health = |s: &Server| match s.state {
+        let health = |server: &Server| match server.state {
             ServerState::Terminated => Health::Gone,
             ServerState::Draining => Health::Draining,
-            // Most of a service is not silent at once: those who hear it are cut off from it.
+            // If more than half of a service has timed out, this gateway is probably partitioned from it, so
+            // its servers stay ready.
             ServerState::Ready
-                if s.has_timed_out()
-                    && silent.get(s.service.as_str()).is_some_and(|(all, quiet)| quiet * 2 <= *all) =>
+                if server.has_timed_out()
+                    && ready_counts
+                        .get(server.service.as_str())
+                        .is_some_and(|(all, timed_out)| timed_out * 2 <= *all) =>
             {
                 Health::Draining
             }
             ServerState::Ready => Health::Ready,
         };
         let mut changed = Vec::new();
-        for s in listed {
-            let health = health(s);
-            let mut known = self.known.borrow_mut();
-            let before = known.get(s.id.as_str()).map(|(_, health)| *health);
-            // Of one that has ended nothing is kept.
-            if s.state == ServerState::Terminated {
-                known.remove(s.id.as_str());
-                changed.extend(before.map(|_| (*s, health)));
-            } else if before != Some(health) {
-                known.insert(s.id.to_string(), ((*s).clone(), health));
-                changed.push((*s, health));
+        for server in listed {
+            let health = health(server);
+            let mut servers = self.servers.borrow_mut();
+            let previous = servers.get(server.id.as_str()).map(|(_, health)| *health);
+            // Terminated servers are removed.
+            if server.state == ServerState::Terminated {
+                servers.remove(server.id.as_str());
+                changed.extend(previous.map(|_| (*server, health)));
+            } else if previous != Some(health) {
+                servers.insert(server.id.to_string(), ((*server).clone(), health));
+                changed.push((*server, health));
             }
         }
-        for (s, health) in &changed {
+        for (server, health) in &changed {
             match health {
-                Health::Ready => {
-                    self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()))
-                }
-                _ if s.state > ServerState::Ready => self.pool.is_gone(s.id.as_str()),
+                Health::Ready => self.pool.add_server(
+                    server.id.as_str(),
+                    server.address.as_str(),
+                    self.connection_limit(server.service.as_str()),
+                ),
+                _ if server.state > ServerState::Ready => self.pool.remove_server(server.id.as_str()),
                 _ => {}
             }
         }
         if changed.is_empty() {
             return;
         }
-        self.tell(|g| {
-            g.begin_server_list(false);
-            for (s, health) in changed {
-                let cell = self.cell(&s.service.as_str().into());
-                let zone = self.zones.iter().position(|z| s.zone == z.as_str()).map(|z| z as u32);
-                g.update_server(s.id.as_str(), health, cell, zone, None);
+        self.process_event(|gatherer| {
+            gatherer.begin_server_list(false);
+            for (server, health) in changed {
+                let shard = self.shard_index(&server.service.as_str().into());
+                let zone = self.zones.iter().position(|z| server.zone == z.as_str()).map(|z| z as u32);
+                gatherer.update_server(server.id.as_str(), health, shard, zone, None);
             }
         });
     }
 
-    fn most(&self, service: &str) -> usize {
-        let most =
+    /// Returns how many connections this gateway may have open to each server of a service.
+    fn connection_limit(&self, service: &str) -> usize {
+        let max_connections =
             self.config.borrow().as_ref().and_then(|c| c.services.get(service).map(|s| s.max_connections));
-        connections_per_gateway(most.unwrap_or(1), self.shares.borrow().gateways.current())
+        connections_per_gateway(
+            max_connections.unwrap_or(1),
+            self.shared_limits.borrow().gateway_count.current(),
+        )
     }
 
-    /// Another server has this one's address, as the server there says.
-    fn server_is_gone(self: &Rc<Self>, id: &str) {
-        let Some((server, health)) = self.known.borrow().get(id).cloned() else { return };
+    /// Marks a server as gone after the server at its address reported another id.
+    fn mark_server_gone(self: &Rc<Self>, id: &str) {
+        let Some((server, health)) = self.servers.borrow().get(id).cloned() else { return };
         if health != Health::Gone {
-            self.known.borrow_mut().insert(id.to_owned(), (server.clone(), Health::Gone));
-            self.pool.is_gone(id);
-            let cell = self.cell(&server.service.as_str().into());
-            self.tell(|g| {
-                g.begin_server_list(false);
-                g.update_server(id, Health::Gone, cell, None, None);
+            self.servers.borrow_mut().insert(id.to_owned(), (server.clone(), Health::Gone));
+            self.pool.remove_server(id);
+            let shard = self.shard_index(&server.service.as_str().into());
+            self.process_event(|gatherer| {
+                gatherer.begin_server_list(false);
+                gatherer.update_server(id, Health::Gone, shard, None, None);
             });
         }
     }
 
-    // The configuration.
+    // Configuration.
 
-    /// From here on each new query goes by this version.
+    /// Applies a configuration to all queries that are submitted from here on.
     pub fn config_changed(self: &Rc<Self>, config: Rc<Config>) {
         *self.config.borrow_mut() = Some(config.clone());
-        let known: Vec<Server> = self.known.borrow().values().map(|(s, _)| s.clone()).collect();
-        for s in known.iter().filter(|s| s.state == ServerState::Ready) {
-            self.pool.is_there(s.id.as_str(), s.address.as_str(), self.most(s.service.as_str()));
+        let servers: Vec<Server> = self.servers.borrow().values().map(|(server, _)| server.clone()).collect();
+        for server in servers.iter().filter(|server| server.state == ServerState::Ready) {
+            self.pool.add_server(
+                server.id.as_str(),
+                server.address.as_str(),
+                self.connection_limit(server.service.as_str()),
+            );
         }
         for route in config.routes() {
             match &route.target {
                 Target::All(services) => {
-                    self.vertical(route, services);
+                    self.vertical_index(route, services);
                 }
                 Target::One(services) => {
-                    for part in services {
-                        self.vertical(route, std::slice::from_ref(&part.service));
+                    for entry in services {
+                        self.vertical_index(route, std::slice::from_ref(&entry.service));
                     }
                 }
             }
         }
     }
 
-    /// The vertical of a route at these services; the module is told of one that is new.
-    fn vertical(self: &Rc<Self>, route: &Route, services: &[Rc<str>]) -> usize {
+    /// Returns the index of the vertical of a route at these services. A new vertical is announced to the
+    /// gatherer.
+    fn vertical_index(self: &Rc<Self>, route: &Route, services: &[Rc<str>]) -> usize {
         let slo = route.latency_target.min(route.deadline);
-        let likeness: Likeness =
+        let key: VerticalKey =
             (services.to_vec(), route.is_idempotent, slo, route.max_attempts, route.min_coverage.to_bits());
-        if let Some(at) = self.verticals.borrow().get(&likeness) {
-            return *at;
+        if let Some(index) = self.verticals.borrow().get(&key) {
+            return *index;
         }
-        let at = self.verticals.borrow().len();
-        self.verticals.borrow_mut().insert(likeness, at);
+        let index = self.verticals.borrow().len();
+        self.verticals.borrow_mut().insert(key, index);
         let settings = VerticalSettings {
             required_weight: 1.0,
             min_weight: if services.len() > 1 { route.min_coverage } else { 1.0 },
@@ -451,199 +506,240 @@
                 Idempotency::NonIdempotent
             },
         };
-        self.tell(|g| g.set_vertical(at, &settings, route.max_attempts, true));
-        at
+        self.process_event(|gatherer| gatherer.set_vertical(index, &settings, route.max_attempts, true));
+        index
     }
 
     // Queries.
 
-    /// Takes a query; the reply comes once it is settled. Its number is for [`DataPlane::left`].
-    pub fn ask(
-        self: &Rc<Self>, route: &Rc<Route>, asked: Asked, until: Instant,
+    /// Submits a query. Returns its id, for [`DataPlane::client_disconnected`], and the receiver of its
+    /// reply.
+    pub fn submit(
+        self: &Rc<Self>, route: &Rc<Route>, request: ForwardedRequest, deadline: Instant,
     ) -> (u64, oneshot::Receiver<Reply>) {
-        bump(&self.counters.queries);
-        let (reply, answer) = oneshot::channel();
+        increment(&self.counters.queries);
+        let (reply_sender, reply_receiver) = oneshot::channel();
         let services: Vec<Rc<str>> = match &route.target {
             Target::All(services) => services.clone(),
-            Target::One(services) => vec![pick(services)],
+            Target::One(services) => vec![pick_service(services)],
         };
-        let vertical = self.vertical(route, &services);
-        let first = self.next.get() + 1;
-        self.next.set(first + services.len() as u64);
-        let now = self.started.elapsed();
-        let key = asked.uri.to_string();
-        let cells: Vec<u32> = services.iter().map(|s| self.cell(s)).collect();
+        let vertical = self.vertical_index(route, &services);
+        let query_id = self.last_id.get() + 1;
+        self.last_id.set(query_id + services.len() as u64);
+        let now = self.started_at.elapsed();
+        let key = request.uri.to_string();
+        let shards: Vec<u32> = services.iter().map(|s| self.shard_index(s)).collect();
         {
-            let mut shares = self.shares.borrow_mut();
-            let budget = shares.budget;
-            cells.iter().for_each(|c| shares.retries.entry(*c).or_default().record_request(now, &budget));
+            let mut shared_limits = self.shared_limits.borrow_mut();
+            let budget = shared_limits.retry_budget;
+            shards.iter().for_each(|shard| {
+                shared_limits.retry_allowances.entry(*shard).or_default().record_request(now, &budget)
+            });
         }
-        let part = |cell: &u32| Part { cell: *cell, calls: 0, arrived: 0, out: 0, answer: None };
-        let parts: Vec<Part> = cells.iter().map(part).collect();
+        let part = |shard: &u32| Part {
+            shard: *shard,
+            call_count: 0,
+            received_count: 0,
+            pending_count: 0,
+            response: None,
+        };
+        let parts: Vec<Part> = shards.iter().map(part).collect();
         {
-            let mut known = self.parts.borrow_mut();
-            known.extend((0..parts.len()).map(|at| (first + 1 + at as u64, (first, at))));
+            let mut positions = self.parts.borrow_mut();
+            positions.extend((0..parts.len()).map(|at| (query_id + 1 + at as u64, (query_id, at))));
         }
-        let (asked, route) = (Rc::new(asked), route.clone());
-        let query = Query { reply, asked, route, parts, failure: None, may_have_run: false };
-        self.queries.borrow_mut().insert(first, query);
-        let until = until.saturating_duration_since(self.started);
-        let weight = 1.0 / cells.len() as f64;
-        self.tell(|g| {
-            g.query_arrived(first, first, vertical, None, Some(&key), until, cells.len());
-            for (at, cell) in cells.iter().enumerate() {
-                g.part_arrived(first + 1 + at as u64, first, *cell, weight);
+        let (request, route) = (Rc::new(request), route.clone());
+        let query =
+            Query { reply_sender, request, route, parts, failure_response: None, may_have_run: false };
+        self.queries.borrow_mut().insert(query_id, query);
+        let deadline = deadline.saturating_duration_since(self.started_at);
+        let weight = 1.0 / shards.len() as f64;
+        self.process_event(|gatherer| {
+            gatherer.query_arrived(query_id, query_id, vertical, None, Some(&key), deadline, shards.len());
+            for (at, shard) in shards.iter().enumerate() {
+                gatherer.part_arrived(query_id + 1 + at as u64, query_id, *shard, weight);
             }
         });
-        (first, answer)
+        (query_id, reply_receiver)
     }
 
-    /// The client has left.
-    pub fn left(self: &Rc<Self>, query: u64) {
-        if self.take(query).is_some() {
-            self.tell(|g| g.query_abandoned(query));
+    /// Abandons a query whose client has disconnected.
+    pub fn client_disconnected(self: &Rc<Self>, query_id: u64) {
+        if self.remove_query(query_id).is_some() {
+            self.process_event(|gatherer| gatherer.query_abandoned(query_id));
         }
     }
 
-    fn call(self: &Rc<Self>, part: u64, server: Rc<str>, limit: Duration) {
-        let Some((query, at)) = self.parts.borrow().get(&part).copied() else { return };
-        let (asked, call, again) = {
+    /// Starts a call for a part. A call after one that may have reached a server counts as a retry.
+    fn send_call(self: &Rc<Self>, part_id: u64, server: Rc<str>, timeout: Duration) {
+        let Some((query_id, at)) = self.parts.borrow().get(&part_id).copied() else { return };
+        let (request, call_index, retried_shard) = {
             let mut queries = self.queries.borrow_mut();
-            let Some(q) = queries.get_mut(&query) else { return };
-            let part = &mut q.parts[at];
-            let (call, again) = (part.calls, (part.arrived > 0).then_some(part.cell));
-            (part.calls, part.arrived, part.out) = (part.calls + 1, part.arrived + 1, part.out + 1);
-            if let Some(cell) = again {
-                let now = self.started.elapsed();
-                self.shares.borrow_mut().retries.entry(cell).or_default().record_retry(now);
-                bump(&self.counters.again);
+            let Some(query) = queries.get_mut(&query_id) else { return };
+            let part = &mut query.parts[at];
+            let (call_index, retried_shard) =
+                (part.call_count, (part.received_count > 0).then_some(part.shard));
+            (part.call_count, part.received_count, part.pending_count) =
+                (part.call_count + 1, part.received_count + 1, part.pending_count + 1);
+            if let Some(shard) = retried_shard {
+                let now = self.started_at.elapsed();
+                self.shared_limits.borrow_mut().retry_allowances.entry(shard).or_default().record_retry(now);
+                increment(&self.counters.retries);
             }
-            (q.asked.clone(), call, again)
+            (query.request.clone(), call_index, retried_shard)
         };
-        bump(&self.counters.calls);
-        let plane = self.clone();
+        increment(&self.counters.calls);
+        let data_plane = self.clone();
         tokio::task::spawn_local(async move {
-            let sent = plane.pool.send(&server, &asked, limit).await;
-            if let (Err(e), Some(cell)) = (&sent, again)
+            let result = data_plane.pool.send(&server, &request, timeout).await;
+            if let (Err(e), Some(shard)) = (&result, retried_shard)
                 && !e.may_have_arrived()
             {
-                plane.shares.borrow_mut().retries.entry(cell).or_default().cancel_retry();
+                data_plane
+                    .shared_limits
+                    .borrow_mut()
+                    .retry_allowances
+                    .entry(shard)
+                    .or_default()
+                    .cancel_retry();
             }
-            plane.settled(part, call, &server, sent);
+            data_plane.call_ended(part_id, call_index, &server, result);
         });
     }
 
-    fn settled(self: &Rc<Self>, part: u64, call: u32, server: &str, sent: Result<Answer, CallError>) {
-        if let Err(e) = &sent {
-            let word = format!("{e:?}").split([' ', '{']).next().unwrap_or_default().to_owned();
-            *self.counters.failed.borrow_mut().entry(word).or_default() += 1;
+    /// Records the result of a call and passes its outcome to the gatherer.
+    fn call_ended(
+        self: &Rc<Self>, part_id: u64, call_index: u32, server: &str,
+        result: Result<ServerResponse, CallError>,
+    ) {
+        if let Err(e) = &result {
+            let kind = format!("{e:?}").split([' ', '{']).next().unwrap_or_default().to_owned();
+            *self.counters.failed_calls.borrow_mut().entry(kind).or_default() += 1;
             if *e == CallError::OtherServer {
-                self.server_is_gone(server);
+                self.mark_server_gone(server);
             }
         }
-        let place = self.parts.borrow().get(&part).copied();
+        let position = self.parts.borrow().get(&part_id).copied();
         let mut queries = self.queries.borrow_mut();
-        let mut query = place.and_then(|(query, at)| Some((queries.get_mut(&query)?, at)));
-        if let Some((q, at)) = &mut query {
-            q.parts[*at].out -= 1;
+        let mut query = position.and_then(|(query_id, at)| Some((queries.get_mut(&query_id)?, at)));
+        if let Some((query, at)) = &mut query {
+            query.parts[*at].pending_count -= 1;
         }
-        let outcome = match (sent, query) {
-            (Ok(answer), query) if answer.status.is_success() => {
-                if let Some((q, at)) = query {
-                    q.parts[at].answer.get_or_insert(answer);
+        let outcome = match (result, query) {
+            (Ok(response), query) if response.status.is_success() => {
+                if let Some((query, at)) = query {
+                    query.parts[at].response.get_or_insert(response);
                 }
                 Outcome::Completed
             }
-            (Ok(answer), query) => {
-                let error = CallError::Failed { status: answer.status.as_u16() };
-                if let Some((q, _)) = query {
-                    q.may_have_run = true;
-                    q.failure = (q.parts.len() == 1).then_some(answer);
+            (Ok(response), query) => {
+                let error = CallError::Failed { status: response.status.as_u16() };
+                if let Some((query, _)) = query {
+                    query.may_have_run = true;
+                    query.failure_response = (query.parts.len() == 1).then_some(response);
                 }
                 error.outcome()
             }
             (Err(error), query) => {
-                if let Some((q, at)) = query {
-                    q.may_have_run |= error.execution() == Execution::MayHaveRun;
-                    q.parts[at].arrived -= u32::from(!error.may_have_arrived());
+                if let Some((query, at)) = query {
+                    query.may_have_run |= error.execution() == Execution::MayHaveRun;
+                    query.parts[at].received_count -= u32::from(!error.may_have_arrived());
                 }
                 error.outcome()
             }
         };
         drop(queries);
-        self.tell(|g| g.call_ended(part, call, outcome, server, false));
+        self.process_event(|gatherer| gatherer.call_ended(part_id, call_index, outcome, server, false));
     }
 
-    /// Ends a query: what its calls still bring is for the module only.
-    fn take(&self, query: u64) -> Option<Query> {
-        let q = self.queries.borrow_mut().remove(&query)?;
+    /// Removes a query. Results of its pending calls are from here on only passed to the gatherer.
+    fn remove_query(&self, query_id: u64) -> Option<Query> {
+        let query = self.queries.borrow_mut().remove(&query_id)?;
         let mut parts = self.parts.borrow_mut();
-        for part in query + 1..=query + q.parts.len() as u64 {
-            parts.remove(&part);
+        for part_id in query_id + 1..=query_id + query.parts.len() as u64 {
+            parts.remove(&part_id);
         }
-        Some(q)
-    }
-
-    fn answer(&self, query: u64) {
-        let Some(q) = self.take(query) else { return };
-        let asked_for = q.parts.len();
-        let answers: Vec<Answer> = q.parts.into_iter().filter_map(|part| part.answer).collect();
-        bump(if answers.len() < asked_for { &self.counters.partial } else { &self.counters.whole });
-        let reply = match (&q.route.target, answers.len()) {
+        Some(query)
+    }
+
+    /// Ends a query with the responses that have arrived.
+    fn send_response(&self, query_id: u64) {
+        let Some(query) = self.remove_query(query_id) else { return };
+        let part_count = query.parts.len();
+        let responses: Vec<ServerResponse> =
+            query.parts.into_iter().filter_map(|part| part.response).collect();
+        increment(if responses.len() < part_count {
+            &self.counters.partial
+        } else {
+            &self.counters.complete
+        });
+        let reply = match (&query.route.target, responses.len()) {
             (_, 0) => Reply::Aborted,
-            (Target::One(_), _) => answers.into_iter().next().map_or(Reply::Aborted, Reply::Relayed),
-            (Target::All(_), got) => {
-                let seals = answers.iter().filter_map(|a| a.headers.get(SERVER_SEAL).cloned()).collect();
-                let parts: Vec<Bytes> = answers.into_iter().map(|a| a.body).collect();
-                Reply::Gathered { seals, missing: asked_for - got, body: greatest(&parts, q.route.top_k) }
+            (Target::One(_), _) => responses.into_iter().next().map_or(Reply::Aborted, Reply::Relayed),
+            (Target::All(_), received) => {
+                let seals = responses
+                    .iter()
+                    .filter_map(|response| response.headers.get(SERVER_SEAL).cloned())
+                    .collect();
+                let parts: Vec<Bytes> = responses.into_iter().map(|response| response.body).collect();
+                Reply::Gathered {
+                    seals,
+                    missing: part_count - received,
+                    body: merge_top_k(&parts, query.route.top_k),
+                }
             }
         };
-        let _ = q.reply.send(reply);
+        let _ = query.reply_sender.send(reply);
     }
 
-    /// Connections that are open to servers.
-    pub fn open_connections(&self) -> usize {
-        self.pool.open()
+    /// Number of open connections to servers.
+    pub fn open_connection_count(&self) -> usize {
+        self.pool.open_count()
     }
 
-    /// This gatherer's part of what all share, by service.
-    pub fn allotments(&self) -> Value {
-        let shares = self.shares.borrow();
+    /// Reports by service what this gateway has used of the shared budgets.
+    pub fn budget_usage(&self) -> Value {
+        let shared_limits = self.shared_limits.borrow();
         let services: BTreeMap<u32, Rc<str>> =
-            self.cells.borrow().iter().map(|(name, cell)| (*cell, name.clone())).collect();
-        let rows = shares.retries.iter().map(|(cell, retries)| {
-            let RetryUsage { requests, retries: again } = retries.usage();
-            let service = services.get(cell).map_or("", |s| s);
-            json!({"service": service, "requests": requests, "again": again,
-                "among gatherers": shares.gateways.current(), "connections a server": self.most(service)})
+            self.shards.borrow().iter().map(|(name, shard)| (*shard, name.clone())).collect();
+        let rows = shared_limits.retry_allowances.iter().map(|(shard, allowance)| {
+            let RetryUsage { requests, retries } = allowance.usage();
+            let service = services.get(shard).map_or("", |s| s);
+            json!({"service": service, "requests": requests, "again": retries,
+                "among gatherers": shared_limits.gateway_count.current(),
+                "connections a server": self.connection_limit(service)})
         });
         rows.collect()
     }
 
+    /// Logs the counters of queries, calls and connections.
     pub fn log_counters(&self) {
-        let c = &self.counters;
-        let p = &self.pool.counters;
-        let failed = c.failed.borrow();
-        let failed: Vec<String> = failed.iter().map(|(word, n)| format!("{word}:{n}")).collect();
-        info!(self.log, "queries"; "queries" => c.queries.get(), "calls" => c.calls.get(),
-            "again" => c.again.get(), "whole" => c.whole.get(), "partial" => c.partial.get(),
-            "rejected" => c.rejected.get(), "aborted" => c.aborted.get(), "failed" => failed.join(" "),
+        let counters = &self.counters;
+        let pool = &self.pool.counters;
+        let failed_calls = counters.failed_calls.borrow();
+        let failed: Vec<String> =
+            failed_calls.iter().map(|(kind, count)| format!("{kind}:{count}")).collect();
+        info!(self.log, "queries"; "queries" => counters.queries.get(), "calls" => counters.calls.get(),
+            "again" => counters.retries.get(), "whole" => counters.complete.get(),
+            "partial" => counters.partial.get(), "rejected" => counters.rejected.get(),
+            "aborted" => counters.aborted.get(), "failed" => failed.join(" "),
             "held" => self.queries.borrow().len(), "parts" => self.parts.borrow().len(),
-            "open" => self.pool.open(), "connects" => p.connects.get(), "refused" => p.refused.get(),
-            "reused" => p.reused.get(), "foreign" => p.foreign.get());
+            "open" => self.pool.open_count(), "connects" => pool.connects.get(),
+            "refused" => pool.failed_connects.get(), "reused" => pool.reused.get(),
+            "foreign" => pool.mismatched_responses.get());
     }
 }
 
-/// One of the services, by weight.
-fn pick(services: &[WeightedService]) -> Rc<str> {
-    let total: f64 = services.iter().map(|part| part.weight).sum();
-    let mut at = fastrand::f64() * total;
-    for part in services {
-        at -= part.weight;
-        if at < 0.0 {
-            return part.service.clone();
+/// Picks a service at random, by weight.
+fn pick_service(services: &[WeightedService]) -> Rc<str> {
+    let total: f64 = services.iter().map(|entry| entry.weight).sum();
+    let mut point = fastrand::f64() * total;
+    for entry in services {
+        point -= entry.weight;
+        if point < 0.0 {
+            return entry.service.clone();
         }
     }
-    let last = services.iter().rev().find(|part| part.weight > 0.0);
-    last.map_or_else(|| "".into(), |part| part.service.clone())
+    let last = services.iter().rev().find(|entry| entry.weight > 0.0);
+    last.map_or_else(|| "".into(), |entry| entry.service.clone())
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -1,5 +1,6 @@
-//! Connections to servers: one request at a time on each, kept while they are sound, never more open to a
-//! server than this gatherer's part of what it takes.
+//! Pool of HTTP/1.1 connections to servers. A connection carries one request at a time and is reused while it
+//! is healthy. The number of open connections to a server is bounded by this gateway's share of what the
+//! server accepts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,41 +22,44 @@
 
 use crate::call_error::CallError;
 
+/// Header with the client's id of the request. The server repeats it in the response.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
+/// Header that marks a response as the server's own. A gathered response lists one for each shard.
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Time for a connection to come up: several round trips between regions.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Time before the server's own end of an idle connection at which it is no longer used.
-const IDLE_MARGIN: Duration = Duration::from_millis(1000);
-/// How long an idle connection is kept where the server says nothing of it.
-const IDLE: Duration = Duration::from_secs(20);
-/// How long a connection may have stood idle to carry what must not run twice.
-const JUST_USED: Duration = Duration::from_millis(200);
-/// The longest answer that is read, in bytes.
-const ANSWER_MOST: usize = 16 << 20;
-
-/// A connection's bytes both ways, whatever carries them.
+/// Time-out for connecting: several round trips between regions.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long before the server closes an idle connection this pool stops using it.
+const IDLE_EXPIRY_MARGIN: Duration = Duration::from_millis(1000);
+/// Idle time-out of a server that does not state one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest idle time of a connection that may carry a request that must not run twice.
+const MAX_NON_IDEMPOTENT_IDLE: Duration = Duration::from_millis(200);
+/// Longest response body that is read.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+
+/// Byte stream in both directions, over any transport.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// A connection to a server that is coming up.
-pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
+/// Future of a connection attempt.
+pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
-/// What lies between a gateway and the servers.
+/// Opens byte streams to servers.
 pub trait Connector {
-    fn connect(&self, address: &str) -> Connecting;
+    /// Connects to the server at this address.
+    fn connect(&self, address: &str) -> ConnectFuture;
 }
 
-/// The network that the servers are on.
-pub struct Tcp;
+/// Connects over TCP.
+pub struct TcpConnector;
 
-impl Connector for Tcp {
-    fn connect(&self, address: &str) -> Connecting {
+impl Connector for TcpConnector {
+    fn connect(&self, address: &str) -> ConnectFuture {
         let address = address.to_owned();
         Box::pin(async move {
             let stream = TcpStream::connect(&address).await?;
@@ -65,80 +69,102 @@
     }
 }
 
-/// A client's request as it is handed on: the same for every server.
-pub struct Asked {
+/// Request of a client as it is forwarded, the same to every server.
+pub struct ForwardedRequest {
+    /// Method.
     pub method: Method,
+    /// Path and query.
     pub uri: Uri,
+    /// Headers of the client, without the hop-by-hop headers.
     pub headers: HeaderMap,
+    /// Complete body.
     pub body: Bytes,
-    pub attempt: HeaderValue,
-    /// It must not run twice, so nothing that breaks off can be sent again.
-    pub once: bool,
-    /// Servers that it was sent to.
+    /// Value of the `Attempt-Id` header, which the response must repeat.
+    pub attempt_id: HeaderValue,
+    /// Whether the request must not run twice. It cannot be sent again after its connection breaks.
+    pub at_most_once: bool,
+    /// Ids of the servers that the request was sent to.
     pub sent_to: RefCell<BTreeSet<Rc<str>>>,
 }
 
-/// A server's whole answer to this request.
+/// Complete response of a server to a forwarded request.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ServerResponse {
+    /// Status.
     pub status: StatusCode,
+    /// Headers.
     pub headers: HeaderMap,
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A connection, which ends at once where this is dropped, also in the midst of a request that the server does not read.
+/// Connection to a server. Dropping it closes the connection at once, also while a request is being sent that
+/// the server does not read.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    _held: oneshot::Sender<()>,
+    _close_on_drop: oneshot::Sender<()>,
 }
 
-struct Idle {
+/// Connection that waits for its next request.
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    /// When the pool stops using it.
+    expires_at: Instant,
 }
 
-/// A server, and the connections to it.
-pub struct Target {
+/// Connections to one server.
+pub struct ServerConnections {
+    /// Id of the server.
     pub id: Rc<str>,
     address: String,
-    most: Cell<usize>,
-    open: Cell<usize>,
-    idle: RefCell<Vec<Idle>>,
-    /// It takes no more: its connections are closed as they fall idle.
-    closed: Cell<bool>,
+    max_open: Cell<usize>,
+    open_count: Cell<usize>,
+    /// Idle connections, the most recently used last.
+    idle: RefCell<Vec<IdleConnection>>,
+    /// Whether the server was removed from the pool. Connections are then closed instead of becoming idle.
+    is_closed: Cell<bool>,
 }
 
-/// An open connection, counted as long as this lives.
-struct Open(Rc<Target>);
+/// Counts an open connection until it is dropped.
+struct OpenConnection(Rc<ServerConnections>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_count.set(self.0.open_count.get() - 1);
     }
 }
 
+/// Totals since the start, for the log.
 #[derive(Default)]
 pub struct Counters {
+    /// Attempts to connect.
     pub connects: Cell<u64>,
-    pub refused: Cell<u64>,
+    /// Attempts that failed or timed out before a byte stream was open.
+    pub failed_connects: Cell<u64>,
+    /// Requests that were sent on an idle connection.
     pub reused: Cell<u64>,
-    pub foreign: Cell<u64>,
+    /// Responses whose `Attempt-Id` was not that of the request.
+    pub mismatched_responses: Cell<u64>,
 }
 
+/// Connections to all servers.
 pub struct Pool {
     connector: Rc<dyn Connector>,
-    targets: RefCell<BTreeMap<Rc<str>, Rc<Target>>>,
+    /// Connections to each server, by its id.
+    servers: RefCell<BTreeMap<Rc<str>, Rc<ServerConnections>>>,
+    /// Counters of all servers.
     pub counters: Rc<Counters>,
 }
 
-fn bump(counter: &Cell<u64>) {
+fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// Headers that concern one connection only, and those that the connection itself names.
-pub fn drop_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes the hop-by-hop headers, which concern one connection only: the usual ones and those that the
+/// `Connection` header lists. `Content-Length` and `Expect` are removed too, because the body is sent anew.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
@@ -146,7 +172,7 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != ATTEMPT_ID && *name != header::HOST)
         .collect();
-    let always = [
+    let hop_by_hop = [
         header::CONNECTION,
         KEEP_ALIVE,
         header::PROXY_AUTHENTICATE,
@@ -159,43 +185,44 @@
         header::EXPECT,
         HeaderName::from_static("proxy-connection"),
     ];
-    named.iter().chain(&always).for_each(|name| drop(headers.remove(name)));
+    listed.iter().chain(&hop_by_hop).for_each(|name| drop(headers.remove(name)));
 }
 
-/// How long the server keeps the connection idle, as it says; none if it closes it.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
-    let has = |name: HeaderName, word: &str| {
+/// Returns how long the connection may stay idle according to the server, less [`IDLE_EXPIRY_MARGIN`]; `None`
+/// if the connection cannot be reused.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let contains = |name: HeaderName, token: &str| {
         let values = headers.get_all(name);
-        values.iter().filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
+        values.iter().filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(token))
     };
-    if has(header::CONNECTION, "close") {
+    if contains(header::CONNECTION, "close") {
         return None;
     }
-    let stated = headers.get(KEEP_ALIVE).and_then(|v| v.to_str().ok()).and_then(|v| {
+    let requested = headers.get(KEEP_ALIVE).and_then(|v| v.to_str().ok()).and_then(|v| {
         let part = v.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
         part.trim().parse::<u64>().ok()
     });
-    let kept = stated.map_or(IDLE, Duration::from_secs);
-    kept.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero())
+    let idle_timeout = requested.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs);
+    idle_timeout.checked_sub(IDLE_EXPIRY_MARGIN).filter(|timeout| !timeout.is_zero())
 }
 
-/// The value of a header that stands there once; none if it does not, or more than once.
-pub fn only<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+/// Returns the value of a header that occurs exactly once, else `None`.
+pub fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-/// Whether the answer itself tells where its body ends. One that ends with its connection looks whole wherever it
-/// breaks off.
-fn tells_its_end(headers: &HeaderMap, body: &Incoming) -> bool {
-    let codings = headers.get_all(header::TRANSFER_ENCODING).iter().next_back();
-    let last = codings.and_then(|codings| codings.to_str().ok()?.rsplit(',').next());
-    let chunked = last.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"));
-    chunked || body.size_hint().exact().is_some()
+/// Whether the response has a length or chunked encoding. The body of any other response ends with the
+/// connection, so a truncated body would look complete.
+fn is_self_delimited(headers: &HeaderMap, body: &Incoming) -> bool {
+    let encodings = headers.get_all(header::TRANSFER_ENCODING).iter().next_back();
+    let last_encoding = encodings.and_then(|encodings| encodings.to_str().ok()?.rsplit(',').next());
+    let is_chunked = last_encoding.is_some_and(|encoding| encoding.trim().eq_ignore_ascii_case("chunked"));
+    is_chunked || body.size_hint().exact().is_some()
 }
 
-/// Statuses that promise clients that their request has not run and never will.
-fn is_promise(status: StatusCode) -> bool {
+/// Whether this status promises the client that its request has not run and never will.
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -205,43 +232,44 @@
     )
 }
 
-/// What a whole answer to this request counts for. That the request did not run is only ever the server's word, given
-/// with a failure: 421, or `Not-Executed`.
-fn judge(answer: Answer) -> Result<Answer, CallError> {
-    let (status, headers) = (answer.status, &answer.headers);
-    let fails = status.is_client_error() || status.is_server_error();
+/// Returns a complete response if it may be relayed, else the error that it stands for. Only the server can
+/// promise that the request did not run, by 421, or by `Not-Executed` with an error status.
+fn check_response(response: ServerResponse) -> Result<ServerResponse, CallError> {
+    let (status, headers) = (response.status, &response.headers);
+    let is_error = status.is_client_error() || status.is_server_error();
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Err(CallError::OtherServer);
     }
     if headers.contains_key(NOT_EXECUTED) {
-        return Err(match fails {
+        return Err(match is_error {
             true => CallError::Rejected { status: status.as_u16() },
-            false => CallError::Unusable { what: "a success that did not run" },
+            false => CallError::Unusable { reason: "success status with Not-Executed header" },
         });
     }
-    if is_promise(status) {
+    if implies_not_executed(status) {
         return Err(CallError::Failed { status: status.as_u16() });
     }
-    let one = |seal: &HeaderValue| !seal.is_empty() && !seal.as_bytes().contains(&b',');
-    let sealed = only(headers, &SERVER_SEAL).is_some_and(one);
-    if status.is_success() && (headers.contains_key(header::CONTENT_ENCODING) || !sealed) {
-        return Err(CallError::Unusable { what: "not the body of the server" });
+    let is_single = |seal: &HeaderValue| !seal.is_empty() && !seal.as_bytes().contains(&b',');
+    let is_sealed = single_header(headers, &SERVER_SEAL).is_some_and(is_single);
+    if status.is_success() && (headers.contains_key(header::CONTENT_ENCODING) || !is_sealed) {
+        return Err(CallError::Unusable { reason: "missing or invalid Server-Seal header, or encoded body" });
     }
-    Ok(answer)
+    Ok(response)
 }
 
-impl Target {
-    /// The connection that fell idle last. A server may have forgotten one that has stood for a while, and then
-    /// resets what is sent on it: what must not run twice would be lost, so it takes only one just used.
-    fn take_idle(&self, once: bool) -> Option<Connection> {
+impl ServerConnections {
+    /// Takes the idle connection that was used last. A server may have dropped the state of a connection that
+    /// was idle for a while, and then resets it on the next request. A request that must not run twice would
+    /// be lost that way, so it only takes a connection that was idle for at most [`MAX_NON_IDEMPOTENT_IDLE`].
+    fn take_idle(&self, at_most_once: bool) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         while let Some(last) = idle.pop() {
-            if last.until <= now || !last.connection.sender.is_ready() {
+            if last.expires_at <= now || !last.connection.sender.is_ready() {
                 continue;
             }
-            if once && last.since + JUST_USED < now {
-                // The others have stood for longer yet. They serve what may be repeated.
+            if at_most_once && last.idle_since + MAX_NON_IDEMPOTENT_IDLE < now {
+                // All others were idle for longer still. They are left for requests that may be repeated.
                 idle.push(last);
                 return None;
             }
@@ -250,32 +278,35 @@
         None
     }
 
-    fn give_back(&self, connection: Connection, kept: Duration) {
-        if self.closed.get() {
+    /// Stores a connection for reuse, and drops those that have expired or were closed.
+    fn return_idle(&self, connection: Connection, idle_timeout: Duration) {
+        if self.is_closed.get() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
-        idle.retain(|i| i.until > now && !i.connection.sender.is_closed());
-        idle.push(Idle { connection, since: now, until: now + kept });
+        idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        idle.push(IdleConnection { connection, idle_since: now, expires_at: now + idle_timeout });
     }
 
+    /// Opens a connection, unless the server has as many as it may have.
     async fn connect(self: &Rc<Self>, limit: Duration, pool: &Pool) -> Result<Connection, CallError> {
-        if self.open.get() >= self.most.get() {
+        if self.open_count.get() >= self.max_open.get() {
             return Err(CallError::PoolExhausted { address: self.address.clone() });
         }
-        self.open.set(self.open.get() + 1);
-        let open = Open(self.clone());
-        bump(&pool.counters.connects);
-        let within = CONNECT.min(limit);
-        let failed = || CallError::NoConnection { address: self.address.clone(), within };
-        let connected = timeout(within, pool.connector.connect(&self.address)).await;
+        self.open_count.set(self.open_count.get() + 1);
+        let open = OpenConnection(self.clone());
+        increment(&pool.counters.connects);
+        let connect_timeout = CONNECT_TIMEOUT.min(limit);
+        let connect_error =
+            || CallError::NoConnection { address: self.address.clone(), timeout: connect_timeout };
+        let connected = timeout(connect_timeout, pool.connector.connect(&self.address)).await;
         let Ok(Ok(stream)) = connected else {
-            bump(&pool.counters.refused);
-            return Err(failed());
+            increment(&pool.counters.failed_connects);
+            return Err(connect_error());
         };
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| failed())?;
-        let (_held, dropped) = oneshot::channel();
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| connect_error())?;
+        let (_close_on_drop, dropped) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let _open = open;
             tokio::select! {
@@ -283,105 +314,118 @@
                 _ = dropped => {}
             }
         });
-        Ok(Connection { sender, _held })
+        Ok(Connection { sender, _close_on_drop })
     }
 
-    /// Sends a request and reads the answer whole.
-    async fn send(self: &Rc<Self>, asked: &Asked, limit: Duration, pool: &Pool) -> Result<Answer, CallError> {
-        let until = Instant::now() + limit;
-        // A connection that has carried it may still bring a surplus answer to that call, under the same id.
-        let first = asked.sent_to.borrow_mut().insert(self.id.clone());
-        let idle = if first { self.take_idle(asked.once) } else { None };
+    /// Sends a request and reads the complete response.
+    async fn send(
+        self: &Rc<Self>, request: &ForwardedRequest, timeout: Duration, pool: &Pool,
+    ) -> Result<ServerResponse, CallError> {
+        let deadline = Instant::now() + timeout;
+        // A second attempt at the same server opens a new connection: one that carried the first attempt may
+        // still deliver a surplus response to it under the same `Attempt-Id`.
+        let is_first_at_server = request.sent_to.borrow_mut().insert(self.id.clone());
+        let idle = if is_first_at_server { self.take_idle(request.at_most_once) } else { None };
         let mut connection = match idle {
             Some(connection) => {
-                bump(&pool.counters.reused);
+                increment(&pool.counters.reused);
                 connection
             }
-            None => self.connect(limit, pool).await?,
+            None => self.connect(timeout, pool).await?,
         };
-        let left = until.saturating_duration_since(Instant::now()).as_millis();
-        let mut request = Request::new(Full::new(asked.body.clone()));
-        *request.method_mut() = asked.method.clone();
-        *request.uri_mut() = asked.uri.clone();
-        *request.headers_mut() = asked.headers.clone();
-        let headers = request.headers_mut();
-        headers.insert(DEADLINE_MS, HeaderValue::from(left.max(1) as u64));
+        let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
+        let mut http_request = Request::new(Full::new(request.body.clone()));
+        *http_request.method_mut() = request.method.clone();
+        *http_request.uri_mut() = request.uri.clone();
+        *http_request.headers_mut() = request.headers.clone();
+        let headers = http_request.headers_mut();
+        headers.insert(DEADLINE_MS, HeaderValue::from(remaining_ms.max(1) as u64));
         headers.insert(TARGET_INSTANCE, HeaderValue::from_str(&self.id).map_err(|_| CallError::NeverSent)?);
-        let answered = timeout_at(until, connection.sender.try_send_request(request)).await;
-        let response = match answered.map_err(|_| CallError::TimedOut)? {
+        let result = timeout_at(deadline, connection.sender.try_send_request(http_request)).await;
+        let response = match result.map_err(|_| CallError::TimedOut)? {
             Ok(response) => response,
             Err(mut e) => {
                 return Err(match e.take_message() {
                     Some(_) => CallError::NeverSent,
-                    None if e.error().is_parse() => CallError::Unusable { what: "no answer in the protocol" },
+                    None if e.error().is_parse() => CallError::Unusable { reason: "not an HTTP response" },
                     None => CallError::Broken,
                 });
             }
         };
         let (head, body) = response.into_parts();
         if head.status.is_informational() {
-            return Err(CallError::Unusable { what: "another protocol" });
+            return Err(CallError::Unusable { reason: "switch to another protocol" });
         }
-        // A surplus answer to an earlier request stands where this one's is due.
-        if only(&head.headers, &ATTEMPT_ID) != Some(&asked.attempt) {
-            bump(&pool.counters.foreign);
-            return Err(CallError::Unusable { what: "an answer to another request" });
+        // A surplus response to an earlier request on this connection would be read as the response to this
+        // one.
+        if single_header(&head.headers, &ATTEMPT_ID) != Some(&request.attempt_id) {
+            increment(&pool.counters.mismatched_responses);
+            return Err(CallError::Unusable { reason: "Attempt-Id header does not match the request" });
         }
-        if !tells_its_end(&head.headers, &body) {
-            return Err(CallError::Unusable { what: "an answer that does not tell where it ends" });
+        if !is_self_delimited(&head.headers, &body) {
+            return Err(CallError::Unusable { reason: "neither a content length nor chunked encoding" });
         }
-        let collected = timeout_at(until, Limited::new(body, ANSWER_MOST).collect()).await;
+        let collected = timeout_at(deadline, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
         let body = collected.map_err(|_| CallError::TimedOut)?.map_err(|_| CallError::Broken)?.to_bytes();
-        if let Some(kept) = kept_for(&head.headers) {
-            self.give_back(connection, kept);
+        if let Some(idle_timeout) = keep_alive_timeout(&head.headers) {
+            self.return_idle(connection, idle_timeout);
         }
-        judge(Answer { status: head.status, headers: head.headers, body })
+        check_response(ServerResponse { status: head.status, headers: head.headers, body })
     }
 }
 
 impl Pool {
+    /// Creates a pool without servers.
     pub fn new(connector: Rc<dyn Connector>) -> Self {
-        Pool { connector, targets: RefCell::default(), counters: Rc::default() }
+        Pool { connector, servers: RefCell::default(), counters: Rc::default() }
     }
 
-    /// A server that may be sent requests, and how many connections it may have from here.
-    pub fn is_there(&self, id: &str, address: &str, most: usize) {
-        let mut targets = self.targets.borrow_mut();
-        if let Some(target) = targets.get(id) {
-            target.most.set(most);
-            target.closed.set(false);
+    /// Adds a server that may be sent requests, or updates how many connections it may have.
+    pub fn add_server(&self, id: &str, address: &str, max_open: usize) {
+        let mut servers = self.servers.borrow_mut();
+        if let Some(server) = servers.get(id) {
+            server.max_open.set(max_open);
+            server.is_closed.set(false);
             return;
         }
         let id: Rc<str> = id.into();
-        let target = Target {
+        let server = ServerConnections {
             id: id.clone(),
             address: address.to_owned(),
-            most: most.into(),
-            open: 0.into(),
+            max_open: max_open.into(),
+            open_count: 0.into(),
             idle: RefCell::default(),
-            closed: false.into(),
+            is_closed: false.into(),
         };
-        targets.insert(id, Rc::new(target));
+        servers.insert(id, Rc::new(server));
     }
 
-    /// A server that gets nothing more.
-    pub fn is_gone(&self, id: &str) {
-        if let Some(target) = self.targets.borrow_mut().remove(id) {
-            target.closed.set(true);
-            target.idle.borrow_mut().clear();
+    /// Removes a server, closes its idle connections, and lets the requests in flight finish.
+    pub fn remove_server(&self, id: &str) {
+        if let Some(server) = self.servers.borrow_mut().remove(id) {
+            server.is_closed.set(true);
+            server.idle.borrow_mut().clear();
         }
     }
 
-    pub async fn send(&self, id: &str, asked: &Asked, limit: Duration) -> Result<Answer, CallError> {
-        let target = self.targets.borrow().get(id).cloned();
-        match target {
-            Some(target) => target.send(asked, limit, self).await,
+    /// Sends a request to a server and waits for the complete response.
+    ///
+    /// # Errors
+    ///
+    /// If the call failed, or its response must not be relayed.
+    pub async fn send(
+        &self, id: &str, request: &ForwardedRequest, timeout: Duration,
+    ) -> Result<ServerResponse, CallError> {
+        let server = self.servers.borrow().get(id).cloned();
+        match server {
+            Some(server) => server.send(request, timeout, self).await,
             None => Err(CallError::NeverSent),
         }
     }
 
-    pub fn open(&self) -> usize {
-        self.targets.borrow().values().map(|t| t.open.get()).sum()
+    /// Number of open connections to the servers of the pool.
+    pub fn open_count(&self) -> usize {
+        self.servers.borrow().values().map(|server| server.open_count.get()).sum()
     }
 }
 
@@ -391,26 +435,31 @@
 
     use super::*;
 
-    /// Found by a day on which servers forgot connections that rested for 320 ms: 56 bookings were lost.
+    /// Guards against the loss of requests that must not run twice on connections that the server has dropped
+    /// while idle. A simulated day on which servers dropped connections idle for 320 ms lost 56 bookings.
     #[tokio::test(start_paused = true)]
-    async fn what_must_not_run_twice_takes_no_connection_that_rested() {
+    async fn a_non_idempotent_request_takes_no_connection_that_was_idle_for_long() {
         let test = async {
-            let pool = Pool::new(Rc::new(Tcp));
-            pool.is_there("i-1", "127.0.0.1:1", 4);
-            let target = pool.targets.borrow()["i-1"].clone();
-            let (near, _far) = tokio::io::duplex(1024);
-            let (mut sender, connection) = handshake(TokioIo::new(near)).await.expect("a connection");
+            let pool = Pool::new(Rc::new(TcpConnector));
+            pool.add_server("i-1", "127.0.0.1:1", 4);
+            let server = pool.servers.borrow()["i-1"].clone();
+            let (client_end, _server_end) = tokio::io::duplex(1024);
+            let (mut sender, connection) =
+                handshake(TokioIo::new(client_end)).await.expect("the peer end of the duplex stream is open");
             tokio::task::spawn_local(connection);
-            sender.ready().await.expect("ready");
-            let (_held, _dropped) = oneshot::channel();
-            target.give_back(Connection { sender, _held }, IDLE);
-            let connection = target.take_idle(true).expect("it was just used");
-            target.give_back(connection, IDLE);
-            tokio::time::advance(JUST_USED * 2).await;
-            assert!(target.take_idle(true).is_none(), "it may be forgotten by now");
-            assert!(target.take_idle(false).is_some(), "what may be repeated takes it all the same");
-            pool.is_gone("i-1");
-            assert!(target.idle.borrow().is_empty());
+            sender.ready().await.expect("the connection was just opened");
+            let (_close_on_drop, _dropped) = oneshot::channel();
+            server.return_idle(Connection { sender, _close_on_drop }, DEFAULT_IDLE_TIMEOUT);
+            let connection = server.take_idle(true).expect("the connection was just used");
+            server.return_idle(connection, DEFAULT_IDLE_TIMEOUT);
+            tokio::time::advance(MAX_NON_IDEMPOTENT_IDLE * 2).await;
+            assert!(
+                server.take_idle(true).is_none(),
+                "a non-idempotent request takes no connection that was idle for long"
+            );
+            assert!(server.take_idle(false).is_some(), "an idempotent request takes the same connection");
+            pool.remove_server("i-1");
+            assert!(server.idle.borrow().is_empty());
         };
         LocalSet::new().run_until(test).await;
     }
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -5,7 +5,7 @@
 
 use ashvane_gossip::{Directory, Heartbeat, Node, ServerState};
 use ashvane_node::data_plane::DataPlane;
-use ashvane_node::pool::Tcp;
+use ashvane_node::pool::TcpConnector;
 use ashvane_node::settings::Settings;
 use slog::{Discard, Logger, o};
 use tokio::task::LocalSet;
@@ -33,7 +33,7 @@
 async fn a_data_plane_keeps_no_state_of_terminated_servers() {
     let test = async {
         let settings = Settings::parse(SETTINGS, "-").expect("the settings are valid");
-        let data_plane = DataPlane::new(&settings, Rc::new(Tcp), Logger::root(Discard, o!()));
+        let data_plane = DataPlane::new(&settings, Rc::new(TcpConnector), Logger::root(Discard, o!()));
         let second = Duration::from_secs(1);
         let mut directory = Directory::new(own_node(), second, Duration::ZERO);
         for n in 0..500u32 {
@@ -52,12 +52,12 @@
             }
             data_plane.servers_changed(&directory, &updates);
             assert!(
-                data_plane.servers_kept() <= 11,
+                data_plane.server_count() <= 11,
                 "the data plane keeps {} servers after server {n} started",
-                data_plane.servers_kept()
+                data_plane.server_count()
             );
         }
-        assert!(data_plane.knows_servers());
+        assert!(data_plane.has_ready_server());
     };
     LocalSet::new().run_until(test).await;
 }
