--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -18,8 +18,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::protocol::config::{self, Config};
-use crate::protocol::event::{Event, Left, Phase};
-use crate::routing::{Ends, Routing};
+use crate::protocol::event::{EndedHandlers, Event, Phase};
+use crate::routing::{Routing, RoutingContext};
 use crate::transport::admin::Admin;
 use crate::transport::answers::Answers;
 use crate::transport::discovery::Discovery;
@@ -160,7 +160,8 @@
         let (events, inbox) = mpsc::channel(EVENTS_MOST);
         let (phase, phases) = watch::channel(Phase::Starting);
         let (ready, is_ready) = oneshot::channel();
-        let (left, asked, followed) = (Arc::<Left>::default(), Rc::default(), Rc::new(Notify::new()));
+        let (left, list_requested, followed) =
+            (Arc::<EndedHandlers>::default(), Rc::default(), Rc::new(Notify::new()));
         let (discovery, address) = watch::channel(config.discovery);
         let each = Self::places(&config, &ledger);
         log::info!(
@@ -183,18 +184,24 @@
             network: network.clone(),
             ledger: ledger.clone(),
             events: events.clone(),
-            asked: Rc::clone(&asked),
+            asked: Rc::clone(&list_requested),
             followed: followed.clone(),
         };
         if let Some(fleet) = &own.fleet {
             let keepers = Keepers::new(&config.name, config.settings.seed, fleet, events.clone());
             spawn_local(keepers.run(phase.subscribe()));
         }
-        let ends = Ends { most_lanes: each, events: events.clone(), asked, ready, ledger: ledger.clone() };
-        let routing = Routing::new(&config.settings, &network, &config.known, ends);
+        let ends = RoutingContext {
+            max_connections: each,
+            events: events.clone(),
+            list_requested,
+            ready,
+            ledger: ledger.clone(),
+        };
+        let routing = Routing::new(&config.settings, &network, &config.initial_servers, ends);
         let routing = routing.map_err(|e| e.to_string())?;
         let deciding = spawn_local(routing.run(inbox, left));
-        spawn_local(watching.run(config.known.revision));
+        spawn_local(watching.run(config.initial_servers.revision));
         spawn_local(door.clone().run(listener, Arc::new(fronting)));
         spawn_local(async {
             loop {
@@ -297,7 +304,7 @@
         let memory = self.config.memory_mb << 20;
         let own = Self::own(&self.files, self.as_json, memory).await.map_err(|faults| told(&faults))?;
         let admin = self.admin_listener(&own).await?;
-        let mut fixed = self.config.wants_restart(&newer);
+        let mut fixed = self.config.restart_only_changes(&newer);
         if own.fleet != self.fleet {
             fixed.push("fleet");
         }
@@ -334,7 +341,7 @@
         }
         if self.door.open() > 0 {
             log::warn!("{} clients are still connected: what they wait for is given up", self.door.open());
-            let _ = self.events.send(Event::Ending).await;
+            let _ = self.events.send(Event::ShuttingDown).await;
             sleep(LAST_WRITES).await;
         }
         log::info!("ends");
--- a/crates/gatherer/src/protocol/config.rs
+++ b/crates/gatherer/src/protocol/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::list::List;
+use super::list::ServerList;
 
 #[derive(Deserialize)]
 struct Limits {
@@ -16,7 +16,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
@@ -33,22 +33,22 @@
     pub discovery: SocketAddr,
     pub memory_mb: u64,
     pub sockets: usize,
-    pub known: List,
+    pub initial_servers: ServerList,
     pub settings: Settings,
     pub network: Network,
     /// What the file says of the things that hold until the program ends.
-    fixed: Vec<(&'static str, Value)>,
+    restart_only: Vec<(&'static str, Value)>,
 }
 
 impl Config {
     /// What a newer file says otherwise although only a restart can change it.
-    pub(crate) fn wants_restart(&self, newer: &Config) -> Vec<&'static str> {
-        let pairs = self.fixed.iter().zip(&newer.fixed);
-        pairs.filter(|(ours, theirs)| ours != theirs).map(|(ours, _)| ours.0).collect()
+    pub(crate) fn restart_only_changes(&self, reloaded: &Config) -> Vec<&'static str> {
+        let pairs = self.restart_only.iter().zip(&reloaded.restart_only);
+        pairs.filter(|(current, updated)| current != updated).map(|(current, _)| current.0).collect()
     }
 }
 
-fn address(name: &str, text: &str) -> Result<SocketAddr, String> {
+fn parse_address(name: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("{name} {text:?} is not an address"))
 }
 
@@ -62,21 +62,21 @@
 
 /// Reads the configuration. `variable` tells an environment variable, which holds over the file.
 fn decode(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let file: ConfigFile = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| format!("seed {:?} is not hex", file.seed))?;
     let network = ashvane_settings::read_network(&file.settings)?;
     let limits = Limits::deserialize(&file.limits).map_err(|e| format!("limits: {e}"))?;
-    let told = |name: &str, text: &str| variable(name).unwrap_or_else(|| text.to_owned());
+    let overridden = |name: &str, text: &str| variable(name).unwrap_or_else(|| text.to_owned());
     Ok(Config {
-        name: told("GW_NAME", &file.name),
-        listen: address("GW_LISTEN", &told("GW_LISTEN", &file.listen))?,
-        discovery: address("GW_DISCOVERY", &told("GW_DISCOVERY", &file.discovery))?,
+        name: overridden("GW_NAME", &file.name),
+        listen: parse_address("GW_LISTEN", &overridden("GW_LISTEN", &file.listen))?,
+        discovery: parse_address("GW_DISCOVERY", &overridden("GW_DISCOVERY", &file.discovery))?,
         memory_mb: limits.memory_mb,
         sockets: limits.sockets,
-        known: super::list::from_value(file.known, &network).map_err(|e| format!("known: {e}"))?,
+        initial_servers: super::list::from_value(file.known, &network).map_err(|e| format!("known: {e}"))?,
         settings: ashvane_settings::read(seed, &file.settings)?,
         network,
-        fixed: vec![
+        restart_only: vec![
             ("name", file.name.into()),
             ("listen", file.listen.into()),
             ("limits", file.limits),
--- a/crates/gatherer/src/protocol/event.rs
+++ b/crates/gatherer/src/protocol/event.rs
@@ -7,38 +7,38 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-use super::frame::End;
-use super::list::List;
+use super::frame::CallStatus;
+use super::list::ServerList;
 use super::query::{Query, Reply};
 
 pub(crate) enum Event {
-    Came {
+    QueryReceived {
         query: Query,
         arrived: Instant,
         /// What its body took; given back once the query is held or answered.
-        room: Charge,
+        charge: Charge,
         /// By which its client's leaving is told.
         ticket: u64,
         reply: oneshot::Sender<Reply>,
     },
     /// A list, and whether there was room for it: it is taken whole or not at all.
-    Listed(List, oneshot::Sender<bool>),
-    ListFailed,
+    ServerList(ServerList, oneshot::Sender<bool>),
+    ServerListFailed,
     /// So many gatherers are alive, as far as that is known now.
-    Fleet(Option<u32>),
+    GathererCount(Option<u32>),
     /// A connection to a shard server is up, has brought an answer, or is no more.
-    Up(u64),
-    Answered {
-        lane: u64,
+    Connected(u64),
+    CallAnswered {
+        connection: u64,
         id: String,
-        end: End,
+        status: CallStatus,
         value: String,
         /// What the frame took.
-        room: Charge,
+        charge: Charge,
     },
-    Down(u64),
+    Disconnected(u64),
     /// The program ends: what is held is given up.
-    Ending,
+    ShuttingDown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,37 +57,37 @@
 /// The requests whose handlers have ended, so that those who left can be told from those answered without a
 /// look through all that is held.
 #[derive(Default)]
-pub(crate) struct Left {
+pub(crate) struct EndedHandlers {
     tickets: Mutex<Vec<u64>>,
-    next: AtomicU64,
-    news: Notify,
+    next_ticket: AtomicU64,
+    ended: Notify,
 }
 
-impl Left {
+impl EndedHandlers {
     /// A ticket, which is told when what is returned is dropped.
-    pub(crate) fn ticket(self: &Arc<Self>) -> Leaving {
-        Leaving { left: self.clone(), ticket: self.next.fetch_add(1, Ordering::Relaxed) }
+    pub(crate) fn register(self: &Arc<Self>) -> HandlerGuard {
+        HandlerGuard { handlers: self.clone(), ticket: self.next_ticket.fetch_add(1, Ordering::Relaxed) }
     }
 
-    pub(crate) async fn news(&self) {
-        self.news.notified().await;
+    pub(crate) async fn any_ended(&self) {
+        self.ended.notified().await;
     }
 
     /// The tickets told since the last call. At most one for each open request stands here.
-    pub(crate) fn take(&self) -> Vec<u64> {
+    pub(crate) fn take_tickets(&self) -> Vec<u64> {
         std::mem::take(&mut *self.tickets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 /// A request's handler, while it lasts.
-pub(crate) struct Leaving {
-    left: Arc<Left>,
+pub(crate) struct HandlerGuard {
+    handlers: Arc<EndedHandlers>,
     pub ticket: u64,
 }
 
-impl Drop for Leaving {
+impl Drop for HandlerGuard {
     fn drop(&mut self) {
-        self.left.tickets.lock().unwrap_or_else(PoisonError::into_inner).push(self.ticket);
-        self.left.news.notify_one();
+        self.handlers.tickets.lock().unwrap_or_else(PoisonError::into_inner).push(self.ticket);
+        self.handlers.ended.notify_one();
     }
 }
--- a/crates/gatherer/src/protocol/frame.rs
+++ b/crates/gatherer/src/protocol/frame.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest frame that is read: one value fits into an answer to a client, which holds as much.
-const FRAME_MOST: usize = 64 * 1024;
+const MAX_FRAME_BYTES: usize = 64 * 1024;
 
 /// One part within a call.
 #[derive(Clone, Debug, PartialEq)]
@@ -17,107 +17,108 @@
     pub id: Arc<str>,
     pub shard: u32,
     /// How many milliseconds the gatherer will wait.
-    pub wait_ms: u64,
-    pub text: Arc<str>,
+    pub timeout_ms: u64,
+    pub payload: Arc<str>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Sent {
+pub(crate) enum OutgoingFrame {
     Call(Vec<PartCall>),
-    GiveUp(Arc<str>),
+    Cancel(Arc<str>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum CallStatus {
     Done,
     Failed,
     Full,
 }
 
 #[derive(Debug, PartialEq)]
-pub(crate) enum Got {
+pub(crate) enum IncomingFrame {
     Answer {
         id: String,
-        end: End,
+        status: CallStatus,
         value: String,
     },
     /// The frame before could not be used; the server closes.
-    Unusable(String),
+    ProtocolError(String),
 }
 
 #[derive(Debug)]
-pub(crate) enum Fault {
-    Broken(std::io::Error),
+pub(crate) enum FrameError {
+    Io(std::io::Error),
     Malformed(&'static str),
-    NoRoom,
+    MemoryLimit,
 }
 
-impl From<std::io::Error> for Fault {
+impl From<std::io::Error> for FrameError {
     fn from(error: std::io::Error) -> Self {
-        Fault::Broken(error)
+        FrameError::Io(error)
     }
 }
 
 /// Reads and writes frames. It may be asked since when a frame has begun to come and is not whole.
 #[derive(Clone, Default)]
-pub(crate) struct Frames {
-    pub begun: Rc<Cell<Option<Instant>>>,
+pub(crate) struct FrameCodec {
+    pub partial_since: Rc<Cell<Option<Instant>>>,
 }
 
-impl Encoder<Sent> for Frames {
-    type Error = Fault;
+impl Encoder<OutgoingFrame> for FrameCodec {
+    type Error = FrameError;
 
-    fn encode(&mut self, frame: Sent, out: &mut BytesMut) -> Result<(), Fault> {
+    fn encode(&mut self, frame: OutgoingFrame, out: &mut BytesMut) -> Result<(), FrameError> {
         let start = out.len();
         out.put_u32(0);
         match frame {
-            Sent::Call(parts) => {
+            OutgoingFrame::Call(parts) => {
                 out.put_u8(b'S');
                 for p in parts {
-                    let line = format!("{} {} d={} {}\n", p.id, p.shard, p.wait_ms, p.text.len());
+                    let line = format!("{} {} d={} {}\n", p.id, p.shard, p.timeout_ms, p.payload.len());
                     out.put_slice(line.as_bytes());
-                    out.put_slice(p.text.as_bytes());
+                    out.put_slice(p.payload.as_bytes());
                 }
             }
-            Sent::GiveUp(id) => {
+            OutgoingFrame::Cancel(id) => {
                 out.put_u8(b'C');
                 out.put_slice(id.as_bytes());
             }
         }
-        let length = u32::try_from(out.len() - start - 4).map_err(|_| Fault::Malformed("frame too long"))?;
+        let length =
+            u32::try_from(out.len() - start - 4).map_err(|_| FrameError::Malformed("frame too long"))?;
         out[start..start + 4].copy_from_slice(&length.to_be_bytes());
         Ok(())
     }
 }
 
-impl Decoder for Frames {
-    type Item = Got;
-    type Error = Fault;
+impl Decoder for FrameCodec {
+    type Item = IncomingFrame;
+    type Error = FrameError;
 
-    fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<Got>, Fault> {
-        let got = whole(bytes);
+    fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<IncomingFrame>, FrameError> {
+        let got = decode_frame(bytes);
         // A frame stands in its server's writes as one, so that the rest of one that has begun is on its way.
         let waits = matches!(got, Ok(None)) && !bytes.is_empty();
-        self.begun.set(waits.then(|| self.begun.get().unwrap_or_else(Instant::now)));
+        self.partial_since.set(waits.then(|| self.partial_since.get().unwrap_or_else(Instant::now)));
         got
     }
 }
 
 /// How many bytes the frame that has begun takes in all, once its length is known and can be one.
-pub(crate) fn length(bytes: &[u8]) -> Option<usize> {
+pub(crate) fn expected_frame_bytes(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
-    (length <= FRAME_MOST).then_some(4 + length)
+    (length <= MAX_FRAME_BYTES).then_some(4 + length)
 }
 
 /// The next frame if it is whole; a fault as soon as it can be none.
-fn whole(bytes: &mut BytesMut) -> Result<Option<Got>, Fault> {
+fn decode_frame(bytes: &mut BytesMut) -> Result<Option<IncomingFrame>, FrameError> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > FRAME_MOST {
-        return Err(Fault::Malformed("bad length"));
+    if length == 0 || length > MAX_FRAME_BYTES {
+        return Err(FrameError::Malformed("bad length"));
     }
     if bytes.get(4).is_some_and(|letter| !b"RF".contains(letter)) {
-        return Err(Fault::Malformed("unknown letter"));
+        return Err(FrameError::Malformed("unknown letter"));
     }
     if bytes.len() < 4 + length {
         bytes.reserve(4 + length - bytes.len());
@@ -127,25 +128,25 @@
     let frame = bytes.split_to(length);
     let rest = &frame[1..];
     match frame[0] {
-        b'R' => answer(rest).map(Some).ok_or(Fault::Malformed("bad answer")),
-        _ => Ok(Some(Got::Unusable(String::from_utf8_lossy(rest).into_owned()))),
+        b'R' => decode_answer(rest).map(Some).ok_or(FrameError::Malformed("bad answer")),
+        _ => Ok(Some(IncomingFrame::ProtocolError(String::from_utf8_lossy(rest).into_owned()))),
     }
 }
 
 /// An answer's line and value. Nothing here goes by the score and the report, so they may hold anything. A
 /// value with a zero byte has run over its end into the next frame, whose length begins with one.
-fn answer(rest: &[u8]) -> Option<Got> {
+fn decode_answer(rest: &[u8]) -> Option<IncomingFrame> {
     let end = rest.iter().position(|b| *b == b'\n')?;
     let (line, value) = (&rest[..end], std::str::from_utf8(&rest[end + 1..]).ok()?);
     let mut words = line.split(|b| *b == b' ');
     let id = std::str::from_utf8(words.next()?).ok().filter(|id| !id.is_empty())?.to_owned();
-    let end = match words.next()? {
-        b"done" => End::Done,
-        b"failed" => End::Failed,
-        b"full" => End::Full,
+    let status = match words.next()? {
+        b"done" => CallStatus::Done,
+        b"failed" => CallStatus::Failed,
+        b"full" => CallStatus::Full,
         _ => return None,
     };
-    (!value.contains('\0')).then(|| Got::Answer { id, end, value: value.to_owned() })
+    (!value.contains('\0')).then(|| IncomingFrame::Answer { id, status, value: value.to_owned() })
 }
 
 #[cfg(test)]
@@ -154,18 +155,19 @@
 
     use super::*;
 
-    fn encoded(frame: Sent) -> BytesMut {
+    fn encoded(frame: OutgoingFrame) -> BytesMut {
         let mut bytes = BytesMut::new();
-        Frames::default().encode(frame, &mut bytes).expect("a short frame");
+        FrameCodec::default().encode(frame, &mut bytes).expect("a short frame");
         bytes
     }
 
     #[test]
     fn a_call_is_one_frame_of_lines_and_texts() {
-        let part = |id: &str, shard| PartCall { id: id.into(), shard, wait_ms: 240, text: "c41e77d0".into() };
-        let bytes = encoded(Sent::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]));
+        let part =
+            |id: &str, shard| PartCall { id: id.into(), shard, timeout_ms: 240, payload: "c41e77d0".into() };
+        let bytes = encoded(OutgoingFrame::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]));
         assert_eq!(&bytes[..], b"\0\0\0\x33S9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240 8\nc41e77d0");
-        assert_eq!(&encoded(Sent::GiveUp("9b1f.3".into()))[..], b"\0\0\0\x07C9b1f.3");
+        assert_eq!(&encoded(OutgoingFrame::Cancel("9b1f.3".into()))[..], b"\0\0\0\x07C9b1f.3");
     }
 
     /// However the bytes are cut, the same answers come of them, and none before its last byte.
@@ -180,12 +182,20 @@
                 let next = (at + cut).min(all.len());
                 bytes.extend_from_slice(&all[at..next]);
                 at = next;
-                while let Some(answer) = Frames::default().decode(&mut bytes).expect("well formed") {
+                while let Some(answer) = FrameCodec::default().decode(&mut bytes).expect("well formed") {
                     got.push(answer);
                 }
             }
-            let want = [("a.0", End::Done, "v\n1"), ("a.1", End::Full, ""), ("a.2", End::Failed, "")];
-            got == want.map(|(id, end, value)| Got::Answer { id: id.into(), end, value: value.into() })
+            let want = [
+                ("a.0", CallStatus::Done, "v\n1"),
+                ("a.1", CallStatus::Full, ""),
+                ("a.2", CallStatus::Failed, ""),
+            ];
+            got == want.map(|(id, status, value)| IncomingFrame::Answer {
+                id: id.into(),
+                status,
+                value: value.into(),
+            })
         }
         QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).quickcheck(arrive as fn(Vec<u8>) -> bool);
     }
@@ -204,13 +214,17 @@
             b"\0\0\0\x16Ra.0 done 7 -\nvalue\0\0\0",
         ];
         for bytes in spoilt {
-            assert!(matches!(whole(&mut bytes.into()), Err(Fault::Malformed(_))), "{bytes:?}");
+            assert!(matches!(decode_frame(&mut bytes.into()), Err(FrameError::Malformed(_))), "{bytes:?}");
         }
-        let mut frames = Frames::default();
+        let mut frames = FrameCodec::default();
         let mut bytes = BytesMut::from(&b"\0\0\0\x13Ra.0 done 7 -\nval"[..]);
-        assert!(frames.decode(&mut bytes).is_ok_and(|got| got.is_none()) && frames.begun.get().is_some());
+        assert!(
+            frames.decode(&mut bytes).is_ok_and(|got| got.is_none()) && frames.partial_since.get().is_some()
+        );
         bytes.extend_from_slice(b"ue");
-        assert!(frames.decode(&mut bytes).is_ok_and(|got| got.is_some()) && frames.begun.get().is_none());
+        assert!(
+            frames.decode(&mut bytes).is_ok_and(|got| got.is_some()) && frames.partial_since.get().is_none()
+        );
     }
 
     /// Guards against a panic or an endless loop on bytes that no server should send.
@@ -221,7 +235,7 @@
             framed.extend_from_slice(&bytes);
             for mut bytes in [BytesMut::from(&bytes[..]), framed] {
                 let before = bytes.len();
-                while let Ok(Some(_)) = Frames::default().decode(&mut bytes) {}
+                while let Ok(Some(_)) = FrameCodec::default().decode(&mut bytes) {}
                 if bytes.len() > before {
                     return false;
                 }
--- a/crates/gatherer/src/routing/admit.rs
+++ b/crates/gatherer/src/routing/admit.rs
@@ -13,7 +13,7 @@
     ) {
         let id = self.next_id;
         self.next_id += 1 + query.parts.len() as u64;
-        let until = self.clock.at(arrived + query.wait);
+        let until = self.clock.at(arrived + query.timeout);
         let (vertical, tenant, key) = (query.vertical, query.tenant, query.key.as_deref());
         self.gatherer.query_came(id, id, vertical, tenant, key, until, query.parts.len());
         for (part, p) in (id + 1..).zip(&query.parts) {
--- a/crates/gatherer/src/routing/book.rs
+++ b/crates/gatherer/src/routing/book.rs
@@ -100,7 +100,7 @@
             return None;
         }
         let parts = query.parts.len();
-        let itself = QUERY_BYTES + parts * PART_BYTES + query.text.len() + 2 * query.id.len();
+        let itself = QUERY_BYTES + parts * PART_BYTES + query.payload.len() + 2 * query.id.len();
         let room = self.ledger.take(Purpose::Queries, query.tenant, itself as u64).ok()?;
         let needed = (parts as f64 * self.needs[query.vertical]).ceil() as u64;
         let values = needed * (self.usual[query.vertical].weight() + VALUE_BYTES as u64);
@@ -115,7 +115,7 @@
         let parts: Vec<Part> = parts.collect();
         self.count += 1 + parts.len();
         self.ids.insert(came.id.clone());
-        let (vertical, text, wakes) = (came.vertical, came.text, Vec::new());
+        let (vertical, text, wakes) = (came.vertical, came.payload, Vec::new());
         let held = Held { id: came.id, vertical, text, parts, reply, wakes, ticket, room };
         self.tickets.insert(ticket, query);
         self.held.insert(query, held);
@@ -176,7 +176,11 @@
                 let (query, mut room) = (held.room.query, held.room.values);
                 room.settle();
                 drop(query);
-                Reply::Answered { whole, values: held.parts.into_iter().filter_map(value).collect(), room }
+                Reply::Answered {
+                    complete: whole,
+                    values: held.parts.into_iter().filter_map(value).collect(),
+                    charge: room,
+                }
             }
             Final::Reject(back_after) => Reply::Rejected(back_after),
             Final::Abort => Reply::Aborted,
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -22,8 +22,8 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::protocol::event::{Event, Left};
-use crate::protocol::list::List;
+use crate::protocol::event::{EndedHandlers, Event};
+use crate::protocol::list::ServerList;
 use book::{Book, Final};
 use pool::Pool;
 use route::{Actions, Hand};
@@ -45,12 +45,12 @@
 }
 
 /// What the decisions are joined to.
-pub(crate) struct Ends {
+pub(crate) struct RoutingContext {
     /// The most connections to shard servers.
-    pub most_lanes: usize,
+    pub max_connections: usize,
     pub events: mpsc::Sender<Event>,
     /// Told when the list of servers is wanted.
-    pub asked: Rc<Notify>,
+    pub list_requested: Rc<Notify>,
     /// Told when a server is ready for the first time.
     pub ready: oneshot::Sender<()>,
     pub ledger: Ledger,
@@ -72,15 +72,15 @@
     servers: Charge,
     /// When the module asked to be woken, with its token.
     wakes: BTreeSet<(Instant, u64)>,
-    asked: Rc<Notify>,
+    list_requested: Rc<Notify>,
     ready: Option<oneshot::Sender<()>>,
 }
 
 impl Routing {
     pub(crate) fn new(
-        settings: &Settings, network: &Network, known: &List, ends: Ends,
+        settings: &Settings, network: &Network, known: &ServerList, ends: RoutingContext,
     ) -> Result<Self, NoRoom> {
-        let Ends { most_lanes, events, asked, ready, ledger } = ends;
+        let RoutingContext { max_connections, events, list_requested, ready, ledger } = ends;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = Instant::now();
         let actions = Actions::default();
@@ -94,11 +94,11 @@
             back_after: settings.back_after,
             next_id: 0,
             book: Book::new(network, settings, ledger.clone()),
-            pool: Pool::new(network, most_lanes, events, ledger.clone()),
+            pool: Pool::new(network, max_connections, events, ledger.clone()),
             servers: ledger.take(Purpose::Servers, None, 0)?,
             ledger,
             wakes: BTreeSet::new(),
-            asked,
+            list_requested,
             ready: Some(ready),
         };
         routing.carry_out();
@@ -109,7 +109,7 @@
         Ok(routing)
     }
 
-    pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, left: Arc<Left>) {
+    pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, left: Arc<EndedHandlers>) {
         loop {
             let mut first = None;
             let due = self.due();
@@ -119,7 +119,7 @@
                     Some(event) => first = Some(event),
                     None => return,
                 },
-                () = left.news() => {}
+                () = left.any_ended() => {}
                 () = sleep_until(due) => {}
             }
             // Turns are no closer than the settings say: what comes between them shares frames.
@@ -137,7 +137,7 @@
         due.unwrap_or_else(|| self.now + Duration::from_secs(1))
     }
 
-    fn turn(&mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, gone: &Left) {
+    fn turn(&mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, gone: &EndedHandlers) {
         self.now = Instant::now();
         self.gatherer.at(self.clock.at(self.now));
         self.pool.at(self.now);
@@ -149,7 +149,7 @@
             left -= 1;
             next = Some(left).filter(|left| *left > 0).and_then(|_| inbox.try_recv().ok());
         }
-        let gone = self.book.left(gone.take());
+        let gone = self.book.left(gone.take_tickets());
         self.abandon(gone);
         self.pool.overdue();
         self.relay_ended();
@@ -163,25 +163,25 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Came { query, arrived, room, ticket, reply } => {
+            Event::QueryReceived { query, arrived, charge, ticket, reply } => {
                 self.take_in(query, arrived, ticket, reply);
-                drop(room);
+                drop(charge);
             }
-            Event::Listed(list, taken) => {
+            Event::ServerList(list, taken) => {
                 let _ = taken.send(self.listed(&list));
             }
-            Event::ListFailed => {
+            Event::ServerListFailed => {
                 self.gatherer.list_failed();
                 self.carry_out();
             }
-            Event::Fleet(alive) => self.gatherer.fleet_is(alive),
-            Event::Up(lane) => self.pool.up(lane),
-            Event::Answered { lane, id, end, value, room } => {
-                self.answered(lane, &id, end, value);
-                drop(room);
+            Event::GathererCount(alive) => self.gatherer.fleet_is(alive),
+            Event::Connected(connection) => self.pool.up(connection),
+            Event::CallAnswered { connection, id, status, value, charge } => {
+                self.answered(connection, &id, status, value);
+                drop(charge);
             }
-            Event::Down(lane) => self.pool.down(lane),
-            Event::Ending => self.abandon(self.book.all()),
+            Event::Disconnected(connection) => self.pool.down(connection),
+            Event::ShuttingDown => self.abandon(self.book.all()),
         }
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// Takes a list over, whole or, where there is no room for it, not at all.
-    fn listed(&mut self, list: &List) -> bool {
+    fn listed(&mut self, list: &ServerList) -> bool {
         if self.servers.resize(self.pool.room_with(list, SERVER_BYTES)).is_err() {
             return false;
         }
-        self.gatherer.list_begins(list.all);
+        self.gatherer.list_begins(list.complete);
         for s in &list.servers {
-            self.gatherer.server_listed(&s.id, s.health, s.cell, s.zone, s.started);
+            self.gatherer.server_listed(&s.id, s.health, s.cell, s.zone, s.started_at);
         }
         self.carry_out();
         self.pool.listed(list);
--- a/crates/gatherer/src/routing/pool/servers.rs
+++ b/crates/gatherer/src/routing/pool/servers.rs
@@ -8,7 +8,7 @@
 
 use super::connections::retire;
 use super::{Key, Pool};
-use crate::protocol::list::List;
+use crate::protocol::list::ServerList;
 
 pub(super) struct Server {
     pub(super) address: SocketAddr,
@@ -22,15 +22,15 @@
 impl Pool {
     /// What the servers will take with this list, those that are gone and still have connections among them;
     /// `each` is what one takes beside its id.
-    pub(in crate::routing) fn room_with(&self, list: &List, each: u64) -> u64 {
+    pub(in crate::routing) fn room_with(&self, list: &ServerList, each: u64) -> u64 {
         let new = list.servers.iter().filter(|s| !self.servers.contains_key(s.id.as_str()));
         let ids = self.servers.keys().map(|id| id.len()).chain(new.map(|s| s.id.len()));
         ids.map(|length| each + 5 * length as u64).sum()
     }
 
     /// The servers as discovery has them. What waits for one that drains is not sent there.
-    pub(in crate::routing) fn listed(&mut self, list: &List) {
-        if list.all {
+    pub(in crate::routing) fn listed(&mut self, list: &ServerList) {
+        if list.complete {
             self.servers.values_mut().for_each(|s| s.health = Health::Gone);
         }
         for listed in &list.servers {
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -4,16 +4,16 @@
 
 use super::Routing;
 use super::pool::Ended;
-use crate::protocol::frame::End;
+use crate::protocol::frame::CallStatus;
 
 impl Routing {
-    pub(super) fn answered(&mut self, lane: u64, id: &str, end: End, value: String) {
-        let outcome = match end {
-            End::Done => Outcome::Completed,
-            End::Failed => Outcome::Errored,
-            End::Full => Outcome::TurnedAway,
+    pub(super) fn answered(&mut self, connection: u64, id: &str, status: CallStatus, value: String) {
+        let outcome = match status {
+            CallStatus::Done => Outcome::Completed,
+            CallStatus::Failed => Outcome::Errored,
+            CallStatus::Full => Outcome::TurnedAway,
         };
-        let Some(ended) = self.pool.answered(lane, id, outcome) else { return };
+        let Some(ended) = self.pool.answered(connection, id, outcome) else { return };
         let done = outcome == Outcome::Completed;
         let kept = if done { self.book.value(ended.key.0, value) } else { Ok(()) };
         if let Err(query) = kept {
--- a/crates/gatherer/src/routing/route.rs
+++ b/crates/gatherer/src/routing/route.rs
@@ -75,7 +75,7 @@
                     self.wakes.insert((at, token));
                     self.book.waked(token, at);
                 }
-                Action::WatchList => self.asked.notify_one(),
+                Action::WatchList => self.list_requested.notify_one(),
             }
         }
     }
--- a/crates/gatherer/src/routing/take_in.rs
+++ b/crates/gatherer/src/routing/take_in.rs
@@ -12,7 +12,7 @@
         &mut self, query: Query, arrived: Instant, ticket: u64, reply: oneshot::Sender<Reply>,
     ) {
         if self.book.holds(&query.id) {
-            let _ = reply.send(Reply::Unheld(StatusCode::CONFLICT, "a query of this id is held"));
+            let _ = reply.send(Reply::Error(StatusCode::CONFLICT, "a query of this id is held"));
             return;
         }
         match self.book.room(&query) {
--- a/crates/gatherer/src/routing/tests.rs
+++ b/crates/gatherer/src/routing/tests.rs
@@ -10,8 +10,8 @@
 use tokio::time::advance;
 
 use super::*;
-use crate::protocol::frame::End;
-use crate::protocol::list::Listed;
+use crate::protocol::frame::CallStatus;
+use crate::protocol::list::ServerEntry;
 use crate::protocol::query::{Part, Query, Reply};
 
 const fn ms(ms: u64) -> Duration {
@@ -31,22 +31,26 @@
     routing: Routing,
     events: mpsc::Sender<Event>,
     inbox: mpsc::Receiver<Event>,
-    left: Arc<Left>,
+    left: Arc<EndedHandlers>,
     ledger: Ledger,
     _apart: mpsc::Receiver<Event>,
 }
 
-fn list(generation: u32, servers: u32) -> List {
-    let listed = |i| Listed {
+fn list(generation: u32, servers: u32) -> ServerList {
+    let listed = |i| ServerEntry {
         id: format!("s-{generation}-{i}"),
         // Nobody listens at this port.
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: Some(0),
         cell: i % 10,
         health: Health::Ready,
-        started: None,
+        started_at: None,
     };
-    List { revision: u64::from(generation), all: true, servers: (0..servers).map(listed).collect() }
+    ServerList {
+        revision: u64::from(generation),
+        complete: true,
+        servers: (0..servers).map(listed).collect(),
+    }
 }
 
 impl Bed {
@@ -70,8 +74,13 @@
         let (apart, kept) = mpsc::channel(4096);
         let (events, inbox) = mpsc::channel(4096);
         let ready = oneshot::channel().0;
-        let ends =
-            Ends { most_lanes: 480, events: apart, asked: Rc::default(), ready, ledger: ledger.clone() };
+        let ends = RoutingContext {
+            max_connections: 480,
+            events: apart,
+            list_requested: Rc::default(),
+            ready,
+            ledger: ledger.clone(),
+        };
         let routing = Routing::new(&settings, &network, &list(1, servers), ends).expect("room");
         Bed { routing, events, inbox, left: Arc::default(), ledger, _apart: kept }
     }
@@ -87,12 +96,12 @@
             vertical: 0,
             tenant: Some(0),
             key: None,
-            wait: ms(1500),
+            timeout: ms(1500),
             parts: (0..parts).map(|shard| Part { shard, weight: 1.0 / f64::from(parts) }).collect(),
-            text: "c41e77d0".into(),
+            payload: "c41e77d0".into(),
         };
-        let room = self.ledger.take(Purpose::Bodies, None, 100).expect("room");
-        self.tell(Event::Came { query, arrived: Instant::now(), room, ticket: u64::MAX, reply });
+        let charge = self.ledger.take(Purpose::Bodies, None, 100).expect("room");
+        self.tell(Event::QueryReceived { query, arrived: Instant::now(), charge, ticket: u64::MAX, reply });
         answer
     }
 
@@ -110,20 +119,26 @@
     /// All that is out.
     fn out(&self) -> BTreeSet<(u64, Arc<str>)> {
         let seen = self.routing.pool.seen().into_iter();
-        seen.flat_map(|(lane, _, ids)| ids.into_iter().map(move |id| (lane, id))).collect()
+        seen.flat_map(|(connection, _, ids)| ids.into_iter().map(move |id| (connection, id))).collect()
     }
 
     /// All connections that are dialled come up.
     fn come_up(&self) {
         let seen = self.routing.pool.seen().into_iter();
-        seen.filter(|(_, up, _)| !up).for_each(|(lane, _, _)| self.tell(Event::Up(lane)));
+        seen.filter(|(_, up, _)| !up).for_each(|(connection, _, _)| self.tell(Event::Connected(connection)));
     }
 
     /// Everything that is out is answered.
     fn answer_all(&self) {
-        for (lane, id) in self.out() {
-            let room = self.ledger.take(Purpose::Frames, None, 100).expect("room");
-            self.tell(Event::Answered { lane, id: id.to_string(), end: End::Done, value: "v".into(), room });
+        for (connection, id) in self.out() {
+            let charge = self.ledger.take(Purpose::Frames, None, 100).expect("room");
+            self.tell(Event::CallAnswered {
+                connection,
+                id: id.to_string(),
+                status: CallStatus::Done,
+                value: "v".into(),
+                charge,
+            });
         }
     }
 
@@ -145,7 +160,7 @@
 }
 
 fn served(answer: &mut Receiver<Reply>) -> bool {
-    matches!(answer.try_recv(), Ok(Reply::Answered { whole: true, .. }))
+    matches!(answer.try_recv(), Ok(Reply::Answered { complete: true, .. }))
 }
 
 /// Guards against work in one turn that grows with all that is known: nothing else gets on meanwhile.
@@ -167,13 +182,13 @@
         assert!(out >= 600, "{out} parts are out");
         // Every server is replaced while all of that is out, and as much again comes in the same turn.
         let (taken, mut is_taken) = oneshot::channel();
-        bed.tell(Event::Listed(list(2, 200), taken));
+        bed.tell(Event::ServerList(list(2, 200), taken));
         answers.extend((10..20).map(|i| bed.ask(&format!("q{i}"), 80)));
         longest = longest.max(bed.turn());
         assert_eq!(is_taken.try_recv(), Ok(true));
         // All old connections break in one turn.
-        for (lane, _, _) in bed.routing.pool.seen().into_iter().filter(|(_, up, _)| *up) {
-            bed.tell(Event::Down(lane));
+        for (connection, _, _) in bed.routing.pool.seen().into_iter().filter(|(_, up, _)| *up) {
+            bed.tell(Event::Disconnected(connection));
         }
         longest = longest.max(bed.turn());
         for _ in 0..20 {
--- a/crates/gatherer/src/transport/admin.rs
+++ b/crates/gatherer/src/transport/admin.rs
@@ -93,7 +93,7 @@
 impl Admin {
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.method() != Method::GET {
-            return query::say(StatusCode::METHOD_NOT_ALLOWED, "only GET");
+            return query::text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET");
         }
         let table = || self.ledger.table((self.live)());
         let (kind, text) = match request.uri().path() {
@@ -101,9 +101,11 @@
             "/metrics" => {
                 ("application/openmetrics-text; version=1.0.0; charset=utf-8", metrics(&table()).ok())
             }
-            _ => return query::say(StatusCode::NOT_FOUND, "there are /memory and /metrics"),
+            _ => return query::text_response(StatusCode::NOT_FOUND, "there are /memory and /metrics"),
+        };
+        let Some(text) = text else {
+            return query::text_response(StatusCode::INTERNAL_SERVER_ERROR, "not told");
         };
-        let Some(text) = text else { return query::say(StatusCode::INTERNAL_SERVER_ERROR, "not told") };
         let mut answer = Response::new(Body::from(text));
         answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
         answer
--- a/crates/gatherer/src/transport/answers.rs
+++ b/crates/gatherer/src/transport/answers.rs
@@ -140,12 +140,14 @@
     pub(crate) async fn encode(
         self: &Arc<Self>, reply: Reply, wire: Option<Wire>, tenant: Option<usize>, until: Instant,
     ) -> Response<Body> {
-        let Reply::Answered { whole, values, room: held } = reply else { return query::encode(reply) };
+        let Reply::Answered { complete: whole, values, charge: held } = reply else {
+            return query::encode(reply);
+        };
         self.keep_free(tenant);
-        let room = self.room(tenant, query::length(&values) as u64, until).await;
+        let room = self.room(tenant, query::estimate_body_bytes(&values) as u64, until).await;
         let (Ok(mut room), Some(wire)) = (room, wire) else { return query::encode(Reply::Aborted) };
-        let Some(bytes) = query::body(whole, &values) else {
-            return query::say(StatusCode::INTERNAL_SERVER_ERROR, "no answer");
+        let Some(bytes) = query::encode_body(whole, &values) else {
+            return query::text_response(StatusCode::INTERNAL_SERVER_ERROR, "no answer");
         };
         drop((values, held));
         room.correct(bytes.capacity() as u64);
@@ -155,6 +157,6 @@
         open.wires.entry(number).or_insert((wire, 0)).1 += 1;
         drop(open);
         let written = Written { bytes, _room: room, answers: self.clone(), number };
-        query::answered(Body::from(Bytes::from_owner(written)))
+        query::json_response(Body::from(Bytes::from_owner(written)))
     }
 }
--- a/crates/gatherer/src/transport/discovery.rs
+++ b/crates/gatherer/src/transport/discovery.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use crate::protocol::event::Event;
-use crate::protocol::list::{self, List};
+use crate::protocol::list::{self, ServerList};
 
 /// How long a call may wait for news: short, so that a silent discovery is soon asked anew.
 const WAIT: Duration = Duration::from_secs(5);
@@ -54,7 +54,7 @@
     /// Asks for what is newer than a revision, or at once for the whole list.
     async fn ask(
         &self, client: &Client<HttpConnector, Full<Bytes>>, after: Option<u64>,
-    ) -> Result<(List, Charge), Words> {
+    ) -> Result<(ServerList, Charge), Words> {
         let wait = after.map_or(Duration::ZERO, |_| WAIT);
         let watch =
             after.map_or(String::new(), |after| format!("?after={after}&wait_ms={}", wait.as_millis()));
@@ -69,7 +69,7 @@
             let room = self.ledger.take(Purpose::Servers, None, length.saturating_mul(LIST_TIMES))?;
             let body = Limited::new(answer.into_body(), length as usize).collect().await?.to_bytes();
             let list = list::decode(&body, &self.network)?;
-            if after.is_none() && !list.all {
+            if after.is_none() && !list.complete {
                 return Err("not the whole list".into());
             }
             Ok((list, room))
@@ -79,10 +79,10 @@
 
     /// Tells the decisions a list: its revision, once they have taken it over. One that finds no room is kept
     /// out whole, and asked for again as if it had not come.
-    async fn tell(&self, list: List) -> Result<u64, Words> {
+    async fn tell(&self, list: ServerList) -> Result<u64, Words> {
         let (taken, is_taken) = oneshot::channel();
         let (revision, servers) = (list.revision, list.servers.len());
-        let _ = self.events.send(Event::Listed(list, taken)).await;
+        let _ = self.events.send(Event::ServerList(list, taken)).await;
         match is_taken.await {
             Ok(false) => Err(format!("no room for a list of {servers} servers").into()),
             _ => Ok(revision),
@@ -113,7 +113,7 @@
             }
             if failed.is_some() {
                 // The decisions are gone only when the program ends.
-                let _ = self.events.send(Event::ListFailed).await;
+                let _ = self.events.send(Event::ServerListFailed).await;
                 let _ = timeout(PAUSE, self.asked.notified()).await;
             }
             trouble = failed;
--- a/crates/gatherer/src/transport/front.rs
+++ b/crates/gatherer/src/transport/front.rs
@@ -25,8 +25,8 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::protocol::event::{Event, Left, Phase};
-use crate::protocol::query::{self, Query, Refusal, Reply};
+use crate::protocol::event::{EndedHandlers, Event, Phase};
+use crate::protocol::query::{self, Query, Reply, RequestError};
 use crate::transport::answers::{Answers, Wire};
 use crate::transport::head::{Framing, LINGER, Watched};
 
@@ -69,7 +69,7 @@
     pub network: Arc<Network>,
     pub events: mpsc::Sender<Event>,
     /// The handlers that ended: their clients may have left.
-    pub left: Arc<Left>,
+    pub left: Arc<EndedHandlers>,
     pub phase: watch::Receiver<Phase>,
     pub ledger: Ledger,
     pub answers: Arc<Answers>,
@@ -79,24 +79,24 @@
 
 /// Why a request never became a query.
 enum Unread {
-    Refused(Refusal),
+    Refused(RequestError),
     NoRoom,
 }
 
-impl From<Refusal> for Unread {
-    fn from(refusal: Refusal) -> Self {
+impl From<RequestError> for Unread {
+    fn from(refusal: RequestError) -> Self {
         Unread::Refused(refusal)
     }
 }
 
 async fn health(State(front): State<Arc<Front>>) -> Response<Body> {
     match *front.phase.borrow() {
-        Phase::Ready | Phase::Reloading => query::say(StatusCode::OK, "ready"),
-        _ => query::say(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        Phase::Ready | Phase::Reloading => query::text_response(StatusCode::OK, "ready"),
+        _ => query::text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
     }
 }
 
-async fn read_body(body: Body) -> Result<Bytes, Refusal> {
+async fn read_body(body: Body) -> Result<Bytes, RequestError> {
     let too_long = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
     if body.size_hint().lower() > BODY_MOST as u64 {
         return Err(too_long);
@@ -114,8 +114,8 @@
     let network = &front.network;
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let vertical = query::vertical(path, network)?;
-    let tenant = query::tenant(&head.headers, network)?;
+    let vertical = query::find_vertical(path, network)?;
+    let tenant = query::find_tenant(&head.headers, network)?;
     let length = body.size_hint().exact().unwrap_or(BODY_MOST as u64).min(BODY_MOST as u64);
     let room = front.ledger.take(Purpose::Bodies, tenant, length).map_err(|_| Unread::NoRoom)?;
     let body = read_body(body).await?;
@@ -127,7 +127,7 @@
     let wire = request.extensions().get::<Wire>().cloned();
     let (query, room) = match read(request, &front).await {
         Ok(read) => read,
-        Err(Unread::Refused((status, words))) => return query::say(status, words),
+        Err(Unread::Refused((status, words))) => return query::text_response(status, words),
         Err(Unread::NoRoom) => {
             // Its body is not read: nothing else can come on this connection.
             let mut answer = query::encode(Reply::Rejected(front.back_after));
@@ -135,12 +135,12 @@
             return answer;
         }
     };
-    let (tenant, until) = (query.tenant, arrived + query.wait);
-    let leaving = front.left.ticket();
+    let (tenant, until) = (query.tenant, arrived + query.timeout);
+    let leaving = front.left.register();
     let (reply, answer) = oneshot::channel();
-    let came = Event::Came { query, arrived, room, ticket: leaving.ticket, reply };
+    let came = Event::QueryReceived { query, arrived, charge: room, ticket: leaving.ticket, reply };
     if front.events.send(came).await.is_err() {
-        return query::say(StatusCode::SERVICE_UNAVAILABLE, "closing");
+        return query::text_response(StatusCode::SERVICE_UNAVAILABLE, "closing");
     }
     let reply = answer.await.unwrap_or(Reply::Aborted);
     front.answers.encode(reply, wire, tenant, until).await
@@ -184,7 +184,7 @@
         async move {
             let mut answer = match answering {
                 Some(answering) => answering.await?,
-                None => query::say(StatusCode::BAD_REQUEST, "the body's length is stated twice"),
+                None => query::text_response(StatusCode::BAD_REQUEST, "the body's length is stated twice"),
             };
             if length.is_none() || answer.status() == StatusCode::BAD_REQUEST {
                 ask_to_leave(&mut answer);
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -338,7 +338,7 @@
         if alive != self.alive {
             self.alive = alive;
             log::info!(alive = alive.unwrap_or_default(); "roster");
-            let _ = self.events.send(Event::Fleet(alive)).await;
+            let _ = self.events.send(Event::GathererCount(alive)).await;
         }
     }
 
--- a/crates/gatherer/src/transport/lane.rs
+++ b/crates/gatherer/src/transport/lane.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
 use crate::protocol::event::Event;
-use crate::protocol::frame::{self, Fault, Frames, Got, PartCall, Sent};
+use crate::protocol::frame::{self, FrameCodec, FrameError, IncomingFrame, OutgoingFrame, PartCall};
 
 /// Bytes that a buffer keeps between frames; what a longer frame needed is given back.
 const BUFFER_KEPT: usize = 4 * 1024;
@@ -53,7 +53,7 @@
     writing: RefCell<Vec<Arc<str>>>,
     news: Notify,
     closing: Notify,
-    frames: Frames,
+    frames: FrameCodec,
 }
 
 impl Lane {
@@ -95,33 +95,33 @@
 
     /// Since when a frame has begun to come that is not whole yet.
     pub(crate) fn reads_since(&self) -> Option<Instant> {
-        self.frames.begun.get()
+        self.frames.partial_since.get()
     }
 
     /// The next frame to write, and the room that it takes until it is written.
-    fn next(&self) -> Option<(Sent, Option<Charge>)> {
+    fn next(&self) -> Option<(OutgoingFrame, Option<Charge>)> {
         let (parts, room) = match self.outbox.borrow_mut().pop_front()? {
-            Out::GiveUp(id) => return Some((Sent::GiveUp(id), None)),
+            Out::GiveUp(id) => return Some((OutgoingFrame::Cancel(id), None)),
             Out::Call(parts, room) => (parts, room),
         };
         *self.writing.borrow_mut() = parts.iter().map(|p| p.id.clone()).collect();
         let now = Instant::now();
         let wait = |p: &Queued| (p.until.saturating_duration_since(now).as_millis() as u64).max(1);
-        let part = |p: Queued| PartCall { wait_ms: wait(&p), id: p.id, shard: p.shard, text: p.text };
-        Some((Sent::Call(parts.into_iter().map(part).collect()), Some(room)))
+        let part = |p: Queued| PartCall { timeout_ms: wait(&p), id: p.id, shard: p.shard, payload: p.text };
+        Some((OutgoingFrame::Call(parts.into_iter().map(part).collect()), Some(room)))
     }
 
     /// Takes room for a frame that comes, and waits for it where there will be some. Meanwhile nothing is read,
     /// which is no fault of the server's.
-    async fn room(&self, length: u64, ledger: &Ledger) -> Result<Charge, Fault> {
+    async fn room(&self, length: u64, ledger: &Ledger) -> Result<Charge, FrameError> {
         loop {
             if let Ok(room) = ledger.take(Purpose::Frames, None, length) {
                 return Ok(room);
             }
             if length > ledger.limits().of(Purpose::Frames).cap {
-                return Err(Fault::NoRoom);
+                return Err(FrameError::MemoryLimit);
             }
-            self.frames.begun.set(None);
+            self.frames.partial_since.set(None);
             sleep(LOOK).await;
         }
     }
@@ -129,27 +129,27 @@
     async fn work(
         &self, number: u64, address: SocketAddr, dial_limit: Duration, events: &mpsc::Sender<Event>,
         ledger: &Ledger,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         socket.set_recv_buffer_size(RECEIVE_BYTES)?;
         let dialled = timeout(dial_limit, socket.connect(address)).await;
         let stream = dialled.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        let _ = events.send(Event::Up(number)).await;
+        let _ = events.send(Event::Connected(number)).await;
         self.talk(stream, number, address, events, ledger).await
     }
 
     async fn talk(
         &self, stream: impl AsyncRead + AsyncWrite, number: u64, address: SocketAddr,
         events: &mpsc::Sender<Event>, ledger: &Ledger,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         let (mut read, mut write) = tokio::io::split(stream);
         let reading = async {
             let (mut frames, mut bytes) = (self.frames.clone(), BytesMut::new());
             let mut room = None;
             loop {
                 // What comes is held by others from here on, so room is taken before it is whole.
-                if let (Some(length), None) = (frame::length(&bytes), &room) {
+                if let (Some(length), None) = (frame::expected_frame_bytes(&bytes), &room) {
                     room = Some(self.room(length as u64, ledger).await?);
                 }
                 let Some(got) = frames.decode(&mut bytes)? else {
@@ -165,14 +165,18 @@
                     bytes = BytesMut::new();
                 }
                 match (got, room.take()) {
-                    (Got::Answer { id, end, value }, Some(room)) => {
-                        let _ = events.send(Event::Answered { lane: number, id, end, value, room }).await;
+                    (IncomingFrame::Answer { id, status, value }, Some(room)) => {
+                        let _ = events
+                            .send(Event::CallAnswered { connection: number, id, status, value, charge: room })
+                            .await;
                     }
-                    (Got::Unusable(words), _) => {
+                    (IncomingFrame::ProtocolError(words), _) => {
                         log::warn!("{address} could not use a frame: {words:?}");
-                        return Err(Fault::Malformed("frame not usable"));
+                        return Err(FrameError::Malformed("frame not usable"));
+                    }
+                    (IncomingFrame::Answer { .. }, None) => {
+                        return Err(FrameError::Malformed("an answer of no length"));
                     }
-                    (Got::Answer { .. }, None) => return Err(Fault::Malformed("an answer of no length")),
                 }
             }
         };
@@ -203,13 +207,13 @@
     ) {
         match self.work(number, address, dial_limit, &events, &ledger).await {
             Ok(()) => {}
-            Err(Fault::Broken(e)) => log::debug!("connection to {address}: {e}"),
-            Err(Fault::NoRoom) => {
+            Err(FrameError::Io(e)) => log::debug!("connection to {address}: {e}"),
+            Err(FrameError::MemoryLimit) => {
                 log::warn!("connection to {address} dropped: no room for a frame this long")
             }
-            Err(Fault::Malformed(what)) => log::warn!("connection to {address} dropped: {what}"),
+            Err(FrameError::Malformed(what)) => log::warn!("connection to {address} dropped: {what}"),
         }
-        let _ = events.send(Event::Down(number)).await;
+        let _ = events.send(Event::Disconnected(number)).await;
     }
 }
 
@@ -264,9 +268,10 @@
         let part = |id: &str| Queued { id: id.into(), shard: 1, text: "c".into(), until: Instant::now() };
         lane.call(vec![part("a.1"), part("a.2")], room());
         assert!(lane.withdraw("a.1") && !lane.withdraw("a.1"));
-        assert!(
-            matches!(lane.next(), Some((Sent::Call(parts), _)) if parts.len() == 1 && &*parts[0].id == "a.2")
-        );
+        assert!(matches!(
+            lane.next(),
+            Some((OutgoingFrame::Call(parts), _)) if parts.len() == 1 && &*parts[0].id == "a.2"
+        ));
         assert!(!lane.withdraw("a.2") && lane.unwritten("a.2"));
         lane.call(vec![part("a.3")], room());
         assert!(lane.withdraw("a.3") && lane.next().is_none(), "no empty frame is left");
