--- a/crates/gatherer/src/routing/admit.rs
+++ b/crates/gatherer/src/routing/admit.rs
@@ -4,22 +4,23 @@
 use tokio::time::Instant;
 
 use super::Routing;
-use super::book::Room;
+use super::book::QueryCharges;
 use crate::protocol::query::{Query, Reply};
 
 impl Routing {
     pub(super) fn admit(
-        &mut self, query: Query, room: Room, arrived: Instant, ticket: u64, reply: oneshot::Sender<Reply>,
+        &mut self, query: Query, charges: QueryCharges, arrived: Instant, ticket: u64,
+        reply: oneshot::Sender<Reply>,
     ) {
         let id = self.next_id;
         self.next_id += 1 + query.parts.len() as u64;
-        let until = self.clock.at(arrived + query.timeout);
+        let deadline = self.clock.unix_time(arrived + query.timeout);
         let (vertical, tenant, key) = (query.vertical, query.tenant, query.key.as_deref());
-        self.gatherer.query_came(id, id, vertical, tenant, key, until, query.parts.len());
+        self.gatherer.query_came(id, id, vertical, tenant, key, deadline, query.parts.len());
         for (part, p) in (id + 1..).zip(&query.parts) {
             self.gatherer.part_came(part, id, p.shard, p.weight);
         }
-        self.book.take(id, query, room, ticket, reply);
-        self.carry_out();
+        self.queries.insert(id, query, charges, ticket, reply);
+        self.run_actions();
     }
 }
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -24,23 +24,23 @@
 
 use crate::protocol::event::{EndedHandlers, Event};
 use crate::protocol::list::ServerList;
-use book::{Book, Final};
+use book::{FinalReply, QueryTable};
 use pool::Pool;
-use route::{Actions, Hand};
+use route::{ActionQueue, QueueingHost};
 
 /// What a shard server takes, here and in the module, in bytes, beside its id in five places.
-const SERVER_BYTES: u64 = 640;
+const SERVER_OVERHEAD_BYTES: u64 = 640;
 
 /// Unix time, told once at start and then by the monotonic clock: a server's start can be compared
 /// with it, and it never goes back.
 struct Clock {
-    unix: Duration,
-    start: Instant,
+    unix_start: Duration,
+    started_at: Instant,
 }
 
 impl Clock {
-    fn at(&self, instant: Instant) -> Duration {
-        self.unix + instant.saturating_duration_since(self.start)
+    fn unix_time(&self, instant: Instant) -> Duration {
+        self.unix_start + instant.saturating_duration_since(self.started_at)
     }
 }
 
@@ -57,154 +57,162 @@
 }
 
 pub(crate) struct Routing {
-    gatherer: Gatherer<Hand>,
-    actions: Actions,
+    gatherer: Gatherer<QueueingHost>,
+    actions: ActionQueue,
     clock: Clock,
-    tick: Duration,
+    min_turn_interval: Duration,
     now: Instant,
     /// When those who find no room may come back.
-    back_after: Option<Duration>,
+    retry_after: Option<Duration>,
     next_id: u64,
-    book: Book,
+    queries: QueryTable,
     pool: Pool,
     ledger: Ledger,
     /// What the shard servers take.
-    servers: Charge,
+    servers_charge: Charge,
     /// When the module asked to be woken, with its token.
-    wakes: BTreeSet<(Instant, u64)>,
+    timers: BTreeSet<(Instant, u64)>,
     list_requested: Rc<Notify>,
     ready: Option<oneshot::Sender<()>>,
 }
 
 impl Routing {
     pub(crate) fn new(
-        settings: &Settings, network: &Network, known: &ServerList, ends: RoutingContext,
+        settings: &Settings, network: &Network, initial_servers: &ServerList, context: RoutingContext,
     ) -> Result<Self, NoRoom> {
-        let RoutingContext { max_connections, events, list_requested, ready, ledger } = ends;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let RoutingContext { max_connections, events, list_requested, ready, ledger } = context;
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = Instant::now();
-        let actions = Actions::default();
-        let gatherer = Gatherer::new(Hand(actions.clone()), settings, unix);
+        let actions = ActionQueue::default();
+        let gatherer = Gatherer::new(QueueingHost(actions.clone()), settings, unix_start);
         let mut routing = Routing {
             gatherer,
             actions,
-            clock: Clock { unix, start: now },
-            tick: settings.tick,
+            clock: Clock { unix_start, started_at: now },
+            min_turn_interval: settings.tick,
             now,
-            back_after: settings.back_after,
+            retry_after: settings.back_after,
             next_id: 0,
-            book: Book::new(network, settings, ledger.clone()),
+            queries: QueryTable::new(network, settings, ledger.clone()),
             pool: Pool::new(network, max_connections, events, ledger.clone()),
-            servers: ledger.take(Purpose::Servers, None, 0)?,
+            servers_charge: ledger.take(Purpose::Servers, None, 0)?,
             ledger,
-            wakes: BTreeSet::new(),
+            timers: BTreeSet::new(),
             list_requested,
             ready: Some(ready),
         };
-        routing.carry_out();
-        if !routing.listed(known) {
-            let count = known.servers.len();
+        routing.run_actions();
+        if !routing.apply_list(initial_servers) {
+            let count = initial_servers.servers.len();
             log::error!(servers = count; "no room for the known list: it is left out");
         }
         Ok(routing)
     }
 
-    pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, left: Arc<EndedHandlers>) {
+    pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, ended_handlers: Arc<EndedHandlers>) {
         loop {
             let mut first = None;
-            let due = self.due();
+            let deadline = self.next_deadline();
             tokio::select! {
                 biased;
                 event = inbox.recv() => match event {
                     Some(event) => first = Some(event),
                     None => return,
                 },
-                () = left.any_ended() => {}
-                () = sleep_until(due) => {}
+                () = ended_handlers.any_ended() => {}
+                () = sleep_until(deadline) => {}
             }
             // Turns are no closer than the settings say: what comes between them shares frames.
-            sleep_until(self.now + self.tick).await;
+            sleep_until(self.now + self.min_turn_interval).await;
             // After a halt the sockets are read before any wait is counted as over.
             tokio::task::yield_now().await;
-            self.turn(first, &mut inbox, &left);
+            self.turn(first, &mut inbox, &ended_handlers);
         }
     }
 
     /// When the next turn is due if nothing happens.
-    fn due(&self) -> Instant {
-        let wake = self.wakes.first().map(|(at, _)| *at);
-        let due = wake.into_iter().chain(self.pool.due()).min();
-        due.unwrap_or_else(|| self.now + Duration::from_secs(1))
+    fn next_deadline(&self) -> Instant {
+        let timer = self.timers.first().map(|(at, _)| *at);
+        let deadline = timer.into_iter().chain(self.pool.next_deadline()).min();
+        deadline.unwrap_or_else(|| self.now + Duration::from_secs(1))
     }
 
-    fn turn(&mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, gone: &EndedHandlers) {
+    fn turn(
+        &mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, ended_handlers: &EndedHandlers,
+    ) {
         self.now = Instant::now();
-        self.gatherer.at(self.clock.at(self.now));
-        self.pool.at(self.now);
-        self.ledger.at(self.now - self.clock.start);
-        let mut left = inbox.max_capacity();
+        self.gatherer.at(self.clock.unix_time(self.now));
+        self.pool.set_now(self.now);
+        self.ledger.at(self.now - self.clock.started_at);
+        let mut remaining = inbox.max_capacity();
         let mut next = first.or_else(|| inbox.try_recv().ok());
         while let Some(event) = next {
-            self.event(event);
-            left -= 1;
-            next = Some(left).filter(|left| *left > 0).and_then(|_| inbox.try_recv().ok());
+            self.handle_event(event);
+            remaining -= 1;
+            next = Some(remaining).filter(|remaining| *remaining > 0).and_then(|_| inbox.try_recv().ok());
         }
-        let gone = self.book.left(gone.take_tickets());
-        self.abandon(gone);
-        self.pool.overdue();
-        self.relay_ended();
-        while let Some((_, token)) = self.wakes.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.wakes.pop_first();
+        let abandoned = self.queries.queries_of(ended_handlers.take_tickets());
+        self.abandon_queries(abandoned);
+        self.pool.expire();
+        self.report_ended_calls();
+        while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.timers.pop_first();
             self.gatherer.woke(token);
-            self.carry_out();
+            self.run_actions();
         }
         self.pool.flush();
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::QueryReceived { query, arrived, charge, ticket, reply } => {
-                self.take_in(query, arrived, ticket, reply);
+                self.accept(query, arrived, ticket, reply);
                 drop(charge);
             }
-            Event::ServerList(list, taken) => {
-                let _ = taken.send(self.listed(&list));
+            Event::ServerList(list, applied) => {
+                let _ = applied.send(self.apply_list(&list));
             }
             Event::ServerListFailed => {
                 self.gatherer.list_failed();
-                self.carry_out();
+                self.run_actions();
             }
             Event::GathererCount(alive) => self.gatherer.fleet_is(alive),
-            Event::Connected(connection) => self.pool.up(connection),
+            Event::Connected(connection) => self.pool.connection_up(connection),
             Event::CallAnswered { connection, id, status, value, charge } => {
-                self.answered(connection, &id, status, value);
+                self.handle_answer(connection, &id, status, value);
                 drop(charge);
             }
-            Event::Disconnected(connection) => self.pool.down(connection),
-            Event::ShuttingDown => self.abandon(self.book.all()),
+            Event::Disconnected(connection) => self.pool.connection_down(connection),
+            Event::ShuttingDown => self.abandon_queries(self.queries.query_ids()),
         }
     }
 
-    fn abandon(&mut self, queries: Vec<u64>) {
+    fn abandon_queries(&mut self, queries: Vec<u64>) {
         for id in queries {
             self.gatherer.abandoned(id);
-            self.carry_out();
-            self.over(id, Final::Abort);
+            self.run_actions();
+            self.finish_query(id, FinalReply::Abort);
         }
     }
 
     /// Takes a list over, whole or, where there is no room for it, not at all.
-    fn listed(&mut self, list: &ServerList) -> bool {
-        if self.servers.resize(self.pool.room_with(list, SERVER_BYTES)).is_err() {
+    fn apply_list(&mut self, list: &ServerList) -> bool {
+        if self.servers_charge.resize(self.pool.required_bytes(list, SERVER_OVERHEAD_BYTES)).is_err() {
             return false;
         }
         self.gatherer.list_begins(list.complete);
-        for s in &list.servers {
-            self.gatherer.server_listed(&s.id, s.health, s.cell, s.zone, s.started_at);
+        for server in &list.servers {
+            self.gatherer.server_listed(
+                &server.id,
+                server.health,
+                server.cell,
+                server.zone,
+                server.started_at,
+            );
         }
-        self.carry_out();
-        self.pool.listed(list);
-        if list.servers.iter().any(|s| s.health == Health::Ready) {
+        self.run_actions();
+        self.pool.apply_list(list);
+        if list.servers.iter().any(|server| server.health == Health::Ready) {
             self.ready.take().map(|ready| ready.send(()));
         }
         true
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -7,153 +7,161 @@
 
 use tokio::time::Instant;
 
-use super::{Ended, IDLE_LOOK_SHARE, IDLE_SHARE, Key, LATE_TIMES, Pool};
-use crate::routing::book::Carried;
+use super::{CANCELLED_HISTORY_RATIO, CallKey, EndedCall, IDLE_CHECK_RATIO, IDLE_CLOSE_RATIO, Pool};
+use crate::routing::book::CallRequest;
 
 pub(super) struct Call {
     pub(super) server: Rc<str>,
-    pub(super) carried: Carried,
+    pub(super) request: CallRequest,
     /// Since when it waits: for a connection, then for its answer.
-    pub(super) since: Instant,
-    pub(super) until: Instant,
+    pub(super) waiting_since: Instant,
+    pub(super) deadline: Instant,
     /// The connection it went out on; none while it waits for one.
-    pub(super) lane: Option<u64>,
+    pub(super) connection: Option<u64>,
     /// Its frame found no room here: its server is not to blame.
-    pub(super) roomless: bool,
+    pub(super) no_memory: bool,
 }
 
 impl Call {
     /// When its time is over: to be answered in, or to find a connection in.
-    pub(super) fn limit(&self, dial_limit: Duration) -> Instant {
-        self.lane.map_or((self.since + dial_limit).min(self.until), |_| self.until)
+    pub(super) fn expires_at(&self, dial_timeout: Duration) -> Instant {
+        self.connection.map_or((self.waiting_since + dial_timeout).min(self.deadline), |_| self.deadline)
     }
 }
 
 impl Pool {
-    pub(in crate::routing) fn call(&mut self, part: u64, carried: Carried, server: Rc<str>, until: Instant) {
-        let key = (part, carried.number);
+    pub(in crate::routing) fn enqueue(
+        &mut self, part: u64, request: CallRequest, server: Rc<str>, deadline: Instant,
+    ) {
+        let key = (part, request.attempt);
         let known = self.servers.get_mut(&server);
         let Some(s) = known else {
-            return self.ended.push(Ended { key, server, outcome: Outcome::Unreachable });
+            return self.ended_calls.push(EndedCall { key, server, outcome: Outcome::Unreachable });
         };
-        s.waiting.push_back(key);
-        self.asked.insert(server.clone());
-        let call = Call { server, carried, since: self.now, until, lane: None, roomless: false };
-        self.limits.insert((call.limit(self.dial_limit), key));
+        s.pending.push_back(key);
+        self.pending_servers.insert(server.clone());
+        let call =
+            Call { server, request, waiting_since: self.now, deadline, connection: None, no_memory: false };
+        self.deadlines.insert((call.expires_at(self.dial_timeout), key));
         self.calls.insert(key, call);
     }
 
-    pub(super) fn drop_call(&mut self, key: Key) -> Option<Call> {
+    pub(super) fn remove_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
-        self.limits.remove(&(call.limit(self.dial_limit), key));
+        self.deadlines.remove(&(call.expires_at(self.dial_timeout), key));
         Some(call)
     }
 
     /// Ends a call by itself, with nothing more said to the server.
-    pub(super) fn end(&mut self, key: Key, outcome: Outcome) {
-        if let Some(call) = self.drop_call(key) {
-            self.ended.push(Ended { key, server: call.server, outcome });
+    pub(super) fn end_call(&mut self, key: CallKey, outcome: Outcome) {
+        if let Some(call) = self.remove_call(key) {
+            self.ended_calls.push(EndedCall { key, server: call.server, outcome });
         }
     }
 
     /// Takes a call back that is not begun to be written; false if it is.
-    pub(super) fn withdraw(&mut self, key: Key, outcome: Outcome) -> bool {
+    pub(super) fn withdraw(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let Some(call) = self.calls.get(&key) else { return true };
-        if let Some(c) = call.lane.and_then(|lane| self.connections.get_mut(&lane)) {
-            if !c.lane.withdraw(&call.carried.id) {
+        if let Some(c) = call.connection.and_then(|connection| self.connections.get_mut(&connection)) {
+            if !c.lane.withdraw(&call.request.id) {
                 return false;
             }
-            c.out.remove(&call.carried.id);
-            c.forget_if_done();
+            c.in_flight.remove(&call.request.id);
+            c.close_if_drained();
         } else if let Some(s) = self.servers.get_mut(&call.server) {
-            s.waiting.retain(|waiting| *waiting != key);
+            s.pending.retain(|pending| *pending != key);
         }
-        self.end(key, outcome);
+        self.end_call(key, outcome);
         true
     }
 
     /// Stops waiting for a call: it is not sent if it is not yet, else the server is told.
-    pub(super) fn give_up(&mut self, key: Key, unsent: Outcome, sent: Outcome) {
+    pub(super) fn cancel_call(&mut self, key: CallKey, unsent: Outcome, sent: Outcome) {
         if self.withdraw(key, unsent) {
             return;
         }
         let Some(call) = self.calls.get(&key) else { return };
-        let (id, until) = (call.carried.id.clone(), call.until);
-        if let Some(c) = call.lane.and_then(|lane| self.connections.get_mut(&lane)) {
-            c.out.remove(&id);
+        let (id, deadline) = (call.request.id.clone(), call.deadline);
+        if let Some(c) = call.connection.and_then(|connection| self.connections.get_mut(&connection)) {
+            c.in_flight.remove(&id);
             c.lane.give_up(id.clone());
-            c.late.push_back((id, until));
-            if c.late.len() > self.multiplex * LATE_TIMES {
-                c.late.pop_front();
+            c.cancelled.push_back((id, deadline));
+            if c.cancelled.len() > self.max_parts_per_connection * CANCELLED_HISTORY_RATIO {
+                c.cancelled.pop_front();
             }
-            c.retired |= c.silent(self.now, self.dial_limit);
-            c.forget_if_done();
+            c.draining |= c.is_unresponsive(self.now, self.dial_timeout);
+            c.close_if_drained();
         }
-        self.end(key, sent);
+        self.end_call(key, sent);
     }
 
-    pub(in crate::routing) fn call_off(&mut self, key: Key) {
-        self.give_up(key, Outcome::NeverSent, Outcome::CalledOff);
+    pub(in crate::routing) fn cancel(&mut self, key: CallKey) {
+        self.cancel_call(key, Outcome::NeverSent, Outcome::CalledOff);
     }
 
     /// A part's query has ended: what was not sent is not sent any more.
-    pub(in crate::routing) fn over(&mut self, part: u64) {
-        let of: Vec<Key> = self.calls.range((part, 0)..=(part, u32::MAX)).map(|(key, _)| *key).collect();
-        for key in of {
+    pub(in crate::routing) fn withdraw_part(&mut self, part: u64) {
+        let keys: Vec<CallKey> =
+            self.calls.range((part, 0)..=(part, u32::MAX)).map(|(key, _)| *key).collect();
+        for key in keys {
             self.withdraw(key, Outcome::NeverSent);
         }
     }
 
     /// Ends the calls whose time is up, and closes connections that stand idle.
-    pub(in crate::routing) fn overdue(&mut self) {
-        while let Some((_, key)) = self.limits.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.limits.pop_first();
-            let waited = self.calls.get(&key).is_some_and(|c| c.until <= self.now || c.roomless);
-            let unsent = if waited { Outcome::NeverSent } else { Outcome::Unreachable };
-            self.give_up(key, unsent, Outcome::TimedOut);
+    pub(in crate::routing) fn expire(&mut self) {
+        while let Some((_, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.deadlines.pop_first();
+            let server_reachable =
+                self.calls.get(&key).is_some_and(|c| c.deadline <= self.now || c.no_memory);
+            let unsent = if server_reachable { Outcome::NeverSent } else { Outcome::Unreachable };
+            self.cancel_call(key, unsent, Outcome::TimedOut);
         }
         for c in self.connections.values_mut() {
-            let since = c.lane.reads_since().filter(|_| !c.retired);
-            if since.is_some_and(|since| self.now >= since + self.dial_limit) {
+            let since = c.lane.reads_since().filter(|_| !c.draining);
+            if since.is_some_and(|since| self.now >= since + self.dial_timeout) {
                 // A frame that has begun and does not go on brings nothing more.
                 log::warn!("a frame from {} does not end: its connection is dropped", c.server);
-                c.end();
-            } else if c.out.is_empty() {
-                c.retired |= c.silent(self.now, self.dial_limit);
-                c.forget_if_done();
+                c.close_now();
+            } else if c.in_flight.is_empty() {
+                c.draining |= c.is_unresponsive(self.now, self.dial_timeout);
+                c.close_if_drained();
             }
         }
-        if self.now < self.idle_look {
+        if self.now < self.next_idle_check {
             return;
         }
-        self.idle_look = self.now + self.idle_limit.mul_f64(IDLE_LOOK_SHARE);
+        self.next_idle_check = self.now + self.idle_timeout.mul_f64(IDLE_CHECK_RATIO);
         for c in self.connections.values_mut() {
-            c.retired |= c.up && self.now >= c.used + self.idle_limit.mul_f64(IDLE_SHARE);
-            c.forget_if_done();
+            c.draining |=
+                c.connected && self.now >= c.last_used + self.idle_timeout.mul_f64(IDLE_CLOSE_RATIO);
+            c.close_if_drained();
         }
     }
 
     /// Finds the leaf call that an answer belongs to; none if it was given up before.
-    pub(in crate::routing) fn answered(&mut self, lane: u64, id: &str, outcome: Outcome) -> Option<Ended> {
-        let c = self.connections.get_mut(&lane)?;
-        let asked = c.out.remove_entry(id);
-        (c.used, c.quiet) = (self.now, Some(self.now).filter(|_| !c.out.is_empty()));
-        let Some((id, key)) = asked else {
-            if let Some(at) = c.late.iter().position(|(late, _)| &**late == id) {
-                c.late.remove(at);
-            } else if c.answered.as_deref() == Some(id) {
+    pub(in crate::routing) fn match_answer(
+        &mut self, connection: u64, id: &str, outcome: Outcome,
+    ) -> Option<EndedCall> {
+        let c = self.connections.get_mut(&connection)?;
+        let matched = c.in_flight.remove_entry(id);
+        (c.last_used, c.unanswered_since) = (self.now, Some(self.now).filter(|_| !c.in_flight.is_empty()));
+        let Some((id, key)) = matched else {
+            if let Some(at) = c.cancelled.iter().position(|(cancelled, _)| &**cancelled == id) {
+                c.cancelled.remove(at);
+            } else if c.last_answered.as_deref() == Some(id) {
                 // The answer was good, and so are those that the connection still owes.
-                c.retired = true;
-                c.forget_if_done();
+                c.draining = true;
+                c.close_if_drained();
             } else {
                 log::warn!("a server answered {id:?}, which was not asked of it here");
-                c.end();
+                c.close_now();
             }
             return None;
         };
-        c.answered = Some(id);
-        c.forget_if_done();
-        let call = self.drop_call(key)?;
-        Some(Ended { key, server: call.server, outcome })
+        c.last_answered = Some(id);
+        c.close_if_drained();
+        let call = self.remove_call(key)?;
+        Some(EndedCall { key, server: call.server, outcome })
     }
 }
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -3,38 +3,38 @@
 use ashvane::Outcome;
 
 use super::Routing;
-use super::pool::Ended;
+use super::pool::EndedCall;
 use crate::protocol::frame::CallStatus;
 
 impl Routing {
-    pub(super) fn answered(&mut self, connection: u64, id: &str, status: CallStatus, value: String) {
+    pub(super) fn handle_answer(&mut self, connection: u64, id: &str, status: CallStatus, value: String) {
         let outcome = match status {
             CallStatus::Done => Outcome::Completed,
             CallStatus::Failed => Outcome::Errored,
             CallStatus::Full => Outcome::TurnedAway,
         };
-        let Some(ended) = self.pool.answered(connection, id, outcome) else { return };
-        let done = outcome == Outcome::Completed;
-        let kept = if done { self.book.value(ended.key.0, value) } else { Ok(()) };
-        if let Err(query) = kept {
+        let Some(ended) = self.pool.match_answer(connection, id, outcome) else { return };
+        let completed = outcome == Outcome::Completed;
+        let stored = if completed { self.queries.store_value(ended.key.0, value) } else { Ok(()) };
+        if let Err(query) = stored {
             // Told before this part's end is, so that no answer is made without its value.
             self.gatherer.out_of_room(query);
-            self.carry_out();
+            self.run_actions();
         }
-        self.settled(&ended);
+        self.report_outcome(&ended);
     }
 
     /// Tells the module of the calls that ended by other means, those that ended first first.
-    pub(super) fn relay_ended(&mut self) {
+    pub(super) fn report_ended_calls(&mut self) {
         for ended in self.pool.take_ended() {
-            self.settled(&ended);
+            self.report_outcome(&ended);
         }
     }
 
-    fn settled(&mut self, ended: &Ended) {
-        let (part, call) = ended.key;
-        let over = ended.outcome == Outcome::Completed;
-        self.gatherer.settled(part, call, ended.outcome, &ended.server, over);
-        self.carry_out();
+    fn report_outcome(&mut self, ended: &EndedCall) {
+        let (part, attempt) = ended.key;
+        let part_done = ended.outcome == Outcome::Completed;
+        self.gatherer.settled(part, attempt, ended.outcome, &ended.server, part_done);
+        self.run_actions();
     }
 }
--- a/crates/gatherer/src/routing/route.rs
+++ b/crates/gatherer/src/routing/route.rs
@@ -8,72 +8,72 @@
 use ashvane::Host;
 
 use super::Routing;
-use super::book::Final;
+use super::book::FinalReply;
 
 pub(super) enum Action {
-    Call { part: u64, server: Rc<str>, limit: Duration },
-    CallOff { part: u64, call: u32 },
-    End { query: u64, last: Final },
+    Call { part: u64, server: Rc<str>, timeout: Duration },
+    CancelCall { part: u64, attempt: u32 },
+    Finish { query: u64, reply: FinalReply },
     Wake { token: u64, after: Duration },
     WatchList,
 }
 
-pub(super) type Actions = Rc<RefCell<VecDeque<Action>>>;
+pub(super) type ActionQueue = Rc<RefCell<VecDeque<Action>>>;
 
 /// The module's hand: it only notes what is wanted.
-pub(super) struct Hand(pub(super) Actions);
+pub(super) struct QueueingHost(pub(super) ActionQueue);
 
-impl Hand {
-    fn note(&self, action: Action) {
+impl QueueingHost {
+    fn queue(&self, action: Action) {
         self.0.borrow_mut().push_back(action);
     }
 }
 
-impl Host for Hand {
-    fn call(&mut self, part: u64, server: &str, limit: Duration) {
-        self.note(Action::Call { part, server: server.into(), limit });
+impl Host for QueueingHost {
+    fn call(&mut self, part: u64, server: &str, timeout: Duration) {
+        self.queue(Action::Call { part, server: server.into(), timeout });
     }
 
-    fn call_off(&mut self, part: u64, call: u32) {
-        self.note(Action::CallOff { part, call });
+    fn call_off(&mut self, part: u64, attempt: u32) {
+        self.queue(Action::CancelCall { part, attempt });
     }
 
-    fn answer(&mut self, query: u64, whole: bool) {
-        self.note(Action::End { query, last: Final::Answer { whole } });
+    fn answer(&mut self, query: u64, complete: bool) {
+        self.queue(Action::Finish { query, reply: FinalReply::Answer { complete } });
     }
 
-    fn reject(&mut self, query: u64, back_after: Option<Duration>) {
-        self.note(Action::End { query, last: Final::Reject(back_after) });
+    fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
+        self.queue(Action::Finish { query, reply: FinalReply::Reject(retry_after) });
     }
 
     fn abort(&mut self, query: u64) {
-        self.note(Action::End { query, last: Final::Abort });
+        self.queue(Action::Finish { query, reply: FinalReply::Abort });
     }
 
     fn wake(&mut self, token: u64, after: Duration) {
-        self.note(Action::Wake { token, after });
+        self.queue(Action::Wake { token, after });
     }
 
     fn watch_list(&mut self) {
-        self.note(Action::WatchList);
+        self.queue(Action::WatchList);
     }
 }
 
 impl Routing {
-    pub(super) fn carry_out(&mut self) {
+    pub(super) fn run_actions(&mut self) {
         loop {
             let Some(action) = self.actions.borrow_mut().pop_front() else { return };
             match action {
-                Action::Call { part, server, limit } => {
-                    let Some(carried) = self.book.next_call(part) else { continue };
-                    self.pool.call(part, carried, server, self.now + limit);
+                Action::Call { part, server, timeout } => {
+                    let Some(request) = self.queries.next_call(part) else { continue };
+                    self.pool.enqueue(part, request, server, self.now + timeout);
                 }
-                Action::CallOff { part, call } => self.pool.call_off((part, call)),
-                Action::End { query, last } => self.over(query, last),
+                Action::CancelCall { part, attempt } => self.pool.cancel((part, attempt)),
+                Action::Finish { query, reply } => self.finish_query(query, reply),
                 Action::Wake { token, after } => {
                     let at = self.now + after;
-                    self.wakes.insert((at, token));
-                    self.book.waked(token, at);
+                    self.timers.insert((at, token));
+                    self.queries.add_timer(token, at);
                 }
                 Action::WatchList => self.list_requested.notify_one(),
             }
@@ -81,13 +81,13 @@
     }
 
     /// A query has ended: nothing of it is sent any more, and its wakes mean nothing.
-    pub(super) fn over(&mut self, query: u64, last: Final) {
-        let Some(ended) = self.book.end(query, last) else { return };
-        for at in ended.wakes {
-            self.wakes.remove(&(at, query));
+    pub(super) fn finish_query(&mut self, query: u64, reply: FinalReply) {
+        let Some(ended) = self.queries.finish(query, reply) else { return };
+        for at in ended.timers {
+            self.timers.remove(&(at, query));
         }
         for part in ended.parts {
-            self.pool.over(part);
+            self.pool.withdraw_part(part);
         }
     }
 }
--- a/crates/gatherer/src/routing/take_in.rs
+++ b/crates/gatherer/src/routing/take_in.rs
@@ -8,17 +8,17 @@
 use crate::protocol::query::{Query, Reply};
 
 impl Routing {
-    pub(super) fn take_in(
+    pub(super) fn accept(
         &mut self, query: Query, arrived: Instant, ticket: u64, reply: oneshot::Sender<Reply>,
     ) {
-        if self.book.holds(&query.id) {
+        if self.queries.contains_id(&query.id) {
             let _ = reply.send(Reply::Error(StatusCode::CONFLICT, "a query of this id is held"));
             return;
         }
-        match self.book.room(&query) {
-            Some(room) => self.admit(query, room, arrived, ticket, reply),
+        match self.queries.reserve(&query) {
+            Some(charges) => self.admit(query, charges, arrived, ticket, reply),
             None => {
-                let _ = reply.send(Reply::Rejected(self.back_after));
+                let _ = reply.send(Reply::Rejected(self.retry_after));
             }
         }
     }
--- a/crates/gatherer/src/routing/tests.rs
+++ b/crates/gatherer/src/routing/tests.rs
@@ -20,24 +20,24 @@
 
 /// A turn's longest time, which is also that in which nothing else of the gatherer gets on; and how often a
 /// machine that is busy may be looked at to find it so.
-const TURN_MOST: Duration = ms(100);
-const TRIES: usize = 5;
+const MAX_TURN: Duration = ms(100);
+const ATTEMPTS: usize = 5;
 /// The most leaf calls for one part, as the settings here have it.
-const CALLS_MOST: usize = 3;
+const MAX_CALLS_PER_PART: usize = 3;
 
 /// The owner with an inbox that the test fills. The connections' own tasks find nobody; what they would tell is
 /// told by the test instead.
-struct Bed {
+struct Harness {
     routing: Routing,
     events: mpsc::Sender<Event>,
     inbox: mpsc::Receiver<Event>,
-    left: Arc<EndedHandlers>,
+    ended_handlers: Arc<EndedHandlers>,
     ledger: Ledger,
-    _apart: mpsc::Receiver<Event>,
+    _connection_events: mpsc::Receiver<Event>,
 }
 
 fn list(generation: u32, servers: u32) -> ServerList {
-    let listed = |i| ServerEntry {
+    let entry = |i| ServerEntry {
         id: format!("s-{generation}-{i}"),
         // Nobody listens at this port.
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -46,15 +46,11 @@
         health: Health::Ready,
         started_at: None,
     };
-    ServerList {
-        revision: u64::from(generation),
-        complete: true,
-        servers: (0..servers).map(listed).collect(),
-    }
+    ServerList { revision: u64::from(generation), complete: true, servers: (0..servers).map(entry).collect() }
 }
 
-impl Bed {
-    fn new(servers: u32) -> Bed {
+impl Harness {
+    fn new(servers: u32) -> Harness {
         let settings = json!({
             "balancers": 1, "zone": 0, "zones": ["a"], "quantum_us": 5000, "membership_mode": "pushed",
             "request_classes": [{"name": "near", "effect": "retryable", "aim_us": 500_000,
@@ -63,7 +59,7 @@
             "family_info": {"class_need": [0.75], "floor_by_class": [0.25], "follow_up": [0], "parts_a_call": 8,
                 "positions": 10, "ranges": 100, "span": 2},
             "policy_limits": {"dial_timeout_us": 250_000, "keepalive_us": 15_000_000,
-                "max_attempts": CALLS_MOST, "max_retry_after_us": 500_000, "may_cancel": true, "most_held": 20_000,
+                "max_attempts": MAX_CALLS_PER_PART, "max_retry_after_us": 500_000, "may_cancel": true, "most_held": 20_000,
                 "multiplex": 32, "retry_after": true, "second_copies": true},
             "rules": {"cold_from": 0.2, "cold_us": 1_000_000, "fall_us": 1_000_000, "overload_factor": 2.0,
                 "budget_span_us": 10_000_000, "extra_per_request": 0.2, "min_extra": 10}
@@ -71,25 +67,32 @@
         let network = ashvane_settings::read_network(&settings).expect("settings");
         let settings = ashvane_settings::read(7, &settings).expect("settings");
         let ledger = Ledger::new(Limits::of_memory(192 << 20), &[("acme".to_owned(), 1.0)]);
-        let (apart, kept) = mpsc::channel(4096);
+        let (connection_events, connection_inbox) = mpsc::channel(4096);
         let (events, inbox) = mpsc::channel(4096);
         let ready = oneshot::channel().0;
-        let ends = RoutingContext {
+        let context = RoutingContext {
             max_connections: 480,
-            events: apart,
+            events: connection_events,
             list_requested: Rc::default(),
             ready,
             ledger: ledger.clone(),
         };
-        let routing = Routing::new(&settings, &network, &list(1, servers), ends).expect("room");
-        Bed { routing, events, inbox, left: Arc::default(), ledger, _apart: kept }
+        let routing = Routing::new(&settings, &network, &list(1, servers), context).expect("room");
+        Harness {
+            routing,
+            events,
+            inbox,
+            ended_handlers: Arc::default(),
+            ledger,
+            _connection_events: connection_inbox,
+        }
     }
 
-    fn tell(&self, event: Event) {
+    fn send(&self, event: Event) {
         assert!(self.events.try_send(event).is_ok(), "no room for an event");
     }
 
-    fn ask(&self, id: &str, parts: u32) -> Receiver<Reply> {
+    fn submit(&self, id: &str, parts: u32) -> Receiver<Reply> {
         let (reply, answer) = oneshot::channel();
         let query = Query {
             id: id.to_owned(),
@@ -101,38 +104,40 @@
             payload: "c41e77d0".into(),
         };
         let charge = self.ledger.take(Purpose::Bodies, None, 100).expect("room");
-        self.tell(Event::QueryReceived { query, arrived: Instant::now(), charge, ticket: u64::MAX, reply });
+        self.send(Event::QueryReceived { query, arrived: Instant::now(), charge, ticket: u64::MAX, reply });
         answer
     }
 
     /// One turn, and how long it took by the machine's own clock.
     fn turn(&mut self) -> Duration {
-        let began = std::time::Instant::now();
-        self.routing.turn(None, &mut self.inbox, &self.left);
-        began.elapsed()
+        let started = std::time::Instant::now();
+        self.routing.turn(None, &mut self.inbox, &self.ended_handlers);
+        started.elapsed()
     }
 
-    fn lanes(&self) -> usize {
-        self.routing.pool.seen().len()
+    fn connection_count(&self) -> usize {
+        self.routing.pool.connection_states().len()
     }
 
     /// All that is out.
-    fn out(&self) -> BTreeSet<(u64, Arc<str>)> {
-        let seen = self.routing.pool.seen().into_iter();
-        seen.flat_map(|(connection, _, ids)| ids.into_iter().map(move |id| (connection, id))).collect()
+    fn in_flight(&self) -> BTreeSet<(u64, Arc<str>)> {
+        let states = self.routing.pool.connection_states().into_iter();
+        states.flat_map(|(connection, _, ids)| ids.into_iter().map(move |id| (connection, id))).collect()
     }
 
     /// All connections that are dialled come up.
-    fn come_up(&self) {
-        let seen = self.routing.pool.seen().into_iter();
-        seen.filter(|(_, up, _)| !up).for_each(|(connection, _, _)| self.tell(Event::Connected(connection)));
+    fn connect_all(&self) {
+        let states = self.routing.pool.connection_states().into_iter();
+        states
+            .filter(|(_, up, _)| !up)
+            .for_each(|(connection, _, _)| self.send(Event::Connected(connection)));
     }
 
     /// Everything that is out is answered.
     fn answer_all(&self) {
-        for (connection, id) in self.out() {
+        for (connection, id) in self.in_flight() {
             let charge = self.ledger.take(Purpose::Frames, None, 100).expect("room");
-            self.tell(Event::CallAnswered {
+            self.send(Event::CallAnswered {
                 connection,
                 id: id.to_string(),
                 status: CallStatus::Done,
@@ -145,7 +150,7 @@
     /// Turns in which everything is answered at once, until nothing more happens.
     fn settle(&mut self) {
         for _ in 0..20 {
-            self.come_up();
+            self.connect_all();
             self.turn();
             self.answer_all();
             self.turn();
@@ -153,55 +158,57 @@
     }
 }
 
-fn played(test: impl Future<Output = ()>, paused: bool) {
+fn run_test(test: impl Future<Output = ()>, paused: bool) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(paused).build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-fn served(answer: &mut Receiver<Reply>) -> bool {
+fn is_complete(answer: &mut Receiver<Reply>) -> bool {
     matches!(answer.try_recv(), Ok(Reply::Answered { complete: true, .. }))
 }
 
 /// Guards against work in one turn that grows with all that is known: nothing else gets on meanwhile.
 #[test]
 fn no_turn_is_long_with_200_servers_a_whole_new_list_and_600_parts_out() {
-    let longest: Vec<Duration> = (0..TRIES).map(|_| longest_turn()).collect();
-    assert!(longest.iter().any(|turn| *turn < TURN_MOST), "turns took {longest:?}");
+    let longest: Vec<Duration> = (0..ATTEMPTS).map(|_| longest_turn()).collect();
+    assert!(longest.iter().any(|turn| *turn < MAX_TURN), "turns took {longest:?}");
 }
 
 fn longest_turn() -> Duration {
     let mut longest = Duration::ZERO;
     let test = async {
-        let mut bed = Bed::new(200);
-        let mut answers: Vec<_> = (0..10).map(|i| bed.ask(&format!("q{i}"), 80)).collect();
-        longest = bed.turn();
-        bed.come_up();
-        longest = longest.max(bed.turn());
-        let out = bed.out().len();
-        assert!(out >= 600, "{out} parts are out");
+        let mut harness = Harness::new(200);
+        let mut answers: Vec<_> = (0..10).map(|i| harness.submit(&format!("q{i}"), 80)).collect();
+        longest = harness.turn();
+        harness.connect_all();
+        longest = longest.max(harness.turn());
+        let in_flight = harness.in_flight().len();
+        assert!(in_flight >= 600, "{in_flight} parts are out");
         // Every server is replaced while all of that is out, and as much again comes in the same turn.
-        let (taken, mut is_taken) = oneshot::channel();
-        bed.tell(Event::ServerList(list(2, 200), taken));
-        answers.extend((10..20).map(|i| bed.ask(&format!("q{i}"), 80)));
-        longest = longest.max(bed.turn());
-        assert_eq!(is_taken.try_recv(), Ok(true));
+        let (applied, mut is_applied) = oneshot::channel();
+        harness.send(Event::ServerList(list(2, 200), applied));
+        answers.extend((10..20).map(|i| harness.submit(&format!("q{i}"), 80)));
+        longest = longest.max(harness.turn());
+        assert_eq!(is_applied.try_recv(), Ok(true));
         // All old connections break in one turn.
-        for (connection, _, _) in bed.routing.pool.seen().into_iter().filter(|(_, up, _)| *up) {
-            bed.tell(Event::Disconnected(connection));
+        for (connection, _, _) in
+            harness.routing.pool.connection_states().into_iter().filter(|(_, up, _)| *up)
+        {
+            harness.send(Event::Disconnected(connection));
         }
-        longest = longest.max(bed.turn());
+        longest = longest.max(harness.turn());
         for _ in 0..20 {
-            bed.come_up();
-            longest = longest.max(bed.turn());
-            bed.answer_all();
-            longest = longest.max(bed.turn());
+            harness.connect_all();
+            longest = longest.max(harness.turn());
+            harness.answer_all();
+            longest = longest.max(harness.turn());
         }
         let ended = answers.iter_mut().map(|answer| usize::from(answer.try_recv().is_ok())).sum::<usize>();
         assert!(ended >= 10, "{ended} of 20 are answered without any time passing");
-        assert!(bed.routing.pool.take_ended().is_empty(), "every end is told");
+        assert!(harness.routing.pool.take_ended().is_empty(), "every end is told");
     };
-    played(test, false);
+    run_test(test, false);
     longest
 }
 
@@ -209,70 +216,75 @@
 #[test]
 fn while_the_clock_stands_nothing_storms_and_answers_still_end_queries() {
     let test = async {
-        let mut bed = Bed::new(20);
-        let mut answer = bed.ask("q", 40);
-        bed.turn();
-        bed.come_up();
-        bed.turn();
-        let (out, lanes) = (bed.out(), bed.lanes());
-        assert!(out.len() >= 30);
+        let mut harness = Harness::new(20);
+        let mut answer = harness.submit("q", 40);
+        harness.turn();
+        harness.connect_all();
+        harness.turn();
+        let (in_flight, connection_count) = (harness.in_flight(), harness.connection_count());
+        assert!(in_flight.len() >= 30);
         for _ in 0..2000 {
-            bed.turn();
+            harness.turn();
         }
-        assert_eq!((bed.out(), bed.lanes()), (out, lanes), "no time, no spare and no dial");
-        bed.answer_all();
-        bed.turn();
-        assert!(served(&mut answer), "answers need no time");
+        assert_eq!(
+            (harness.in_flight(), harness.connection_count()),
+            (in_flight, connection_count),
+            "no time, no spare and no dial"
+        );
+        harness.answer_all();
+        harness.turn();
+        assert!(is_complete(&mut answer), "answers need no time");
     };
-    played(test, true);
+    run_test(test, true);
 }
 
 /// Guards against timers, budgets and a breaker that stall after a jump, or make up for it all at once.
 #[test]
 fn when_the_clock_jumps_every_query_ends_once_and_what_follows_is_as_usual() {
     let test = async {
-        let mut bed = Bed::new(20);
+        let mut harness = Harness::new(20);
         for (round, jump) in
             [ms(700), ms(5_000), ms(600_000), ms(40 * 24 * 3_600_000)].into_iter().enumerate()
         {
-            let mut usual = bed.ask(&format!("usual-{round}"), 20);
-            bed.settle();
-            assert!(served(&mut usual), "before a jump of {jump:?}");
-            let mut answers: Vec<_> = (0..10).map(|i| bed.ask(&format!("q-{round}-{i}"), 40)).collect();
-            bed.turn();
-            bed.come_up();
-            bed.turn();
-            let before = bed.out().len();
+            let mut ordinary = harness.submit(&format!("usual-{round}"), 20);
+            harness.settle();
+            assert!(is_complete(&mut ordinary), "before a jump of {jump:?}");
+            let mut answers: Vec<_> =
+                (0..10).map(|i| harness.submit(&format!("q-{round}-{i}"), 40)).collect();
+            harness.turn();
+            harness.connect_all();
+            harness.turn();
+            let before = harness.in_flight().len();
             advance(jump).await;
             // What falls due at once: at the most each part's further leaf calls, over as many turns as it likes.
             let mut sent = BTreeSet::new();
             for _ in 0..200 {
-                bed.turn();
-                bed.come_up();
-                sent.append(&mut bed.out());
+                harness.turn();
+                harness.connect_all();
+                sent.append(&mut harness.in_flight());
             }
-            let most = 10 * 40 * CALLS_MOST;
-            assert!(sent.len() <= most, "{before} parts out, then {} leaf calls", sent.len());
-            assert!(bed.lanes() <= 20 * 24, "{} connections", bed.lanes());
+            let max_calls = 10 * 40 * MAX_CALLS_PER_PART;
+            assert!(sent.len() <= max_calls, "{before} parts out, then {} leaf calls", sent.len());
+            assert!(harness.connection_count() <= 20 * 24, "{} connections", harness.connection_count());
             if jump > ms(1500) {
-                let open: Vec<usize> =
+                let unanswered: Vec<usize> =
                     (0..answers.len()).filter(|i| answers[*i].try_recv().is_err()).collect();
-                assert!(open.is_empty(), "after {jump:?} queries {open:?} are still open");
-                assert!(bed.out().is_empty(), "and nothing is out for them");
+                assert!(unanswered.is_empty(), "after {jump:?} queries {unanswered:?} are still open");
+                assert!(harness.in_flight().is_empty(), "and nothing is out for them");
             }
-            let due = bed.routing.due();
-            assert!(due > Instant::now(), "nothing is due for ever: {:?} ago", due.elapsed());
+            let deadline = harness.routing.next_deadline();
+            assert!(deadline > Instant::now(), "nothing is due for ever: {:?} ago", deadline.elapsed());
             drop(answers);
-            bed.settle();
+            harness.settle();
         }
         // Time that passes as usual ends the rest; then a query is served as at first.
         for _ in 0..400 {
             advance(ms(5)).await;
-            bed.turn();
+            harness.turn();
         }
-        let mut last = bed.ask("last", 20);
-        bed.settle();
-        assert!(served(&mut last), "as usual");
+        let mut last = harness.submit("last", 20);
+        harness.settle();
+        assert!(is_complete(&mut last), "as usual");
     };
-    played(test, true);
+    run_test(test, true);
 }
