--- a/crates/gatherer/src/protocol/config.rs
+++ b/crates/gatherer/src/protocol/config.rs
@@ -1,4 +1,4 @@
-//! What a gatherer is told at start: the file that `GW_CONFIG` names, and the variables beside it.
+//! The start-up configuration: the file that `GW_CONFIG` names, and environment variables that override it.
 
 use std::net::SocketAddr;
 
@@ -15,6 +15,7 @@
     sockets: usize,
 }
 
+/// The configuration file as it is written. `limits`, `known` and `settings` are decoded in a second step.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -26,22 +27,27 @@
     settings: Value,
 }
 
+/// The configuration with the overrides of the environment applied.
 #[derive(Debug)]
 pub(crate) struct Config {
+    /// Name of this gatherer.
     pub name: String,
+    /// Address on which clients are served.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub memory_mb: u64,
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
+    /// Shard servers to use until discovery sends a list.
     pub initial_servers: ServerList,
     pub settings: Settings,
     pub network: Network,
-    /// What the file says of the things that hold until the program ends.
+    /// The file's values of the keys that take effect only at a restart, by key.
     restart_only: Vec<(&'static str, Value)>,
 }
 
 impl Config {
-    /// What a newer file says otherwise although only a restart can change it.
+    /// Returns the keys that differ in `reloaded` but take effect only at a restart.
     pub(crate) fn restart_only_changes(&self, reloaded: &Config) -> Vec<&'static str> {
         let pairs = self.restart_only.iter().zip(&reloaded.restart_only);
         pairs.filter(|(current, updated)| current != updated).map(|(current, _)| current.0).collect()
@@ -49,21 +55,22 @@
 }
 
 fn parse_address(name: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{name} {text:?} is not an address"))
+    text.parse().map_err(|_| format!("{name} {text:?} is not an address of the form IP:PORT"))
 }
 
-/// Reads the configuration file that `GW_CONFIG` names. Variables hold over it, but at a reload the file is
-/// newer than the variable that names discovery.
+/// Reads the configuration file at `path`, which `GW_CONFIG` names. Environment variables override the file.
+/// The exception is `GW_DISCOVERY` at a reload: the file is then newer than the variable.
 pub(crate) fn load(path: &str, reload: bool) -> Result<Config, String> {
     let variable = |name: &str| std::env::var(name).ok().filter(|_| !(reload && name == "GW_DISCOVERY"));
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
     text.and_then(|text| decode(&text, variable)).map_err(|e| format!("GW_CONFIG {path}: {e}"))
 }
 
-/// Reads the configuration. `variable` tells an environment variable, which holds over the file.
+/// Decodes the configuration. `variable` looks up an environment variable, which overrides the file.
 fn decode(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let file: ConfigFile = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| format!("seed {:?} is not hex", file.seed))?;
+    let seed = u64::from_str_radix(&file.seed, 16)
+        .map_err(|_| format!("seed {:?} is not a 64-bit hexadecimal number", file.seed))?;
     let network = ashvane_settings::read_network(&file.settings)?;
     let limits = Limits::deserialize(&file.limits).map_err(|e| format!("limits: {e}"))?;
     let overridden = |name: &str, text: &str| variable(name).unwrap_or_else(|| text.to_owned());
--- a/crates/gatherer/src/protocol/event.rs
+++ b/crates/gatherer/src/protocol/event.rs
@@ -1,4 +1,5 @@
-//! What can happen to a gatherer, as the sockets tell it to the decisions, and the phase it is in.
+//! The events that the network code sends to routing, the phase of the program, and the tracking of request
+//! handlers that have ended.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,51 +12,59 @@
 use super::list::ServerList;
 use super::query::{Query, Reply};
 
+/// An event that the network code sends to routing.
 pub(crate) enum Event {
+    /// A client sent a query.
     QueryReceived {
         query: Query,
         arrived: Instant,
-        /// What its body took; given back once the query is held or answered.
+        /// Memory of the request body; released once the query is stored or answered.
         charge: Charge,
-        /// By which its client's leaving is told.
+        /// Ticket of the request's handler, see [`EndedHandlers`].
         ticket: u64,
         reply: oneshot::Sender<Reply>,
     },
-    /// A list, and whether there was room for it: it is taken whole or not at all.
+    /// Discovery sent a server list. The reply is whether the list was applied: without memory for all of it,
+    /// none of it is.
     ServerList(ServerList, oneshot::Sender<bool>),
+    /// A request to discovery failed.
     ServerListFailed,
-    /// So many gatherers are alive, as far as that is known now.
+    /// The number of live gatherers, or `None` while it is unknown.
     GathererCount(Option<u32>),
-    /// A connection to a shard server is up, has brought an answer, or is no more.
+    /// The connection of this number to a shard server was established.
     Connected(u64),
+    /// A shard server answered a leaf call.
     CallAnswered {
         connection: u64,
         id: String,
         status: CallStatus,
         value: String,
-        /// What the frame took.
+        /// Memory of the frame.
         charge: Charge,
     },
+    /// The connection of this number could not be established, or was closed.
     Disconnected(u64),
-    /// The program ends: what is held is given up.
+    /// The program is about to exit: all open queries are aborted.
     ShuttingDown,
 }
 
+/// The phase of the program, from start to exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Listens, but knows no server that is ready.
+    /// Accepts connections, but knows no shard server that is ready.
     Starting,
+    /// At least one shard server has been ready.
     Ready,
-    /// Told to take over its configuration anew: serves on, until discovery has told the whole list there.
+    /// Has read the configuration again and waits for a complete list from discovery. Clients are served.
     Reloading,
-    /// Told to end: serves on, but whoever asks is told that it is not ready any more.
+    /// Has received the signal to end. Clients are served, but health checks report "not ready".
     Draining,
-    /// Asks its clients to connect elsewhere: idle connections are closed, the others once they are answered.
+    /// Asks clients to reconnect elsewhere: closes idle connections at once, others after their next answer.
     Closing,
 }
 
-/// The requests whose handlers have ended, so that those who left can be told from those answered without a
-/// look through all that is held.
+/// The tickets of request handlers that have ended. A ticket whose query is still open belongs to a client
+/// that disconnected; tickets avoid a scan of all open queries for them.
 #[derive(Default)]
 pub(crate) struct EndedHandlers {
     tickets: Mutex<Vec<u64>>,
@@ -64,22 +73,23 @@
 }
 
 impl EndedHandlers {
-    /// A ticket, which is told when what is returned is dropped.
+    /// Returns a guard with a new ticket. Dropping the guard records the ticket as ended.
     pub(crate) fn register(self: &Arc<Self>) -> HandlerGuard {
         HandlerGuard { handlers: self.clone(), ticket: self.next_ticket.fetch_add(1, Ordering::Relaxed) }
     }
 
+    /// Waits until a handler ends.
     pub(crate) async fn any_ended(&self) {
         self.ended.notified().await;
     }
 
-    /// The tickets told since the last call. At most one for each open request stands here.
+    /// Returns the tickets recorded since the last call. There is at most one for each open request.
     pub(crate) fn take_tickets(&self) -> Vec<u64> {
         std::mem::take(&mut *self.tickets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// A request's handler, while it lasts.
+/// Held by a request handler for as long as it runs.
 pub(crate) struct HandlerGuard {
     handlers: Arc<EndedHandlers>,
     pub ticket: u64,
--- a/crates/gatherer/src/protocol/frame.rs
+++ b/crates/gatherer/src/protocol/frame.rs
@@ -1,4 +1,4 @@
-//! Frames to and from shard servers: a length of four bytes, a letter, the rest.
+//! Frames to and from shard servers: a length of four bytes, a letter for the type, and the content.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,32 +8,37 @@
 use tokio::time::Instant;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest frame that is read: one value fits into an answer to a client, which holds as much.
+/// Maximum length of a received frame. A frame holds one value, and an answer to a client may be as long.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
 
-/// One part within a call.
+/// One part in a call frame.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PartCall {
     pub id: Arc<str>,
     pub shard: u32,
-    /// How many milliseconds the gatherer will wait.
+    /// How long the gatherer waits for the answer, in milliseconds.
     pub timeout_ms: u64,
     pub payload: Arc<str>,
 }
 
+/// A frame to a shard server.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OutgoingFrame {
     Call(Vec<PartCall>),
+    /// The gatherer no longer waits for the part with this id.
     Cancel(Arc<str>),
 }
 
+/// The result of a part, as its shard server reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallStatus {
     Done,
     Failed,
+    /// The server rejected the part because of overload, without running it.
     Full,
 }
 
+/// A frame from a shard server.
 #[derive(Debug, PartialEq)]
 pub(crate) enum IncomingFrame {
     Answer {
@@ -41,14 +46,16 @@
         status: CallStatus,
         value: String,
     },
-    /// The frame before could not be used; the server closes.
+    /// The server could not decode a frame and closes the connection. The text is its reason.
     ProtocolError(String),
 }
 
+/// Why reading or writing frames failed.
 #[derive(Debug)]
 pub(crate) enum FrameError {
     Io(std::io::Error),
     Malformed(&'static str),
+    /// The frame is longer than the memory that frames may take.
     MemoryLimit,
 }
 
@@ -58,9 +65,10 @@
     }
 }
 
-/// Reads and writes frames. It may be asked since when a frame has begun to come and is not whole.
+/// Encodes and decodes frames. Clones share `partial_since`.
 #[derive(Clone, Default)]
 pub(crate) struct FrameCodec {
+    /// When the frame that is only partly received began to arrive.
     pub partial_since: Rc<Cell<Option<Instant>>>,
 }
 
@@ -73,10 +81,11 @@
         match frame {
             OutgoingFrame::Call(parts) => {
                 out.put_u8(b'S');
-                for p in parts {
-                    let line = format!("{} {} d={} {}\n", p.id, p.shard, p.timeout_ms, p.payload.len());
+                for part in parts {
+                    let line =
+                        format!("{} {} d={} {}\n", part.id, part.shard, part.timeout_ms, part.payload.len());
                     out.put_slice(line.as_bytes());
-                    out.put_slice(p.payload.as_bytes());
+                    out.put_slice(part.payload.as_bytes());
                 }
             }
             OutgoingFrame::Cancel(id) => {
@@ -84,8 +93,8 @@
                 out.put_slice(id.as_bytes());
             }
         }
-        let length =
-            u32::try_from(out.len() - start - 4).map_err(|_| FrameError::Malformed("frame too long"))?;
+        let length = u32::try_from(out.len() - start - 4)
+            .map_err(|_| FrameError::Malformed("length of an outgoing frame exceeds 32 bits"))?;
         out[start..start + 4].copy_from_slice(&length.to_be_bytes());
         Ok(())
     }
@@ -96,29 +105,30 @@
     type Error = FrameError;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<IncomingFrame>, FrameError> {
-        let got = decode_frame(bytes);
-        // A frame stands in its server's writes as one, so that the rest of one that has begun is on its way.
-        let waits = matches!(got, Ok(None)) && !bytes.is_empty();
-        self.partial_since.set(waits.then(|| self.partial_since.get().unwrap_or_else(Instant::now)));
-        got
+        let decoded = decode_frame(bytes);
+        // Servers write each frame whole, so the rest of a partly received frame is on its way.
+        let is_partial = matches!(decoded, Ok(None)) && !bytes.is_empty();
+        self.partial_since.set(is_partial.then(|| self.partial_since.get().unwrap_or_else(Instant::now)));
+        decoded
     }
 }
 
-/// How many bytes the frame that has begun takes in all, once its length is known and can be one.
+/// Returns the length of the frame that `bytes` begins with, including its length field, in bytes. Returns
+/// `None` while the length field is incomplete, and if the length is over the maximum.
 pub(crate) fn expected_frame_bytes(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
     (length <= MAX_FRAME_BYTES).then_some(4 + length)
 }
 
-/// The next frame if it is whole; a fault as soon as it can be none.
+/// Decodes the next frame once it is completely received. Fails as soon as the bytes cannot be a valid frame.
 fn decode_frame(bytes: &mut BytesMut) -> Result<Option<IncomingFrame>, FrameError> {
-    let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
+    let Some(prefix) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*prefix) as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
-        return Err(FrameError::Malformed("bad length"));
+        return Err(FrameError::Malformed("frame length is zero or over the maximum"));
     }
     if bytes.get(4).is_some_and(|letter| !b"RF".contains(letter)) {
-        return Err(FrameError::Malformed("unknown letter"));
+        return Err(FrameError::Malformed("unknown frame type"));
     }
     if bytes.len() < 4 + length {
         bytes.reserve(4 + length - bytes.len());
@@ -126,18 +136,21 @@
     }
     bytes.advance(4);
     let frame = bytes.split_to(length);
-    let rest = &frame[1..];
+    let content = &frame[1..];
     match frame[0] {
-        b'R' => decode_answer(rest).map(Some).ok_or(FrameError::Malformed("bad answer")),
-        _ => Ok(Some(IncomingFrame::ProtocolError(String::from_utf8_lossy(rest).into_owned()))),
+        b'R' => decode_answer(content)
+            .map(Some)
+            .ok_or(FrameError::Malformed("answer frame is not an id, a status and a value in UTF-8")),
+        _ => Ok(Some(IncomingFrame::ProtocolError(String::from_utf8_lossy(content).into_owned()))),
     }
 }
 
-/// An answer's line and value. Nothing here goes by the score and the report, so they may hold anything. A
-/// value with a zero byte has run over its end into the next frame, whose length begins with one.
-fn decode_answer(rest: &[u8]) -> Option<IncomingFrame> {
-    let end = rest.iter().position(|b| *b == b'\n')?;
-    let (line, value) = (&rest[..end], std::str::from_utf8(&rest[end + 1..]).ok()?);
+/// Decodes the status line and the value of an answer. The score and the report on the line are unused and
+/// may hold anything. A value with a zero byte is invalid: it extends into the next frame, whose length field
+/// starts with one.
+fn decode_answer(content: &[u8]) -> Option<IncomingFrame> {
+    let line_end = content.iter().position(|b| *b == b'\n')?;
+    let (line, value) = (&content[..line_end], std::str::from_utf8(&content[line_end + 1..]).ok()?);
     let mut words = line.split(|b| *b == b' ');
     let id = std::str::from_utf8(words.next()?).ok().filter(|id| !id.is_empty())?.to_owned();
     let status = match words.next()? {
@@ -155,55 +168,60 @@
 
     use super::*;
 
-    fn encoded(frame: OutgoingFrame) -> BytesMut {
+    fn encode(frame: OutgoingFrame) -> BytesMut {
         let mut bytes = BytesMut::new();
-        FrameCodec::default().encode(frame, &mut bytes).expect("a short frame");
+        FrameCodec::default().encode(frame, &mut bytes).expect("the frame is short");
         bytes
     }
 
     #[test]
-    fn a_call_is_one_frame_of_lines_and_texts() {
+    fn a_call_is_one_frame_of_lines_and_payloads() {
         let part =
             |id: &str, shard| PartCall { id: id.into(), shard, timeout_ms: 240, payload: "c41e77d0".into() };
-        let bytes = encoded(OutgoingFrame::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]));
+        let bytes = encode(OutgoingFrame::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]));
         assert_eq!(&bytes[..], b"\0\0\0\x33S9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240 8\nc41e77d0");
-        assert_eq!(&encoded(OutgoingFrame::Cancel("9b1f.3".into()))[..], b"\0\0\0\x07C9b1f.3");
+        assert_eq!(&encode(OutgoingFrame::Cancel("9b1f.3".into()))[..], b"\0\0\0\x07C9b1f.3");
     }
 
-    /// However the bytes are cut, the same answers come of them, and none before its last byte.
+    /// Guards against answers that depend on how their bytes are split over reads.
     #[test]
-    fn answers_are_the_same_however_their_bytes_arrive() {
-        fn arrive(cuts: Vec<u8>) -> bool {
-            let rest: [&[u8]; 3] = [b"Ra.0 done 7 -\nv\n1", b"Ra.1 full 7 {\xff\0 1, 2\n", b"Ra.2 failed\n"];
-            let framed = |rest: &&[u8]| [&(rest.len() as u32).to_be_bytes()[..], rest].concat();
-            let all: Vec<u8> = rest.iter().flat_map(framed).collect();
-            let (mut bytes, mut got, mut at) = (BytesMut::new(), Vec::new(), 0);
+    fn answers_do_not_depend_on_how_their_bytes_are_split() {
+        fn are_equal(cuts: Vec<u8>) -> bool {
+            let contents: [&[u8]; 3] =
+                [b"Ra.0 done 7 -\nv\n1", b"Ra.1 full 7 {\xff\0 1, 2\n", b"Ra.2 failed\n"];
+            let framed = |content: &&[u8]| [&(content.len() as u32).to_be_bytes()[..], content].concat();
+            let all: Vec<u8> = contents.iter().flat_map(framed).collect();
+            let (mut bytes, mut answers, mut sent) = (BytesMut::new(), Vec::new(), 0);
             for cut in cuts.into_iter().map(usize::from).chain([all.len()]) {
-                let next = (at + cut).min(all.len());
-                bytes.extend_from_slice(&all[at..next]);
-                at = next;
-                while let Some(answer) = FrameCodec::default().decode(&mut bytes).expect("well formed") {
-                    got.push(answer);
+                let next = (sent + cut).min(all.len());
+                bytes.extend_from_slice(&all[sent..next]);
+                sent = next;
+                while let Some(answer) =
+                    FrameCodec::default().decode(&mut bytes).expect("all frames are well formed")
+                {
+                    answers.push(answer);
                 }
             }
-            let want = [
+            let expected = [
                 ("a.0", CallStatus::Done, "v\n1"),
                 ("a.1", CallStatus::Full, ""),
                 ("a.2", CallStatus::Failed, ""),
             ];
-            got == want.map(|(id, status, value)| IncomingFrame::Answer {
-                id: id.into(),
-                status,
-                value: value.into(),
-            })
+            answers
+                == expected.map(|(id, status, value)| IncomingFrame::Answer {
+                    id: id.into(),
+                    status,
+                    value: value.into(),
+                })
         }
-        QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).quickcheck(arrive as fn(Vec<u8>) -> bool);
+        QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).quickcheck(are_equal as fn(Vec<u8>) -> bool);
     }
 
-    /// Guards against a value passed on that is not the one made, and a connection kept of no further use.
+    /// Guards against corrupted values that reach clients, and against connections that stay in use after a
+    /// malformed frame.
     #[test]
-    fn a_frame_that_can_be_no_answer_is_a_fault_as_soon_as_that_shows() {
-        let spoilt: [&[u8]; 8] = [
+    fn malformed_frames_fail_as_soon_as_they_are_recognizable() {
+        let malformed: [&[u8]; 8] = [
             b"\0\0\0\0",
             b"\xb3\0\0\0R",
             b"\0\0\0\x63Z",
@@ -213,7 +231,7 @@
             b"\0\0\0\x10Ra.0 done 7 -\n\xff\xfe",
             b"\0\0\0\x16Ra.0 done 7 -\nvalue\0\0\0",
         ];
-        for bytes in spoilt {
+        for bytes in malformed {
             assert!(matches!(decode_frame(&mut bytes.into()), Err(FrameError::Malformed(_))), "{bytes:?}");
         }
         let mut frames = FrameCodec::default();
@@ -227,10 +245,10 @@
         );
     }
 
-    /// Guards against a panic or an endless loop on bytes that no server should send.
+    /// Guards against panics and endless loops on arbitrary bytes.
     #[test]
-    fn any_bytes_end_in_frames_a_fault_or_a_wait_for_more() {
-        fn any(bytes: Vec<u8>, length: u8) -> bool {
+    fn decoding_arbitrary_bytes_ends_in_frames_an_error_or_a_wait_for_more() {
+        fn terminates(bytes: Vec<u8>, length: u8) -> bool {
             let mut framed = BytesMut::from(&u32::from(length).to_be_bytes()[..]);
             framed.extend_from_slice(&bytes);
             for mut bytes in [BytesMut::from(&bytes[..]), framed] {
@@ -242,6 +260,8 @@
             }
             true
         }
-        QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).quickcheck(any as fn(Vec<u8>, u8) -> bool);
+        QuickCheck::new()
+            .rng(Gen::from_size_and_seed(100, 7))
+            .quickcheck(terminates as fn(Vec<u8>, u8) -> bool);
     }
 }
--- a/crates/gatherer/src/protocol/mod.rs
+++ b/crates/gatherer/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What goes over the sockets: each message is decoded once into a small typed value and encoded once.
+//! The messages on the sockets. Each is decoded once into a small typed value, and encoded once.
 
 pub(crate) mod config;
 pub(crate) mod event;
--- a/crates/gatherer/src/protocol/query.rs
+++ b/crates/gatherer/src/protocol/query.rs
@@ -1,4 +1,4 @@
-//! A client's query and the answer to it.
+//! Clients' queries and the replies to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 use axum::http::{HeaderValue, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// The longest id of a query: longer ones would only make frames long.
+/// Maximum length of a query id. Each frame repeats the id for every part.
 const MAX_ID_BYTES: usize = 64;
-/// How far the weights of a query's parts may be from 1 in sum: they are rounded.
+/// Maximum difference of the sum of a query's part weights from 1. Clients send rounded weights.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
-/// Bytes of an answer beside its values: for each of them, and for all.
+/// Estimated JSON overhead of each value in the body of an answer.
 const VALUE_OVERHEAD_BYTES: usize = 40;
+/// Estimated JSON overhead of the body as a whole.
 const BODY_OVERHEAD_BYTES: usize = 32;
-/// The longest wait that a deadline may name; far above any client's.
+/// Maximum time that a Req-Deadline header may state; far above what clients use.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
 
 #[derive(Deserialize)]
@@ -39,7 +40,7 @@
     results: &'a [WireValue],
 }
 
-/// A part's value, as a shard server gave it.
+/// The value of a part, as the shard server sent it.
 #[derive(Debug, Serialize)]
 pub(crate) struct WireValue {
     #[serde(rename = "partition")]
@@ -47,22 +48,28 @@
     pub value: String,
 }
 
+/// A decoded and validated query.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Query {
     pub id: String,
+    /// Index of the vertical in the settings.
     pub vertical: usize,
+    /// Index of the tenant in the settings, or `None` if the settings name no tenants.
     pub tenant: Option<usize>,
+    /// Last segment of the path, if there is one after the vertical.
     pub key: Option<String>,
-    /// How long the client waits, from when it sent the query.
+    /// How long the client waits for the answer, counted from when it sent the query.
     pub timeout: Duration,
     pub parts: Vec<Part>,
-    /// What each part has to carry.
+    /// Query text that is sent to the shard server with each part.
     pub payload: Arc<str>,
 }
 
+/// One part of a query.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Part {
     pub shard: u32,
+    /// Share of this part in the complete answer; all weights of a query add up to 1.
     pub weight: f64,
 }
 
@@ -72,45 +79,48 @@
     Answered {
         complete: bool,
         values: Vec<WireValue>,
-        /// What the values take until they are written down as one body.
+        /// Memory of the values; released once they are encoded as one body.
         charge: Charge,
     },
+    /// The query was rejected and may be retried, best after this time if one is given.
     Rejected(Option<Duration>),
+    /// The query was abandoned; parts of it may have run.
     Aborted,
-    /// The query never reached the decisions.
+    /// The query was answered with an error before it reached the decision module.
     Error(StatusCode, &'static str),
 }
 
+/// Status and body of the answer to an invalid request.
 pub(crate) type RequestError = (StatusCode, &'static str);
 
 fn bad_request(reason: &'static str) -> RequestError {
     (StatusCode::BAD_REQUEST, reason)
 }
 
-/// A header's value; none where it is given twice, for then nobody can tell which one holds.
+/// Returns the value of a header. A header that is present more than once is ambiguous and counts as missing.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())?.to_str().ok()
 }
 
-/// A number and its unit: milliseconds or microseconds.
+/// Parses a number followed by its unit: `m` for milliseconds or `u` for microseconds.
 fn parse_timeout(text: &str) -> Option<Duration> {
-    let (number, second) = match text.strip_suffix('m') {
-        Some(ms) => (ms, 1e3),
+    let (number, units_per_second) = match text.strip_suffix('m') {
+        Some(number) => (number, 1e3),
         None => (text.strip_suffix('u')?, 1e6),
     };
-    let timeout = Duration::try_from_secs_f64(number.parse::<f64>().ok()? / second).ok()?;
-    Some(timeout).filter(|w| !w.is_zero() && *w <= MAX_TIMEOUT)
+    let timeout = Duration::try_from_secs_f64(number.parse::<f64>().ok()? / units_per_second).ok()?;
+    Some(timeout).filter(|timeout| !timeout.is_zero() && *timeout <= MAX_TIMEOUT)
 }
 
-/// Which vertical a path names.
+/// Returns the index of the vertical that the first segment of a path names.
 pub(crate) fn find_vertical(path: &str, network: &Network) -> Result<usize, RequestError> {
     let name = path.split('/').nth(1).unwrap_or_default();
     let found = network.verticals.iter().position(|v| v == name);
     found.ok_or((StatusCode::NOT_FOUND, "no such path"))
 }
 
-/// Whose a query is; none where the settings name no tenants.
+/// Returns the index of the tenant that sent a request, or `None` if the settings name no tenants.
 pub(crate) fn find_tenant(headers: &HeaderMap, network: &Network) -> Result<Option<usize>, RequestError> {
     if network.tenants.is_empty() {
         return Ok(None);
@@ -120,14 +130,14 @@
     Ok(Some(found.ok_or(bad_request("Req-Owner is no tenant"))?))
 }
 
-/// Reads a query of the vertical that its path names.
+/// Decodes and validates a query. `vertical` is the index that [`find_vertical`] returned for `path`.
 pub(crate) fn decode(
     vertical: usize, path: &str, headers: &HeaderMap, body: &[u8], network: &Network,
 ) -> Result<Query, RequestError> {
     let key = path.splitn(3, '/').nth(2).and_then(|rest| rest.rsplit('/').next());
     let id = single_header(headers, "req-id").ok_or(bad_request("there is no one Req-Id"))?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(plain) {
+    let is_valid = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_valid) {
         return Err(bad_request("Req-Id is not an id"));
     }
     let tenant = find_tenant(headers, network)?;
@@ -164,32 +174,33 @@
     })
 }
 
-/// A reply in a few words.
-pub(crate) fn text_response(status: StatusCode, words: &'static str) -> Response<Body> {
-    let mut reply = Response::new(Body::from(words));
+/// Returns a response with a short plain text as its body.
+pub(crate) fn text_response(status: StatusCode, text: &'static str) -> Response<Body> {
+    let mut reply = Response::new(Body::from(text));
     *reply.status_mut() = status;
     reply
 }
 
-/// About how long the body of an answer will be, a little more where no value has to be escaped.
+/// Estimates the length of the body of an answer. It is a slight overestimate if no value needs JSON escapes.
 pub(crate) fn estimate_body_bytes(values: &[WireValue]) -> usize {
     BODY_OVERHEAD_BYTES + values.iter().map(|v| VALUE_OVERHEAD_BYTES + v.value.len()).sum::<usize>()
 }
 
-/// The body of an answer.
+/// Encodes the body of an answer as JSON.
 pub(crate) fn encode_body(complete: bool, values: &[WireValue]) -> Option<Vec<u8>> {
     let mut body = Vec::with_capacity(estimate_body_bytes(values));
     serde_json::to_writer(&mut body, &WireReply { complete, results: values }).ok()?;
     Some(body)
 }
 
-/// An answer with such a body.
+/// Returns a successful response with a JSON body.
 pub(crate) fn json_response(body: Body) -> Response<Body> {
     let mut reply = Response::new(body);
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
 
+/// Converts a reply into an HTTP response.
 pub(crate) fn encode(reply: Reply) -> Response<Body> {
     match reply {
         Reply::Answered { complete, values, .. } => match encode_body(complete, &values) {
@@ -205,7 +216,7 @@
             reply
         }
         Reply::Aborted => text_response(StatusCode::BAD_GATEWAY, "given up"),
-        Reply::Error(status, words) => text_response(status, words),
+        Reply::Error(status, text) => text_response(status, text),
     }
 }
 
@@ -214,12 +225,13 @@
     use super::*;
 
     #[test]
-    fn a_time_to_come_back_is_told_in_seconds_and_a_value_as_it_came() {
+    fn retry_after_is_in_seconds_and_values_are_passed_on_unchanged() {
         let reply = encode(Reply::Rejected(Some(Duration::from_millis(250))));
         assert_eq!(reply.headers()[RETRY_AFTER], "0.250");
         assert!(!encode(Reply::Rejected(None)).headers().contains_key(RETRY_AFTER));
         let values = vec![WireValue { shard: 3, value: "5b\"e2".into() }];
-        let text = serde_json::to_string(&WireReply { complete: false, results: &values }).expect("JSON");
+        let text = serde_json::to_string(&WireReply { complete: false, results: &values })
+            .expect("the reply encodes as JSON");
         assert_eq!(text, r#"{"whole":false,"results":[{"partition":3,"value":"5b\"e2"}]}"#);
     }
 
