--- a/crates/gatherer/src/routing/book.rs
+++ b/crates/gatherer/src/routing/book.rs
@@ -83,7 +83,8 @@
 
 impl QueryTable {
     pub(super) fn new(network: &Network, settings: &Settings, ledger: Ledger) -> Self {
-        let required_weights: Vec<f64> = settings.verticals.iter().map(|v| v.need.clamp(0.0, 1.0)).collect();
+        let required_weights: Vec<f64> =
+            settings.verticals.iter().map(|v| v.required_weight.clamp(0.0, 1.0)).collect();
         let value_sizes = vec![Usual::default(); required_weights.len()];
         let (held, ids, tickets) = Default::default();
         QueryTable {
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -91,7 +91,7 @@
             clock: Clock { unix_start, started_at: now },
             min_turn_interval: settings.tick,
             now,
-            retry_after: settings.back_after,
+            retry_after: settings.max_retry_after,
             next_id: 0,
             queries: QueryTable::new(network, settings, ledger.clone()),
             pool: Pool::new(network, max_connections, events, ledger.clone()),
@@ -141,7 +141,7 @@
         &mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, ended_handlers: &EndedHandlers,
     ) {
         self.now = Instant::now();
-        self.gatherer.at(self.clock.unix_time(self.now));
+        self.gatherer.advance_to(self.clock.unix_time(self.now));
         self.pool.set_now(self.now);
         self.ledger.at(self.now - self.clock.started_at);
         let mut remaining = inbox.max_capacity();
@@ -157,7 +157,7 @@
         self.report_ended_calls();
         while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
             self.timers.pop_first();
-            self.gatherer.woke(token);
+            self.gatherer.timer_fired(token);
             self.run_actions();
         }
         self.pool.flush();
@@ -173,10 +173,10 @@
                 let _ = applied.send(self.apply_list(&list));
             }
             Event::ServerListFailed => {
-                self.gatherer.list_failed();
+                self.gatherer.server_list_failed();
                 self.run_actions();
             }
-            Event::GathererCount(alive) => self.gatherer.fleet_is(alive),
+            Event::GathererCount(alive) => self.gatherer.set_gatherer_count(alive),
             Event::Connected(connection) => self.pool.connection_up(connection),
             Event::CallAnswered { connection, id, status, value, charge } => {
                 self.handle_answer(connection, &id, status, value);
@@ -189,7 +189,7 @@
 
     fn abandon_queries(&mut self, queries: Vec<u64>) {
         for id in queries {
-            self.gatherer.abandoned(id);
+            self.gatherer.query_abandoned(id);
             self.run_actions();
             self.finish_query(id, FinalReply::Abort);
         }
@@ -200,9 +200,9 @@
         if self.servers_charge.resize(self.pool.required_bytes(list, SERVER_OVERHEAD_BYTES)).is_err() {
             return false;
         }
-        self.gatherer.list_begins(list.complete);
+        self.gatherer.begin_server_list(list.complete);
         for server in &list.servers {
-            self.gatherer.server_listed(
+            self.gatherer.update_server(
                 &server.id,
                 server.health,
                 server.cell,
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -96,7 +96,7 @@
     }
 
     pub(in crate::routing) fn cancel(&mut self, key: CallKey) {
-        self.cancel_call(key, Outcome::NeverSent, Outcome::CalledOff);
+        self.cancel_call(key, Outcome::NeverSent, Outcome::Cancelled);
     }
 
     /// A part's query has ended: what was not sent is not sent any more.
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -85,7 +85,7 @@
         let Some(c) = self.connections.remove(&connection) else { return };
         for (id, key) in &c.in_flight {
             let unwritten = c.lane.unwritten(id);
-            self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::Broken });
+            self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
         let Some(s) = self.servers.get_mut(&c.server) else { return };
         s.connections.retain(|known| *known != connection);
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -11,14 +11,14 @@
         let outcome = match status {
             CallStatus::Done => Outcome::Completed,
             CallStatus::Failed => Outcome::Errored,
-            CallStatus::Full => Outcome::TurnedAway,
+            CallStatus::Full => Outcome::Rejected,
         };
         let Some(ended) = self.pool.match_answer(connection, id, outcome) else { return };
         let completed = outcome == Outcome::Completed;
         let stored = if completed { self.queries.store_value(ended.key.0, value) } else { Ok(()) };
         if let Err(query) = stored {
             // Told before this part's end is, so that no answer is made without its value.
-            self.gatherer.out_of_room(query);
+            self.gatherer.result_buffer_full(query);
             self.run_actions();
         }
         self.report_outcome(&ended);
@@ -34,7 +34,7 @@
     fn report_outcome(&mut self, ended: &EndedCall) {
         let (part, attempt) = ended.key;
         let part_done = ended.outcome == Outcome::Completed;
-        self.gatherer.settled(part, attempt, ended.outcome, &ended.server, part_done);
+        self.gatherer.call_ended(part, attempt, ended.outcome, &ended.server, part_done);
         self.run_actions();
     }
 }
--- a/crates/gatherer/src/routing/route.rs
+++ b/crates/gatherer/src/routing/route.rs
@@ -30,11 +30,11 @@
 }
 
 impl Host for QueueingHost {
-    fn call(&mut self, part: u64, server: &str, timeout: Duration) {
+    fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
         self.queue(Action::Call { part, server: server.into(), timeout });
     }
 
-    fn call_off(&mut self, part: u64, attempt: u32) {
+    fn cancel_call(&mut self, part: u64, attempt: u32) {
         self.queue(Action::CancelCall { part, attempt });
     }
 
@@ -50,11 +50,11 @@
         self.queue(Action::Finish { query, reply: FinalReply::Abort });
     }
 
-    fn wake(&mut self, token: u64, after: Duration) {
-        self.queue(Action::Wake { token, after });
+    fn set_timer(&mut self, token: u64, delay: Duration) {
+        self.queue(Action::Wake { token, after: delay });
     }
 
-    fn watch_list(&mut self) {
+    fn watch_server_list(&mut self) {
         self.queue(Action::WatchList);
     }
 }
