--- a/crates/gatherer/src/routing/admit.rs
+++ b/crates/gatherer/src/routing/admit.rs
@@ -1,4 +1,4 @@
-//! Admit: a held query gets its numbers and is told to the module, part by part.
+//! Stage 2: an accepted query and its parts are numbered, passed to the decision module and stored.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -17,8 +17,8 @@
         let deadline = self.clock.unix_time(arrived + query.timeout);
         let (vertical, tenant, key) = (query.vertical, query.tenant, query.key.as_deref());
         self.gatherer.query_arrived(id, id, vertical, tenant, key, deadline, query.parts.len());
-        for (part, p) in (id + 1..).zip(&query.parts) {
-            self.gatherer.part_arrived(part, id, p.shard, p.weight);
+        for (number, part) in (id + 1..).zip(&query.parts) {
+            self.gatherer.part_arrived(number, id, part.shard, part.weight);
         }
         self.queries.insert(id, query, charges, ticket, reply);
         self.run_actions();
--- a/crates/gatherer/src/routing/book.rs
+++ b/crates/gatherer/src/routing/book.rs
@@ -1,4 +1,5 @@
-//! Book: the queries held, what each part brought, and the one final answer to each client.
+//! Stage 6: the table of open queries with the values received for their parts. Each query gets exactly one
+//! final reply.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,72 +13,85 @@
 
 use crate::protocol::query::{Query, Reply, WireValue};
 
-/// What a held query and each of its parts take, in bytes, beside texts and values: records here, in the
-/// module and in the pool, the request's handler, and leaf calls. Estimates: what they miss shows as
-/// unattributed, within the bound that `tests/memory.rs` holds.
+/// Estimated memory of an open query without its payload and values: its records here, in the decision module
+/// and in the pool, and the request's handler. The difference to the actual use is reported as unattributed;
+/// `tests/memory.rs` checks a bound on it.
 const QUERY_OVERHEAD_BYTES: usize = 6 * 1024;
+/// Estimated memory of each part of an open query, with its leaf calls.
 const PART_OVERHEAD_BYTES: usize = 900;
-/// What a value takes beside its text.
+/// Memory of a value in addition to its text.
 const VALUE_OVERHEAD_BYTES: usize = 32;
 
-/// Room for a query: for what is held of it, and set aside for the values that it will bring.
+/// Memory of a query: for its records, and set aside for the values that it is expected to receive.
 pub(super) struct QueryCharges {
     query: Charge,
     values: Charge,
 }
 
+/// A part of an open query.
 struct Part {
     shard: u32,
+    /// Number of leaf calls started for this part.
     attempts: u32,
     value: Option<String>,
 }
 
+/// An open query.
 struct HeldQuery {
     id: String,
     vertical: usize,
     payload: Arc<str>,
     parts: Vec<Part>,
-    /// The client's end.
+    /// Sends the reply to the request's handler.
     reply: oneshot::Sender<Reply>,
+    /// Timers of this query that may not have fired yet.
     timers: Vec<Instant>,
+    /// Ticket of the request's handler.
     ticket: u64,
     charges: QueryCharges,
 }
 
-/// The final answer to a query, as the module has it.
+/// The final reply to a query, as the decision module requests it.
 pub(super) enum FinalReply {
     Answer { complete: bool },
     Reject(Option<Duration>),
     Abort,
 }
 
-/// What has to be forgotten with a query.
+/// The timers and the part numbers of a query that has ended, which the other stages have to discard.
 pub(super) struct EndedQuery {
     pub(super) timers: Vec<Instant>,
     pub(super) parts: std::ops::Range<u64>,
 }
 
-/// What a leaf call of a part carries, and its number.
+/// The content of a leaf call.
 pub(super) struct CallRequest {
+    /// Number of this leaf call among those of its part, from 0.
     pub(super) attempt: u32,
     pub(super) vertical: usize,
+    /// Id on the wire: the query's id and the shard. Attempts of one part share it.
     pub(super) id: Arc<str>,
     pub(super) shard: u32,
     pub(super) payload: Arc<str>,
 }
 
-/// Parts are numbered on from their query, so that the last query at or below a part is its own.
+/// The table of open queries. The numbers of a query's parts follow its own, so a part belongs to the query
+/// with the highest number below its own.
 pub(super) struct QueryTable {
+    /// Open queries by their numbers.
     held: BTreeMap<u64, HeldQuery>,
+    /// The ids that clients gave to open queries.
     ids: BTreeSet<String>,
-    /// The query of each ticket.
+    /// Numbers of open queries, by the tickets of their handlers.
     tickets: BTreeMap<u64, u64>,
-    /// Queries and parts held, and the most there may be.
+    /// Number of open queries and parts together.
     count: usize,
+    /// Maximum of `count`.
     max_count: usize,
     ledger: Ledger,
-    /// By vertical, the weight of the parts that make an answer, and what a value usually takes.
+    /// Weight of the parts that make a complete answer, by vertical.
     required_weights: Vec<f64>,
+    /// Running estimate of the memory of a value, by vertical.
     value_sizes: Vec<Usual>,
 }
 
@@ -99,12 +113,14 @@
         }
     }
 
+    /// Whether an open query has this id.
     pub(super) fn contains_id(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// Room for one more query: for itself and for the values that answers of its vertical usually hold, so
-    /// that a query for which there is none is turned away before anything of it has run.
+    /// Reserves memory for a query and for the values that answers of its vertical usually have. A query
+    /// without enough memory is thus rejected before any of its parts has run. Returns `None` if memory or
+    /// the maximum number of queries and parts does not suffice.
     pub(super) fn reserve(&self, query: &Query) -> Option<QueryCharges> {
         if self.count + 1 + query.parts.len() > self.max_count {
             return None;
@@ -119,6 +135,7 @@
         Some(QueryCharges { query: charge, values })
     }
 
+    /// Stores a query under its number.
     pub(super) fn insert(
         &mut self, query: u64, received: Query, charges: QueryCharges, ticket: u64,
         reply: oneshot::Sender<Reply>,
@@ -133,23 +150,25 @@
         self.held.insert(query, held);
     }
 
-    /// The query that a part belongs to, and the part's place there.
+    /// Returns the query that a part belongs to, and the index of the part in it.
     fn find_part(&mut self, part: u64) -> Option<(&mut HeldQuery, usize)> {
         let (query, held) = self.held.range_mut(..part).next_back()?;
         let index = (part - query - 1) as usize;
         Some((held, index)).filter(|(held, index)| *index < held.parts.len())
     }
 
+    /// Returns the content of the next leaf call for a part, or `None` if its query has ended.
     pub(super) fn next_call(&mut self, part: u64) -> Option<CallRequest> {
         let (held, index) = self.find_part(part)?;
-        let p = &mut held.parts[index];
-        p.attempts += 1;
-        let id = format!("{}.{}", held.id, p.shard).into();
+        let part = &mut held.parts[index];
+        part.attempts += 1;
+        let id = format!("{}.{}", held.id, part.shard).into();
         let (vertical, payload) = (held.vertical, held.payload.clone());
-        Some(CallRequest { attempt: p.attempts - 1, vertical, id, shard: p.shard, payload })
+        Some(CallRequest { attempt: part.attempts - 1, vertical, id, shard: part.shard, payload })
     }
 
-    /// Keeps a part's value. Where there is no room for it, tells its query.
+    /// Stores the value of a part. If there is no memory for it, returns the number of its query as the
+    /// error.
     pub(super) fn store_value(&mut self, part: u64, value: String) -> Result<(), u64> {
         let Some((held, index)) = self.find_part(part) else { return Ok(()) };
         let bytes = (value.len() + VALUE_OVERHEAD_BYTES) as u64;
@@ -160,22 +179,25 @@
         Ok(())
     }
 
+    /// Records a timer of a query, so that it can be discarded with the query.
     pub(super) fn add_timer(&mut self, query: u64, at: Instant) {
         if let Some(held) = self.held.get_mut(&query) {
             held.timers.push(at);
         }
     }
 
-    /// The queries whose clients have left, by the tickets of the handlers that have ended.
+    /// Returns the open queries among those of these tickets. Their handlers have ended, so their clients
+    /// have disconnected.
     pub(super) fn queries_of(&self, tickets: Vec<u64>) -> Vec<u64> {
         tickets.iter().filter_map(|ticket| self.tickets.get(ticket).copied()).collect()
     }
 
-    pub(super) fn query_ids(&self) -> Vec<u64> {
+    /// Returns the numbers of all open queries.
+    pub(super) fn query_numbers(&self) -> Vec<u64> {
         self.held.keys().copied().collect()
     }
 
-    /// Answers a query, and holds it no more.
+    /// Removes a query and sends its final reply.
     pub(super) fn finish(&mut self, query: u64, reply: FinalReply) -> Option<EndedQuery> {
         let held = self.held.remove(&query)?;
         self.ids.remove(&held.id);
@@ -197,7 +219,7 @@
             FinalReply::Reject(retry_after) => Reply::Rejected(retry_after),
             FinalReply::Abort => Reply::Aborted,
         };
-        // The client may have left meanwhile; then nobody waits for this.
+        // Fails if the client has disconnected; the reply is then not needed.
         let _ = held.reply.send(reply);
         Some(EndedQuery { timers: held.timers, parts })
     }
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -1,6 +1,6 @@
-//! The one owner of the decisions. Everything that happens comes here as an event over a bounded
-//! channel and is told to the module turn by turn; what the module wants done is only queued, and
-//! carried out after it. A query passes the stages take in, admit, route, send, relay and book.
+//! The event loop around the decision module [`Gatherer`], which it owns. Events arrive over a bounded
+//! channel and are passed to the module in turns. The module only queues actions, which run after it has
+//! returned. A query passes the stages `take_in`, `admit`, `route`, `pool`, `relay` and `book`.
 
 mod admit;
 mod book;
@@ -28,11 +28,11 @@
 use pool::Pool;
 use route::{ActionQueue, QueueingHost};
 
-/// What a shard server takes, here and in the module, in bytes, beside its id in five places.
+/// Memory of a shard server's records here and in the decision module, without the five copies of its id.
 const SERVER_OVERHEAD_BYTES: u64 = 640;
 
-/// Unix time, told once at start and then by the monotonic clock: a server's start can be compared
-/// with it, and it never goes back.
+/// Unix time that is read once at start and then advanced by the monotonic clock. It never goes back and can
+/// be compared with the start times of servers.
 struct Clock {
     unix_start: Duration,
     started_at: Instant,
@@ -44,33 +44,37 @@
     }
 }
 
-/// What the decisions are joined to.
+/// What routing shares with the rest of the program.
 pub(crate) struct RoutingContext {
-    /// The most connections to shard servers.
+    /// Maximum number of connections to shard servers.
     pub max_connections: usize,
+    /// Sender of the events that the connections report.
     pub events: mpsc::Sender<Event>,
-    /// Told when the list of servers is wanted.
+    /// Notified when the decision module requests the server list.
     pub list_requested: Rc<Notify>,
-    /// Told when a server is ready for the first time.
+    /// Completed when a list has a ready server for the first time.
     pub ready: oneshot::Sender<()>,
     pub ledger: Ledger,
 }
 
+/// The decision module and everything that carries out its actions.
 pub(crate) struct Routing {
     gatherer: Gatherer<QueueingHost>,
     actions: ActionQueue,
     clock: Clock,
     min_turn_interval: Duration,
+    /// Start of the current turn.
     now: Instant,
-    /// When those who find no room may come back.
+    /// Retry-After time for queries that are rejected for lack of memory.
     retry_after: Option<Duration>,
+    /// Next unused number for a query or a part.
     next_id: u64,
     queries: QueryTable,
     pool: Pool,
     ledger: Ledger,
-    /// What the shard servers take.
+    /// Memory of the shard servers' records.
     servers_charge: Charge,
-    /// When the module asked to be woken, with its token.
+    /// Timers that the decision module has set, with their tokens.
     timers: BTreeSet<(Instant, u64)>,
     list_requested: Rc<Notify>,
     ready: Option<oneshot::Sender<()>>,
@@ -104,11 +108,12 @@
         routing.run_actions();
         if !routing.apply_list(initial_servers) {
             let count = initial_servers.servers.len();
-            log::error!(servers = count; "no room for the known list: it is left out");
+            log::error!(servers = count; "no memory for the configured server list; starting without it");
         }
         Ok(routing)
     }
 
+    /// Processes events until the channel closes.
     pub(crate) async fn run(mut self, mut inbox: mpsc::Receiver<Event>, ended_handlers: Arc<EndedHandlers>) {
         loop {
             let mut first = None;
@@ -122,21 +127,23 @@
                 () = ended_handlers.any_ended() => {}
                 () = sleep_until(deadline) => {}
             }
-            // Turns are no closer than the settings say: what comes between them shares frames.
+            // Calls that start between two turns share frames, so turns keep the configured distance.
             sleep_until(self.now + self.min_turn_interval).await;
-            // After a halt the sockets are read before any wait is counted as over.
+            // After the process was paused, lets the socket tasks deliver received answers before timers
+            // expire.
             tokio::task::yield_now().await;
             self.turn(first, &mut inbox, &ended_handlers);
         }
     }
 
-    /// When the next turn is due if nothing happens.
+    /// Returns when the next turn is due if no event arrives before.
     fn next_deadline(&self) -> Instant {
         let timer = self.timers.first().map(|(at, _)| *at);
         let deadline = timer.into_iter().chain(self.pool.next_deadline()).min();
         deadline.unwrap_or_else(|| self.now + Duration::from_secs(1))
     }
 
+    /// Processes queued events, abandoned queries, expired calls and timers, then sends pending calls.
     fn turn(
         &mut self, first: Option<Event>, inbox: &mut mpsc::Receiver<Event>, ended_handlers: &EndedHandlers,
     ) {
@@ -183,10 +190,11 @@
                 drop(charge);
             }
             Event::Disconnected(connection) => self.pool.connection_down(connection),
-            Event::ShuttingDown => self.abandon_queries(self.queries.query_ids()),
+            Event::ShuttingDown => self.abandon_queries(self.queries.query_numbers()),
         }
     }
 
+    /// Aborts queries, and tells the decision module that their clients no longer wait for them.
     fn abandon_queries(&mut self, queries: Vec<u64>) {
         for id in queries {
             self.gatherer.query_abandoned(id);
@@ -195,7 +203,7 @@
         }
     }
 
-    /// Takes a list over, whole or, where there is no room for it, not at all.
+    /// Applies a server list. Returns false, and applies none of it, if there is no memory for it.
     fn apply_list(&mut self, list: &ServerList) -> bool {
         if self.servers_charge.resize(self.pool.required_bytes(list, SERVER_OVERHEAD_BYTES)).is_err() {
             return false;
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -1,4 +1,4 @@
-//! Leaf calls: each waits for a connection, then for its answer, and ends exactly once.
+//! The life of a leaf call: it waits for a connection, then for its answer, and ends exactly once.
 
 use std::rc::Rc;
 
@@ -10,32 +10,38 @@
 use super::{CANCELLED_HISTORY_RATIO, CallKey, EndedCall, IDLE_CHECK_RATIO, IDLE_CLOSE_RATIO, Pool};
 use crate::routing::book::CallRequest;
 
+/// A leaf call that has not ended.
 pub(super) struct Call {
     pub(super) server: Rc<str>,
     pub(super) request: CallRequest,
-    /// Since when it waits: for a connection, then for its answer.
+    /// When the call began to wait for a connection or, once it is assigned to one, for its answer.
     pub(super) waiting_since: Instant,
+    /// When the gatherer stops waiting for the answer.
     pub(super) deadline: Instant,
-    /// The connection it went out on; none while it waits for one.
+    /// Number of the connection that the call is assigned to, or `None` while it waits for one.
     pub(super) connection: Option<u64>,
-    /// Its frame found no room here: its server is not to blame.
+    /// Whether there was no memory for its frame. If the call then expires, the server does not count as
+    /// unreachable.
     pub(super) no_memory: bool,
 }
 
 impl Call {
-    /// When its time is over: to be answered in, or to find a connection in.
+    /// Returns when the call expires: at its deadline or, while it waits for a connection, after the dial
+    /// timeout if that is earlier.
     pub(super) fn expires_at(&self, dial_timeout: Duration) -> Instant {
         self.connection.map_or((self.waiting_since + dial_timeout).min(self.deadline), |_| self.deadline)
     }
 }
 
 impl Pool {
+    /// Adds a leaf call to the pending calls of its server. The call ends as unreachable if the server is
+    /// unknown.
     pub(in crate::routing) fn enqueue(
         &mut self, part: u64, request: CallRequest, server: Rc<str>, deadline: Instant,
     ) {
         let key = (part, request.attempt);
-        let known = self.servers.get_mut(&server);
-        let Some(s) = known else {
+        let listed = self.servers.get_mut(&server);
+        let Some(s) = listed else {
             return self.ended_calls.push(EndedCall { key, server, outcome: Outcome::Unreachable });
         };
         s.pending.push_back(key);
@@ -46,20 +52,21 @@
         self.calls.insert(key, call);
     }
 
+    /// Removes a call and its expiry.
     pub(super) fn remove_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
         self.deadlines.remove(&(call.expires_at(self.dial_timeout), key));
         Some(call)
     }
 
-    /// Ends a call by itself, with nothing more said to the server.
+    /// Ends a call without notifying its server.
     pub(super) fn end_call(&mut self, key: CallKey, outcome: Outcome) {
         if let Some(call) = self.remove_call(key) {
             self.ended_calls.push(EndedCall { key, server: call.server, outcome });
         }
     }
 
-    /// Takes a call back that is not begun to be written; false if it is.
+    /// Ends a call unless its frame is already being written or has been. Returns whether the call is ended.
     pub(super) fn withdraw(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let Some(call) = self.calls.get(&key) else { return true };
         if let Some(c) = call.connection.and_then(|connection| self.connections.get_mut(&connection)) {
@@ -75,7 +82,8 @@
         true
     }
 
-    /// Stops waiting for a call: it is not sent if it is not yet, else the server is told.
+    /// Ends a call: with the outcome `unsent` if it could be withdrawn, else with the outcome `sent` and a
+    /// cancel frame to the server.
     pub(super) fn cancel_call(&mut self, key: CallKey, unsent: Outcome, sent: Outcome) {
         if self.withdraw(key, unsent) {
             return;
@@ -95,11 +103,12 @@
         self.end_call(key, sent);
     }
 
+    /// Cancels a call that the decision module no longer needs.
     pub(in crate::routing) fn cancel(&mut self, key: CallKey) {
         self.cancel_call(key, Outcome::NeverSent, Outcome::Cancelled);
     }
 
-    /// A part's query has ended: what was not sent is not sent any more.
+    /// Withdraws the unsent calls of a part whose query has ended.
     pub(in crate::routing) fn withdraw_part(&mut self, part: u64) {
         let keys: Vec<CallKey> =
             self.calls.range((part, 0)..=(part, u32::MAX)).map(|(key, _)| *key).collect();
@@ -108,20 +117,25 @@
         }
     }
 
-    /// Ends the calls whose time is up, and closes connections that stand idle.
+    /// Ends expired calls, and closes connections that are idle or unresponsive or whose incoming frame has
+    /// stalled.
     pub(in crate::routing) fn expire(&mut self) {
         while let Some((_, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= self.now) {
             self.deadlines.pop_first();
-            let server_reachable =
+            let not_server_fault =
                 self.calls.get(&key).is_some_and(|c| c.deadline <= self.now || c.no_memory);
-            let unsent = if server_reachable { Outcome::NeverSent } else { Outcome::Unreachable };
+            let unsent = if not_server_fault { Outcome::NeverSent } else { Outcome::Unreachable };
             self.cancel_call(key, unsent, Outcome::TimedOut);
         }
         for c in self.connections.values_mut() {
             let since = c.lane.reads_since().filter(|_| !c.draining);
             if since.is_some_and(|since| self.now >= since + self.dial_timeout) {
-                // A frame that has begun and does not go on brings nothing more.
-                log::warn!("a frame from {} does not end: its connection is dropped", c.server);
+                // The rest of a frame that stalls for this long is not going to arrive.
+                log::warn!(
+                    "frame from {} incomplete after {:?}; closing the connection",
+                    c.server,
+                    self.dial_timeout
+                );
                 c.close_now();
             } else if c.in_flight.is_empty() {
                 c.draining |= c.is_unresponsive(self.now, self.dial_timeout);
@@ -139,22 +153,23 @@
         }
     }
 
-    /// Finds the leaf call that an answer belongs to; none if it was given up before.
+    /// Ends the leaf call that an answer belongs to, without reporting it. Returns `None` if the answer is
+    /// for a cancelled call, is a duplicate, or was not requested on this connection.
     pub(in crate::routing) fn match_answer(
         &mut self, connection: u64, id: &str, outcome: Outcome,
     ) -> Option<EndedCall> {
         let c = self.connections.get_mut(&connection)?;
-        let matched = c.in_flight.remove_entry(id);
+        let entry = c.in_flight.remove_entry(id);
         (c.last_used, c.unanswered_since) = (self.now, Some(self.now).filter(|_| !c.in_flight.is_empty()));
-        let Some((id, key)) = matched else {
+        let Some((id, key)) = entry else {
             if let Some(at) = c.cancelled.iter().position(|(cancelled, _)| &**cancelled == id) {
                 c.cancelled.remove(at);
             } else if c.last_answered.as_deref() == Some(id) {
-                // The answer was good, and so are those that the connection still owes.
+                // A duplicate does not invalidate the first answer or those still outstanding here.
                 c.draining = true;
                 c.close_if_drained();
             } else {
-                log::warn!("a server answered {id:?}, which was not asked of it here");
+                log::warn!("{} answered {id:?}, which was not sent on this connection; closing it", c.server);
                 c.close_now();
             }
             return None;
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to shard servers: dialled for what waits, shared out evenly, closed when they stand idle or
-//! fall silent.
+//! Connections to shard servers: dialled when calls are pending, limited to an even share for each server,
+//! and closed when they are idle or unresponsive.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,51 +13,59 @@
 use super::{CallKey, Pool};
 use crate::transport::lane::{LANE_BYTES, Lane};
 
+/// A connection to a shard server, from the dial on.
 pub(super) struct Connection {
+    /// Queue to the task that reads and writes the socket.
     pub(super) lane: Rc<Lane>,
     pub(super) server: Rc<str>,
+    /// Whether the dial has succeeded.
     pub(super) connected: bool,
-    /// Takes no more calls, and is closed once none is out.
+    /// Whether the connection takes no more calls, and is closed once none is in flight.
     pub(super) draining: bool,
+    /// Calls assigned to the connection that have not ended, by the ids of their parts.
     pub(super) in_flight: BTreeMap<Arc<str>, CallKey>,
-    /// Parts given up here, and until when they may still take room.
+    /// Parts whose calls were cancelled after sending. Until its deadline, each still counts towards the
+    /// capacity.
     pub(super) cancelled: VecDeque<(Arc<str>, Instant)>,
-    /// The part answered last: a second copy of its answer is one that nobody waits for.
+    /// The part answered last, to recognize a duplicate of its answer.
     pub(super) last_answered: Option<Arc<str>>,
     pub(super) last_used: Instant,
-    /// Since when it has been asked and has said nothing.
+    /// Since when calls have been in flight without any answer.
     pub(super) unanswered_since: Option<Instant>,
     _charge: Charge,
 }
 
 impl Connection {
+    /// Returns how many more parts the connection can take, of at most `max_parts` at once.
     pub(super) fn free_capacity(&self, max_parts: usize, now: Instant) -> usize {
         let cancelled = self.cancelled.iter().filter(|(_, until)| *until > now).count();
         max_parts.saturating_sub(self.in_flight.len() + cancelled)
     }
 
-    /// Whether an answer to this part could be taken for another leaf call's.
+    /// Whether a leaf call of this part is in flight or was cancelled here. Answers name only the part, so
+    /// the answer to another leaf call of it would be ambiguous.
     pub(super) fn is_tracking(&self, id: &str) -> bool {
         self.in_flight.contains_key(id) || self.cancelled.iter().any(|(cancelled, _)| &**cancelled == id)
     }
 
-    /// Whether it has said nothing for longer than a dial may take although it was asked: perhaps nothing
-    /// comes through it any more, while the server is well.
+    /// Whether calls have been in flight for longer than the dial timeout without any answer. The connection
+    /// may be dead although the server is healthy.
     pub(super) fn is_unresponsive(&self, now: Instant, dial_timeout: Duration) -> bool {
         self.unanswered_since.is_some_and(|since| now >= since + dial_timeout)
     }
 
-    /// Whether calls may go out on it once it is up.
+    /// Whether the connection is being established and will then take calls.
     pub(super) fn is_dialling(&self) -> bool {
         !self.connected && !self.draining
     }
 
-    /// Is of no more use: ends at once, and with it what is out on it.
+    /// Closes the connection at once. The calls in flight on it end with it.
     pub(super) fn close_now(&mut self) {
         self.draining = true;
         self.lane.close();
     }
 
+    /// Closes the connection if it is draining and no call is in flight.
     pub(super) fn close_if_drained(&self) {
         if self.draining && self.in_flight.is_empty() {
             self.lane.close();
@@ -65,6 +73,7 @@
     }
 }
 
+/// Drains the connections of these numbers.
 pub(super) fn drain_connections(connections: &mut BTreeMap<u64, Connection>, numbers: &[u64]) {
     for number in numbers {
         let Some(c) = connections.get_mut(number) else { continue };
@@ -74,6 +83,7 @@
 }
 
 impl Pool {
+    /// Handles a connection that has been established.
     pub(in crate::routing) fn connection_up(&mut self, connection: u64) {
         if let Some(c) = self.connections.get_mut(&connection) {
             (c.connected, c.last_used) = (true, self.now);
@@ -81,6 +91,7 @@
         }
     }
 
+    /// Handles a connection that was closed or could not be established, and ends the calls in flight on it.
     pub(in crate::routing) fn connection_down(&mut self, connection: u64) {
         let Some(c) = self.connections.remove(&connection) else { return };
         for (id, key) in &c.in_flight {
@@ -88,12 +99,12 @@
             self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
         let Some(s) = self.servers.get_mut(&c.server) else { return };
-        s.connections.retain(|known| *known != connection);
+        s.connections.retain(|number| *number != connection);
         if s.health == Health::Gone && s.connections.is_empty() && s.pending.is_empty() {
             self.servers.remove(&c.server);
             return;
         }
-        // A dial that failed fails what waits, unless another connection is there or on its way.
+        // A failed dial ends the pending calls unless another connection is established or being dialled.
         let is_usable = |connection: &u64| self.connections.get(connection).is_some_and(|c| !c.draining);
         s.dial_failed = c.is_dialling();
         if c.is_dialling() && !s.connections.iter().any(is_usable) {
@@ -103,30 +114,31 @@
         }
     }
 
-    /// Every server has its even share of the connections.
+    /// Returns the maximum number of connections to one server: an even share of all.
     pub(super) fn connections_per_server(&self) -> usize {
         (self.max_connections / self.servers.len().max(1)).max(1)
     }
 
-    /// Closes the connection that has stood idle for longest, where there is one.
+    /// Closes the connection that has been idle for longest, if any is idle.
     pub(super) fn close_longest_idle(&mut self) {
-        let idle = |c: &&mut Connection| c.connected && !c.draining && c.in_flight.is_empty();
-        if let Some(c) = self.connections.values_mut().filter(idle).min_by_key(|c| c.last_used) {
+        let is_idle = |c: &&mut Connection| c.connected && !c.draining && c.in_flight.is_empty();
+        if let Some(c) = self.connections.values_mut().filter(is_idle).min_by_key(|c| c.last_used) {
             c.close_now();
         }
     }
 
-    /// Dials for what still waits.
+    /// Dials one more connection to a server if its pending calls need it and its share allows it. Returns
+    /// whether it has.
     pub(super) fn dial_for(&mut self, id: &Rc<str>) -> bool {
         let max_connections = self.connections_per_server();
         let Some(s) = self.servers.get_mut(id) else { return false };
         let is_dialling =
             |connection: &&u64| self.connections.get(connection).is_some_and(Connection::is_dialling);
         let dialling = s.connections.iter().filter(is_dialling).count();
-        let refused = s.dial_failed && !s.connections.is_empty();
+        let is_refusing = s.dial_failed && !s.connections.is_empty();
         if s.pending.len() <= dialling * self.max_parts_per_connection
             || s.connections.len() >= max_connections
-            || refused
+            || is_refusing
         {
             return false;
         }
@@ -134,7 +146,7 @@
             self.close_longest_idle();
             return false;
         }
-        // The number of connections follows from the room for them: only a lowered cap leaves none.
+        // `max_connections` is derived from the memory limit, so this fails only after the limit was lowered.
         let Ok(charge) = self.ledger.take(Purpose::Connections, None, LANE_BYTES) else { return false };
         let number = self.next_connection;
         self.next_connection += 1;
--- a/crates/gatherer/src/routing/pool/frames.rs
+++ b/crates/gatherer/src/routing/pool/frames.rs
@@ -1,4 +1,4 @@
-//! Frames to shard servers: what waits for one goes out in as few as the settings allow.
+//! Frames to shard servers: the pending calls of a server are sent in as few frames as the settings allow.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 use crate::routing::book::CallRequest;
 use crate::transport::lane::Queued;
 
-/// Bytes of a part in a frame beside its id and its text: numbers, spaces, and its records while it waits.
+/// Memory of a part in a queued frame without its id and payload: numbers, separators and its records.
 const PART_OVERHEAD_BYTES: usize = 96;
 
 impl Pool {
-    /// Sends what waits: each server's parts in as few frames as the settings allow.
+    /// Sends the pending calls of all servers, and dials for those that find no connection.
     pub(in crate::routing) fn flush(&mut self) {
         self.memory_short = false;
         for id in std::mem::take(&mut self.pending_servers) {
@@ -25,17 +25,19 @@
         }
     }
 
+    /// Sends the oldest pending calls of a server as one frame. Returns false if there is none, no connection
+    /// for them or no memory for the frame.
     pub(super) fn send_frame(&mut self, id: &Rc<str>) -> bool {
         let Some(s) = self.servers.get(id) else { return false };
-        // Two leaf calls of one part never share a connection: their answers look the same.
+        // Two leaf calls of one part never share a connection, because answers name only the part.
         let mut keys: Vec<CallKey> = s.pending.iter().take(self.max_parts_per_frame).copied().collect();
         if let Some(split) = (1..keys.len()).find(|at| keys[..*at].iter().any(|key| key.0 == keys[*at].0)) {
             keys.truncate(split);
         }
         let requests: Vec<&CallRequest> =
             keys.iter().filter_map(|key| Some(&self.calls.get(key)?.request)).collect();
-        // What breaks takes all along that is out there, so parts that must not run twice share a connection
-        // with no other frame while another connection can be had.
+        // A broken connection fails all calls in flight on it. Parts that must not run twice therefore share
+        // a connection with no other frame as long as another connection is available or can be dialled.
         let non_idempotent =
             |key: &CallKey| self.calls.get(key).is_some_and(|c| self.non_idempotent[c.request.vertical]);
         let exclusive = keys.iter().any(non_idempotent);
--- a/crates/gatherer/src/routing/pool/mod.rs
+++ b/crates/gatherer/src/routing/pool/mod.rs
@@ -1,5 +1,5 @@
-//! The pool: leaf calls go out in shared frames, over a bounded number of connections to each shard
-//! server, and every one of them ends exactly once.
+//! Stage 4: leaf calls are sent in shared frames, over a bounded number of connections to each shard server.
+//! Every leaf call ends exactly once.
 
 mod calls;
 mod connections;
@@ -21,49 +21,59 @@
 use connections::Connection;
 use servers::Server;
 
-/// Share of the idle time after which a connection is closed here, before the server closes it.
+/// Ratio of the servers' idle timeout after which the gatherer closes an idle connection. Below 1, so that
+/// the server does not close it while a call is on its way.
 const IDLE_CLOSE_RATIO: f64 = 0.75;
-/// How often idle connections are looked for, as a share of the same time.
+/// Interval of the check for idle connections, as a ratio of the servers' idle timeout.
 const IDLE_CHECK_RATIO: f64 = 0.1;
-/// Given-up parts a connection remembers, times what it carries at once: their answers may come late.
+/// Maximum number of cancelled parts that a connection remembers, as a multiple of the parts that it carries
+/// at once. Their answers may still arrive.
 const CANCELLED_HISTORY_RATIO: usize = 16;
-/// Pause before a frame that found no room is tried again: others are written meanwhile.
+/// Delay before sending is retried after there was no memory for a frame. Frames written meanwhile release
+/// some.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Ended calls that are told in one turn: a list, or a server, may end hundreds at once, each of which costs the
-/// decisions a look at all parts of its query. The rest is told in the next turns, and other work between.
+/// Maximum number of ended calls that are reported to the decision module in one turn. A server list or the
+/// loss of a server may end hundreds at once, and for each the module reviews all parts of its query. The
+/// rest is reported in the next turns, so that other work can run between them.
 const MAX_ENDED_CALLS_PER_TURN: usize = 100;
 
-/// A part and the number of its leaf call.
+/// The number of a part, and that of the leaf call among those of the part.
 pub(in crate::routing) type CallKey = (u64, u32);
 
+/// A leaf call that has ended, and how.
 pub(in crate::routing) struct EndedCall {
     pub(in crate::routing) key: CallKey,
     pub(in crate::routing) server: Rc<str>,
     pub(in crate::routing) outcome: Outcome,
 }
 
+/// The known shard servers, the connections to them, and the leaf calls that have not ended.
 pub(in crate::routing) struct Pool {
     servers: BTreeMap<Rc<str>, Server>,
-    /// Servers for which something may wait.
+    /// Servers that may have pending calls.
     pending_servers: BTreeSet<Rc<str>>,
     connections: BTreeMap<u64, Connection>,
     calls: BTreeMap<CallKey, Call>,
-    /// When calls run out of time, or out of patience for a connection.
+    /// When each call expires, see [`Call::expires_at`].
     deadlines: BTreeSet<(Instant, CallKey)>,
+    /// Ended calls that are not yet reported, the oldest first.
     ended_calls: Vec<EndedCall>,
     events: mpsc::Sender<Event>,
     ledger: Ledger,
-    /// A frame found no room: it is tried again soon.
+    /// Whether there was no memory for a frame in the latest flush. It is retried after
+    /// [`MEMORY_RETRY_DELAY`].
     memory_short: bool,
+    /// Start of the current turn.
     now: Instant,
     next_idle_check: Instant,
     next_connection: u64,
     max_connections: usize,
     max_parts_per_frame: usize,
     max_parts_per_connection: usize,
-    /// By vertical, whether a part must not run twice.
+    /// Whether a part must not run twice, by vertical.
     non_idempotent: Vec<bool>,
     dial_timeout: Duration,
+    /// Time after which servers close an idle connection.
     idle_timeout: Duration,
 }
 
@@ -98,6 +108,7 @@
         self.now = now;
     }
 
+    /// Returns the earliest time at which the pool has something to do, if any.
     pub(in crate::routing) fn next_deadline(&self) -> Option<Instant> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let ended = Some(self.now).filter(|_| !self.ended_calls.is_empty());
@@ -106,12 +117,13 @@
         deadline.into_iter().chain(ended).chain(idle).chain(retry).min()
     }
 
+    /// Returns the oldest ended calls, as many as may be reported in one turn.
     pub(in crate::routing) fn take_ended(&mut self) -> Vec<EndedCall> {
         let count = self.ended_calls.len().min(MAX_ENDED_CALLS_PER_TURN);
         self.ended_calls.drain(..count).collect()
     }
 
-    /// Each connection, whether it is up, and the parts out on it.
+    /// Returns the number of each connection, whether it is established, and the ids in flight on it.
     #[cfg(test)]
     pub(in crate::routing) fn connection_states(&self) -> Vec<(u64, bool, Vec<std::sync::Arc<str>>)> {
         let state =
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -1,4 +1,4 @@
-//! Relay: how leaf calls ended goes to the module, and the values that came go to the book.
+//! Stage 5: the outcomes of leaf calls are reported to the decision module, and received values are stored.
 
 use ashvane::Outcome;
 
@@ -7,6 +7,7 @@
 use crate::protocol::frame::CallStatus;
 
 impl Routing {
+    /// Stores the value of an answer and reports how its leaf call ended.
     pub(super) fn handle_answer(&mut self, connection: u64, id: &str, status: CallStatus, value: String) {
         let outcome = match status {
             CallStatus::Done => Outcome::Completed,
@@ -17,14 +18,14 @@
         let completed = outcome == Outcome::Completed;
         let stored = if completed { self.queries.store_value(ended.key.0, value) } else { Ok(()) };
         if let Err(query) = stored {
-            // Told before this part's end is, so that no answer is made without its value.
+            // Reported before the end of this part, so that the module does not answer without its value.
             self.gatherer.result_buffer_full(query);
             self.run_actions();
         }
         self.report_outcome(&ended);
     }
 
-    /// Tells the module of the calls that ended by other means, those that ended first first.
+    /// Reports leaf calls that ended without an answer, in the order in which they ended.
     pub(super) fn report_ended_calls(&mut self) {
         for ended in self.pool.take_ended() {
             self.report_outcome(&ended);
--- a/crates/gatherer/src/routing/route.rs
+++ b/crates/gatherer/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! Route: what the module wants done is queued by its host and carried out once it has returned.
+//! Stage 3: the actions that the decision module requests are queued, and run once the module has returned.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,17 +10,18 @@
 use super::Routing;
 use super::book::FinalReply;
 
+/// An action that the decision module has requested.
 pub(super) enum Action {
-    Call { part: u64, server: Rc<str>, timeout: Duration },
+    StartCall { part: u64, server: Rc<str>, timeout: Duration },
     CancelCall { part: u64, attempt: u32 },
     Finish { query: u64, reply: FinalReply },
-    Wake { token: u64, after: Duration },
-    WatchList,
+    SetTimer { token: u64, delay: Duration },
+    WatchServerList,
 }
 
 pub(super) type ActionQueue = Rc<RefCell<VecDeque<Action>>>;
 
-/// The module's hand: it only notes what is wanted.
+/// The host of the decision module. It queues the requested actions.
 pub(super) struct QueueingHost(pub(super) ActionQueue);
 
 impl QueueingHost {
@@ -31,7 +32,7 @@
 
 impl Host for QueueingHost {
     fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
-        self.queue(Action::Call { part, server: server.into(), timeout });
+        self.queue(Action::StartCall { part, server: server.into(), timeout });
     }
 
     fn cancel_call(&mut self, part: u64, attempt: u32) {
@@ -51,36 +52,37 @@
     }
 
     fn set_timer(&mut self, token: u64, delay: Duration) {
-        self.queue(Action::Wake { token, after: delay });
+        self.queue(Action::SetTimer { token, delay });
     }
 
     fn watch_server_list(&mut self) {
-        self.queue(Action::WatchList);
+        self.queue(Action::WatchServerList);
     }
 }
 
 impl Routing {
+    /// Runs the queued actions in order.
     pub(super) fn run_actions(&mut self) {
         loop {
             let Some(action) = self.actions.borrow_mut().pop_front() else { return };
             match action {
-                Action::Call { part, server, timeout } => {
+                Action::StartCall { part, server, timeout } => {
                     let Some(request) = self.queries.next_call(part) else { continue };
                     self.pool.enqueue(part, request, server, self.now + timeout);
                 }
                 Action::CancelCall { part, attempt } => self.pool.cancel((part, attempt)),
                 Action::Finish { query, reply } => self.finish_query(query, reply),
-                Action::Wake { token, after } => {
-                    let at = self.now + after;
+                Action::SetTimer { token, delay } => {
+                    let at = self.now + delay;
                     self.timers.insert((at, token));
                     self.queries.add_timer(token, at);
                 }
-                Action::WatchList => self.list_requested.notify_one(),
+                Action::WatchServerList => self.list_requested.notify_one(),
             }
         }
     }
 
-    /// A query has ended: nothing of it is sent any more, and its wakes mean nothing.
+    /// Answers a query and discards its timers and unsent calls.
     pub(super) fn finish_query(&mut self, query: u64, reply: FinalReply) {
         let Some(ended) = self.queries.finish(query, reply) else { return };
         for at in ended.timers {
--- a/crates/gatherer/src/routing/take_in.rs
+++ b/crates/gatherer/src/routing/take_in.rs
@@ -1,4 +1,5 @@
-//! Take in: a query is held if there is room and its id is new; else it is answered at once.
+//! Stage 1: a query is accepted if there is memory for it and no open query has its id. Otherwise it is
+//! answered at once.
 
 use axum::http::StatusCode;
 use tokio::sync::oneshot;
