--- a/crates/gatherer/tests/clients.rs
+++ b/crates/gatherer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients may do: well, badly, too much, or leave.
+//! Behaviour towards clients: invalid, incomplete and excessive requests, disconnects, and connection limits.
 
 mod common;
 
@@ -51,14 +51,17 @@
     for (status, case) in cases {
         let reply = world.client().await.ask(&case).await;
         assert_eq!(reply.status, status, "{case}");
-        assert!(status == 405 || status == 404 || !reply.body.is_empty(), "a reason for {case}");
+        assert!(
+            status == 405 || status == 404 || !reply.body.is_empty(),
+            "the response to {case} states a reason"
+        );
     }
     assert_eq!(world.parts(), 0);
     assert_eq!(world.client().await.ask(&request("near", "good", 4, "900m")).await.status, 200);
 }
 
 #[tokio::test]
-async fn chunked_bodies_and_microseconds_are_understood() {
+async fn chunked_bodies_and_deadlines_in_microseconds_are_accepted() {
     let world = World::start(&[Manner::Answer; 2]).await.ready().await;
     let mut client = world.client().await;
     let text = body(json!([{"partition": 3, "share": 0.5, "est_us": 9000}, {"partition": 9, "share": 0.5}]));
@@ -70,19 +73,23 @@
         client.send(&format!("{:x}\r\n{chunk}\r\n", chunk.len())).await;
         tokio::time::sleep(ms(10)).await;
     }
-    let reply = client.next().await.expect("an answer");
+    let reply = client.next().await.expect("the request is answered");
     assert_eq!((reply.status, reply.values("chunked")), (200, 2));
-    assert!(reply.head.contains("connection: close") && client.next().await.is_none(), "the last one there");
+    assert!(
+        reply.head.contains("connection: close") && client.next().await.is_none(),
+        "the connection closes after a chunked request"
+    );
 }
 
-/// Guards against a request hidden in the body of one that states its length twice, and against an answer to that.
+/// Guards against request smuggling: a second request in the body of one that states its length twice must
+/// not be answered.
 #[tokio::test]
-async fn a_length_and_chunks_together_are_refused_with_all_that_follows() {
+async fn requests_that_state_their_length_twice_are_rejected_and_their_connection_closes() {
     let world = World::start(&[Manner::Answer; 2]).await.ready().await;
-    let inner = request("near", "hidden", 4, "900m");
+    let smuggled = request("near", "hidden", 4, "900m");
     let text = body(json!([{"partition": 3, "share": 1.0}]));
-    let whole = format!("{:x}\r\n{text}\r\n0\r\n\r\n{inner}", text.len());
-    let empty = format!("0\r\n\r\n{inner}");
+    let whole = format!("{:x}\r\n{text}\r\n0\r\n\r\n{smuggled}", text.len());
+    let empty = format!("0\r\n\r\n{smuggled}");
     let chunks = "transfer-ENCODING: chunked";
     for (body, length) in [(&whole, whole.len()), (&empty, empty.len()), (&empty, 5), (&whole, text.len())] {
         let length = format!("Content-Length: {length}");
@@ -91,22 +98,22 @@
             let mut client = world.client().await;
             client.send(&format!("{head}\r\nReq-Deadline: 900m\r\n{one}\r\n{two}\r\n\r\n{body}")).await;
             assert_eq!(client.next().await.map(|r| r.status), Some(400), "{one}, {two}: {body}");
-            assert!(client.next().await.is_none(), "the connection ends");
+            assert!(client.next().await.is_none(), "the connection closes after the rejection");
         }
     }
     assert_eq!(world.parts(), 0);
-    let two = request("near", "one", 4, "900m") + &request("near", "two", 4, "900m");
+    let pipelined = request("near", "one", 4, "900m") + &request("near", "two", 4, "900m");
     let mut client = world.client().await;
-    client.send(&two).await;
+    client.send(&pipelined).await;
     for id in ["one", "two"] {
-        let reply = client.next().await.expect("an answer");
-        assert_eq!((reply.status, reply.values(id)), (200, 3), "one right behind another is no harm");
+        let reply = client.next().await.expect("the request is answered");
+        assert_eq!((reply.status, reply.values(id)), (200, 3), "pipelined requests are answered in order");
     }
 }
 
-/// Guards against clients that say nothing, or never say all, and keep a connection for it.
+/// Guards against clients that occupy a connection with an incomplete request, or with none.
 #[tokio::test]
-async fn whoever_does_not_say_all_is_told_or_closed_within_three_seconds() {
+async fn incomplete_requests_are_answered_or_closed_within_three_seconds() {
     let world = World::start(&[Manner::Answer; 2]).await.ready().await;
     let whole = request("near", "whole", 4, "900m");
     let long = whole.replace("Content-Length: ", "Content-Length: 60000");
@@ -120,18 +127,18 @@
     for case in cases.map(str::to_owned) {
         let mut client = world.client().await;
         asking.spawn(async move {
-            let came = Instant::now();
-            // What is closed may be closed while this is still being written.
+            let started = Instant::now();
+            // The write may fail, because the connection may be closed before it completes.
             let _ = tokio::io::AsyncWriteExt::write_all(&mut client.0, case.as_bytes()).await;
             let reply = client.next().await;
             assert!(reply.is_none_or(|r| (400..500).contains(&r.status)), "{case:.100}");
-            assert!(client.next().await.is_none() && came.elapsed() < ms(3000), "{case:.100}");
+            assert!(client.next().await.is_none() && started.elapsed() < ms(3000), "{case:.100}");
         });
     }
     asking.join_all().await;
     let reply = kept.ask(&request("near", "second", 4, "900m")).await;
-    assert_eq!(reply.status, 200, "who has asked keeps its connection");
-    let had = world.parts();
+    assert_eq!(reply.status, 200, "a client that has sent a complete request keeps its connection");
+    let parts_before = world.parts();
     let mut client = world.client().await;
     let mut sent = 0;
     let head = post("near", &[], "").replace("Content-Length: 0", "Content-Length: 60000000");
@@ -141,68 +148,72 @@
     {
         sent += 65536;
     }
-    assert!(sent < 30_000_000, "{sent} bytes of a body that is far too long were taken");
-    assert_eq!(world.parts(), had);
+    assert!(sent < 30_000_000, "{sent} bytes of a body over the maximum were read");
+    assert_eq!(world.parts(), parts_before);
 }
 
 #[tokio::test]
-async fn an_id_that_is_held_is_refused_and_may_come_again_later() {
+async fn the_id_of_an_open_query_is_rejected_and_may_be_reused_later() {
     let world = World::start(&[Manner::Late(ms(200)); 2]).await.ready().await;
     let mut first = world.client().await;
     first.send(&request("near", "twice", 4, "1900m")).await;
-    until("the first is sent", || world.parts() > 0).await;
+    until("the first query is sent to the servers", || world.parts() > 0).await;
     assert_eq!(world.client().await.ask(&request("near", "twice", 4, "1900m")).await.status, 409);
-    assert_eq!(first.next().await.expect("an answer").status, 200);
+    assert_eq!(first.next().await.expect("the request is answered").status, 200);
     assert_eq!(first.ask(&request("near", "twice", 4, "1900m")).await.status, 200);
 }
 
-/// Guards against work that goes on for a client that has left.
+/// Guards against work that continues for a client that has disconnected.
 #[tokio::test]
-async fn a_client_that_leaves_ends_its_query_and_its_parts_are_given_up() {
+async fn a_disconnect_ends_the_query_and_cancels_its_parts() {
     let world = World::start(&[Manner::Silent; 2]).await.ready().await;
     let mut client = world.client().await;
     client.send(&request("book", "leaves", 4, "1900m")).await;
-    until("its parts are sent", || world.parts() == 4).await;
-    let left = Instant::now();
+    until("its parts are sent to the servers", || world.parts() == 4).await;
+    let disconnected = Instant::now();
     drop(client);
     let closed = || world.shards.iter().any(|s| s.closed.load(Ordering::SeqCst) > 0);
-    let given_up = || world.shards.iter().map(|s| s.seen('C').len()).sum::<usize>() == 4 || closed();
-    until("its parts are given up, or their connections closed", given_up).await;
-    assert!(left.elapsed() < ms(500), "long before its time is over");
+    let cancelled = || world.shards.iter().map(|s| s.seen('C').len()).sum::<usize>() == 4 || closed();
+    until("its parts are cancelled, or their connections closed", cancelled).await;
+    assert!(disconnected.elapsed() < ms(500), "the parts are cancelled long before the deadline");
     world.shards.iter().for_each(|s| s.behave(Manner::Answer));
     assert_eq!(world.client().await.ask(&request("near", "leaves", 4, "900m")).await.status, 200);
 }
 
 #[tokio::test]
-async fn past_what_may_be_held_queries_are_sent_back_at_once() {
+async fn queries_over_the_maximum_are_rejected_at_once() {
     let world = World::start(&[Manner::Silent; 2]).await.ready().await;
     let mut asking = tokio::task::JoinSet::new();
     for number in 0..30 {
         let mut client = world.client().await;
         asking.spawn(async move {
-            let came = Instant::now();
+            let started = Instant::now();
             let reply = client.ask(&request("near", &format!("held-{number}"), 4, "700m")).await;
-            assert_eq!(reply.status, 503, "nothing came, and nothing was promised: {reply:?}");
-            assert!(reply.head.contains("retry-after: 0."), "with a time to come back: {reply:?}");
-            came.elapsed()
+            assert_eq!(reply.status, 503, "a query without any result is rejected: {reply:?}");
+            assert!(
+                reply.head.contains("retry-after: 0."),
+                "the rejection has a Retry-After header: {reply:?}"
+            );
+            started.elapsed()
         });
     }
     let waited = asking.join_all().await;
-    assert!(waited.iter().all(|w| *w < ms(900)), "each in its time: {waited:?}");
-    let early = waited.iter().filter(|w| **w < ms(300)).count();
-    assert!((10..30).contains(&early), "ten find no room, others are held: {waited:?}");
-    assert!(world.parts() <= 20 * 4, "twenty queries of four parts may be held");
+    assert!(waited.iter().all(|w| *w < ms(900)), "all queries end within their deadlines: {waited:?}");
+    let rejected_early = waited.iter().filter(|w| **w < ms(300)).count();
+    assert!((10..30).contains(&rejected_early), "at least ten are rejected at once, others wait: {waited:?}");
+    assert!(world.parts() <= 20 * 4, "at most twenty queries of four parts are open at once");
 }
 
-/// Guards against a client that reads nothing: others are served, and the program ends when told.
+/// Guards against clients that send half a request and then nothing: others are served, and the program still
+/// ends on SIGTERM.
 #[tokio::test]
-async fn slow_and_idle_clients_hold_nobody_up() {
+async fn slow_and_idle_clients_do_not_delay_others() {
     let mut world = World::start(&[Manner::Answer; 2]).await.ready().await;
-    let mut halves = Vec::new();
+    let mut incomplete = Vec::new();
     for _ in 0..20 {
         let mut client = world.client().await;
         client.send("POST /near/k1 HTTP/1.1\r\nHost: api\r\nReq-Id: ha").await;
-        halves.push(client);
+        incomplete.push(client);
     }
     let reply = world.client().await.ask(&request("near", "whole", 4, "900m")).await;
     assert_eq!((reply.status, reply.values("whole")), (200, 3));
@@ -210,15 +221,16 @@
     assert!(world.exit().await.success());
 }
 
-/// Guards against clients whom the machine accepted and nobody serves, where idle ones hold the descriptors.
+/// Guards against clients that the kernel has accepted but that are never served, because idle connections
+/// hold all descriptors.
 #[tokio::test]
-async fn clients_past_the_descriptors_are_served_in_place_of_idle_ones() {
+async fn clients_over_the_descriptor_limit_are_served_in_place_of_idle_ones() {
     let world =
         World::with(&[Manner::Late(ms(200)); 2], |config| config["limits"]["sockets"] = 80.into()).await;
     let world = world.ready().await;
     let mut busy = world.client().await;
     busy.send(&request("near", "busy", 4, "1900m")).await;
-    until("it is sent", || world.parts() > 0).await;
+    until("its parts are sent to the servers", || world.parts() > 0).await;
     let mut idle = Vec::new();
     for _ in 0..40 {
         idle.push(world.client().await);
@@ -228,7 +240,7 @@
         if id == "last" {
             client.send(&request("near", id, 4, "1900m")).await;
         }
-        let reply = client.next().await.expect("an answer");
+        let reply = client.next().await.expect("the request is answered");
         assert_eq!((reply.status, reply.values(id)), (200, 3));
     }
     assert!(world.descriptors() <= 80);
