--- a/crates/gatherer/src/protocol/event.rs
+++ b/crates/gatherer/src/protocol/event.rs
@@ -63,8 +63,8 @@
     Closing,
 }
 
-/// The tickets of request handlers that have ended. A ticket whose query is still open belongs to a client
-/// that disconnected; tickets avoid a scan of all open queries for them.
+/// Tickets of request handlers that have ended. If the query of such a ticket is still open, its client has
+/// disconnected. The tickets avoid a scan of all open queries for disconnected clients.
 #[derive(Default)]
 pub(crate) struct EndedHandlers {
     tickets: Mutex<Vec<u64>>,
--- a/crates/gatherer/src/protocol/query.rs
+++ b/crates/gatherer/src/protocol/query.rs
@@ -84,7 +84,7 @@
     },
     /// The query was rejected and may be retried, best after this time if one is given.
     Rejected(Option<Duration>),
-    /// The query was abandoned; parts of it may have run.
+    /// The query was aborted; its parts may have run.
     Aborted,
     /// The query was answered with an error before it reached the decision module.
     Error(StatusCode, &'static str),
--- a/crates/gatherer/src/routing/book.rs
+++ b/crates/gatherer/src/routing/book.rs
@@ -37,7 +37,7 @@
 }
 
 /// An open query.
-struct HeldQuery {
+struct OpenQuery {
     id: String,
     vertical: usize,
     payload: Arc<str>,
@@ -79,7 +79,7 @@
 /// with the highest number below its own.
 pub(super) struct QueryTable {
     /// Open queries by their numbers.
-    held: BTreeMap<u64, HeldQuery>,
+    open_queries: BTreeMap<u64, OpenQuery>,
     /// The ids that clients gave to open queries.
     ids: BTreeSet<String>,
     /// Numbers of open queries, by the tickets of their handlers.
@@ -100,9 +100,9 @@
         let required_weights: Vec<f64> =
             settings.verticals.iter().map(|v| v.required_weight.clamp(0.0, 1.0)).collect();
         let value_sizes = vec![Usual::default(); required_weights.len()];
-        let (held, ids, tickets) = Default::default();
+        let (open_queries, ids, tickets) = Default::default();
         QueryTable {
-            held,
+            open_queries,
             ids,
             tickets,
             count: 0,
@@ -145,44 +145,44 @@
         self.count += 1 + parts.len();
         self.ids.insert(received.id.clone());
         let (vertical, payload, timers) = (received.vertical, received.payload, Vec::new());
-        let held = HeldQuery { id: received.id, vertical, payload, parts, reply, timers, ticket, charges };
+        let entry = OpenQuery { id: received.id, vertical, payload, parts, reply, timers, ticket, charges };
         self.tickets.insert(ticket, query);
-        self.held.insert(query, held);
+        self.open_queries.insert(query, entry);
     }
 
     /// Returns the query that a part belongs to, and the index of the part in it.
-    fn find_part(&mut self, part: u64) -> Option<(&mut HeldQuery, usize)> {
-        let (query, held) = self.held.range_mut(..part).next_back()?;
+    fn find_part(&mut self, part: u64) -> Option<(&mut OpenQuery, usize)> {
+        let (query, entry) = self.open_queries.range_mut(..part).next_back()?;
         let index = (part - query - 1) as usize;
-        Some((held, index)).filter(|(held, index)| *index < held.parts.len())
+        Some((entry, index)).filter(|(entry, index)| *index < entry.parts.len())
     }
 
     /// Returns the content of the next leaf call for a part, or `None` if its query has ended.
     pub(super) fn next_call(&mut self, part: u64) -> Option<CallRequest> {
-        let (held, index) = self.find_part(part)?;
-        let part = &mut held.parts[index];
+        let (entry, index) = self.find_part(part)?;
+        let part = &mut entry.parts[index];
         part.attempts += 1;
-        let id = format!("{}.{}", held.id, part.shard).into();
-        let (vertical, payload) = (held.vertical, held.payload.clone());
+        let id = format!("{}.{}", entry.id, part.shard).into();
+        let (vertical, payload) = (entry.vertical, entry.payload.clone());
         Some(CallRequest { attempt: part.attempts - 1, vertical, id, shard: part.shard, payload })
     }
 
     /// Stores the value of a part. If there is no memory for it, returns the number of its query as the
     /// error.
     pub(super) fn store_value(&mut self, part: u64, value: String) -> Result<(), u64> {
-        let Some((held, index)) = self.find_part(part) else { return Ok(()) };
+        let Some((entry, index)) = self.find_part(part) else { return Ok(()) };
         let bytes = (value.len() + VALUE_OVERHEAD_BYTES) as u64;
-        held.charges.values.fill(bytes).map_err(|_| part - 1 - index as u64)?;
-        held.parts[index].value = Some(value);
-        let vertical = held.vertical;
+        entry.charges.values.fill(bytes).map_err(|_| part - 1 - index as u64)?;
+        entry.parts[index].value = Some(value);
+        let vertical = entry.vertical;
         self.value_sizes[vertical].learn(bytes);
         Ok(())
     }
 
     /// Records a timer of a query, so that it can be discarded with the query.
     pub(super) fn add_timer(&mut self, query: u64, at: Instant) {
-        if let Some(held) = self.held.get_mut(&query) {
-            held.timers.push(at);
+        if let Some(entry) = self.open_queries.get_mut(&query) {
+            entry.timers.push(at);
         }
     }
 
@@ -194,25 +194,25 @@
 
     /// Returns the numbers of all open queries.
     pub(super) fn query_numbers(&self) -> Vec<u64> {
-        self.held.keys().copied().collect()
+        self.open_queries.keys().copied().collect()
     }
 
     /// Removes a query and sends its final reply.
     pub(super) fn finish(&mut self, query: u64, reply: FinalReply) -> Option<EndedQuery> {
-        let held = self.held.remove(&query)?;
-        self.ids.remove(&held.id);
-        self.tickets.remove(&held.ticket);
-        self.count -= 1 + held.parts.len();
-        let parts = query + 1..query + 1 + held.parts.len() as u64;
+        let entry = self.open_queries.remove(&query)?;
+        self.ids.remove(&entry.id);
+        self.tickets.remove(&entry.ticket);
+        self.count -= 1 + entry.parts.len();
+        let parts = query + 1..query + 1 + entry.parts.len() as u64;
         let value = |p: Part| Some(WireValue { shard: p.shard, value: p.value? });
         let reply = match reply {
             FinalReply::Answer { complete } => {
-                let (query, mut charge) = (held.charges.query, held.charges.values);
+                let (query, mut charge) = (entry.charges.query, entry.charges.values);
                 charge.settle();
                 drop(query);
                 Reply::Answered {
                     complete,
-                    values: held.parts.into_iter().filter_map(value).collect(),
+                    values: entry.parts.into_iter().filter_map(value).collect(),
                     charge,
                 }
             }
@@ -220,7 +220,7 @@
             FinalReply::Abort => Reply::Aborted,
         };
         // Fails if the client has disconnected; the reply is then not needed.
-        let _ = held.reply.send(reply);
-        Some(EndedQuery { timers: held.timers, parts })
+        let _ = entry.reply.send(reply);
+        Some(EndedQuery { timers: entry.timers, parts })
     }
 }
--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -62,10 +62,11 @@
     gatherer: Gatherer<QueueingHost>,
     actions: ActionQueue,
     clock: Clock,
+    /// Minimum time between the starts of two turns.
     min_turn_interval: Duration,
     /// Start of the current turn.
     now: Instant,
-    /// Retry-After time for queries that are rejected for lack of memory.
+    /// Retry-After time for queries that are rejected before the decision module sees them.
     retry_after: Option<Duration>,
     /// Next unused number for a query or a part.
     next_id: u64,
@@ -127,7 +128,7 @@
                 () = ended_handlers.any_ended() => {}
                 () = sleep_until(deadline) => {}
             }
-            // Calls that start between two turns share frames, so turns keep the configured distance.
+            // Turns keep a minimum interval, so that calls requested within it share frames.
             sleep_until(self.now + self.min_turn_interval).await;
             // After the process was paused, lets the socket tasks deliver received answers before timers
             // expire.
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -41,21 +41,21 @@
     ) {
         let key = (part, request.attempt);
         let listed = self.servers.get_mut(&server);
-        let Some(s) = listed else {
+        let Some(entry) = listed else {
             return self.ended_calls.push(EndedCall { key, server, outcome: Outcome::Unreachable });
         };
-        s.pending.push_back(key);
+        entry.pending.push_back(key);
         self.pending_servers.insert(server.clone());
         let call =
             Call { server, request, waiting_since: self.now, deadline, connection: None, no_memory: false };
-        self.deadlines.insert((call.expires_at(self.dial_timeout), key));
+        self.expiries.insert((call.expires_at(self.dial_timeout), key));
         self.calls.insert(key, call);
     }
 
     /// Removes a call and its expiry.
     pub(super) fn remove_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
-        self.deadlines.remove(&(call.expires_at(self.dial_timeout), key));
+        self.expiries.remove(&(call.expires_at(self.dial_timeout), key));
         Some(call)
     }
 
@@ -69,14 +69,14 @@
     /// Ends a call unless its frame is already being written or has been. Returns whether the call is ended.
     pub(super) fn withdraw(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let Some(call) = self.calls.get(&key) else { return true };
-        if let Some(c) = call.connection.and_then(|connection| self.connections.get_mut(&connection)) {
-            if !c.lane.withdraw(&call.request.id) {
+        if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
+            if !connection.lane.withdraw(&call.request.id) {
                 return false;
             }
-            c.in_flight.remove(&call.request.id);
-            c.close_if_drained();
-        } else if let Some(s) = self.servers.get_mut(&call.server) {
-            s.pending.retain(|pending| *pending != key);
+            connection.in_flight.remove(&call.request.id);
+            connection.close_if_drained();
+        } else if let Some(server) = self.servers.get_mut(&call.server) {
+            server.pending.retain(|pending| *pending != key);
         }
         self.end_call(key, outcome);
         true
@@ -90,15 +90,15 @@
         }
         let Some(call) = self.calls.get(&key) else { return };
         let (id, deadline) = (call.request.id.clone(), call.deadline);
-        if let Some(c) = call.connection.and_then(|connection| self.connections.get_mut(&connection)) {
-            c.in_flight.remove(&id);
-            c.lane.give_up(id.clone());
-            c.cancelled.push_back((id, deadline));
-            if c.cancelled.len() > self.max_parts_per_connection * CANCELLED_HISTORY_RATIO {
-                c.cancelled.pop_front();
+        if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
+            connection.in_flight.remove(&id);
+            connection.lane.give_up(id.clone());
+            connection.cancelled.push_back((id, deadline));
+            if connection.cancelled.len() > self.max_parts_per_connection * CANCELLED_HISTORY_RATIO {
+                connection.cancelled.pop_front();
             }
-            c.draining |= c.is_unresponsive(self.now, self.dial_timeout);
-            c.close_if_drained();
+            connection.draining |= connection.is_unresponsive(self.now, self.dial_timeout);
+            connection.close_if_drained();
         }
         self.end_call(key, sent);
     }
@@ -120,36 +120,36 @@
     /// Ends expired calls, and closes connections that are idle or unresponsive or whose incoming frame has
     /// stalled.
     pub(in crate::routing) fn expire(&mut self) {
-        while let Some((_, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.deadlines.pop_first();
+        while let Some((_, key)) = self.expiries.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.expiries.pop_first();
             let not_server_fault =
-                self.calls.get(&key).is_some_and(|c| c.deadline <= self.now || c.no_memory);
+                self.calls.get(&key).is_some_and(|call| call.deadline <= self.now || call.no_memory);
             let unsent = if not_server_fault { Outcome::NeverSent } else { Outcome::Unreachable };
             self.cancel_call(key, unsent, Outcome::TimedOut);
         }
-        for c in self.connections.values_mut() {
-            let since = c.lane.reads_since().filter(|_| !c.draining);
+        for connection in self.connections.values_mut() {
+            let since = connection.lane.reads_since().filter(|_| !connection.draining);
             if since.is_some_and(|since| self.now >= since + self.dial_timeout) {
                 // The rest of a frame that stalls for this long is not going to arrive.
                 log::warn!(
                     "frame from {} incomplete after {:?}; closing the connection",
-                    c.server,
+                    connection.server,
                     self.dial_timeout
                 );
-                c.close_now();
-            } else if c.in_flight.is_empty() {
-                c.draining |= c.is_unresponsive(self.now, self.dial_timeout);
-                c.close_if_drained();
+                connection.close_now();
+            } else if connection.in_flight.is_empty() {
+                connection.draining |= connection.is_unresponsive(self.now, self.dial_timeout);
+                connection.close_if_drained();
             }
         }
         if self.now < self.next_idle_check {
             return;
         }
         self.next_idle_check = self.now + self.idle_timeout.mul_f64(IDLE_CHECK_RATIO);
-        for c in self.connections.values_mut() {
-            c.draining |=
-                c.connected && self.now >= c.last_used + self.idle_timeout.mul_f64(IDLE_CLOSE_RATIO);
-            c.close_if_drained();
+        for connection in self.connections.values_mut() {
+            connection.draining |= connection.connected
+                && self.now >= connection.last_used + self.idle_timeout.mul_f64(IDLE_CLOSE_RATIO);
+            connection.close_if_drained();
         }
     }
 
@@ -158,24 +158,28 @@
     pub(in crate::routing) fn match_answer(
         &mut self, connection: u64, id: &str, outcome: Outcome,
     ) -> Option<EndedCall> {
-        let c = self.connections.get_mut(&connection)?;
-        let entry = c.in_flight.remove_entry(id);
-        (c.last_used, c.unanswered_since) = (self.now, Some(self.now).filter(|_| !c.in_flight.is_empty()));
+        let connection = self.connections.get_mut(&connection)?;
+        let entry = connection.in_flight.remove_entry(id);
+        (connection.last_used, connection.unanswered_since) =
+            (self.now, Some(self.now).filter(|_| !connection.in_flight.is_empty()));
         let Some((id, key)) = entry else {
-            if let Some(at) = c.cancelled.iter().position(|(cancelled, _)| &**cancelled == id) {
-                c.cancelled.remove(at);
-            } else if c.last_answered.as_deref() == Some(id) {
+            if let Some(at) = connection.cancelled.iter().position(|(cancelled, _)| &**cancelled == id) {
+                connection.cancelled.remove(at);
+            } else if connection.last_answered.as_deref() == Some(id) {
                 // A duplicate does not invalidate the first answer or those still outstanding here.
-                c.draining = true;
-                c.close_if_drained();
+                connection.draining = true;
+                connection.close_if_drained();
             } else {
-                log::warn!("{} answered {id:?}, which was not sent on this connection; closing it", c.server);
-                c.close_now();
+                log::warn!(
+                    "{} answered {id:?}, which was not sent on this connection; closing it",
+                    connection.server
+                );
+                connection.close_now();
             }
             return None;
         };
-        c.last_answered = Some(id);
-        c.close_if_drained();
+        connection.last_answered = Some(id);
+        connection.close_if_drained();
         let call = self.remove_call(key)?;
         Some(EndedCall { key, server: call.server, outcome })
     }
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -76,39 +76,42 @@
 /// Drains the connections of these numbers.
 pub(super) fn drain_connections(connections: &mut BTreeMap<u64, Connection>, numbers: &[u64]) {
     for number in numbers {
-        let Some(c) = connections.get_mut(number) else { continue };
-        c.draining = true;
-        c.close_if_drained();
+        let Some(connection) = connections.get_mut(number) else { continue };
+        connection.draining = true;
+        connection.close_if_drained();
     }
 }
 
 impl Pool {
     /// Handles a connection that has been established.
-    pub(in crate::routing) fn connection_up(&mut self, connection: u64) {
-        if let Some(c) = self.connections.get_mut(&connection) {
-            (c.connected, c.last_used) = (true, self.now);
-            self.servers.get_mut(&c.server).into_iter().for_each(|s| s.dial_failed = false);
+    pub(in crate::routing) fn connection_up(&mut self, number: u64) {
+        if let Some(connection) = self.connections.get_mut(&number) {
+            (connection.connected, connection.last_used) = (true, self.now);
+            self.servers
+                .get_mut(&connection.server)
+                .into_iter()
+                .for_each(|server| server.dial_failed = false);
         }
     }
 
     /// Handles a connection that was closed or could not be established, and ends the calls in flight on it.
-    pub(in crate::routing) fn connection_down(&mut self, connection: u64) {
-        let Some(c) = self.connections.remove(&connection) else { return };
-        for (id, key) in &c.in_flight {
-            let unwritten = c.lane.unwritten(id);
+    pub(in crate::routing) fn connection_down(&mut self, number: u64) {
+        let Some(connection) = self.connections.remove(&number) else { return };
+        for (id, key) in &connection.in_flight {
+            let unwritten = connection.lane.unwritten(id);
             self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
-        let Some(s) = self.servers.get_mut(&c.server) else { return };
-        s.connections.retain(|number| *number != connection);
-        if s.health == Health::Gone && s.connections.is_empty() && s.pending.is_empty() {
-            self.servers.remove(&c.server);
+        let Some(server) = self.servers.get_mut(&connection.server) else { return };
+        server.connections.retain(|other| *other != number);
+        if server.health == Health::Gone && server.connections.is_empty() && server.pending.is_empty() {
+            self.servers.remove(&connection.server);
             return;
         }
         // A failed dial ends the pending calls unless another connection is established or being dialled.
-        let is_usable = |connection: &u64| self.connections.get(connection).is_some_and(|c| !c.draining);
-        s.dial_failed = c.is_dialling();
-        if c.is_dialling() && !s.connections.iter().any(is_usable) {
-            for key in std::mem::take(&mut s.pending) {
+        let is_usable = |number: &u64| self.connections.get(number).is_some_and(|c| !c.draining);
+        server.dial_failed = connection.is_dialling();
+        if connection.is_dialling() && !server.connections.iter().any(is_usable) {
+            for key in std::mem::take(&mut server.pending) {
                 self.end_call(key, Outcome::Unreachable);
             }
         }
@@ -122,22 +125,21 @@
     /// Closes the connection that has been idle for longest, if any is idle.
     pub(super) fn close_longest_idle(&mut self) {
         let is_idle = |c: &&mut Connection| c.connected && !c.draining && c.in_flight.is_empty();
-        if let Some(c) = self.connections.values_mut().filter(is_idle).min_by_key(|c| c.last_used) {
-            c.close_now();
+        if let Some(connection) = self.connections.values_mut().filter(is_idle).min_by_key(|c| c.last_used) {
+            connection.close_now();
         }
     }
 
     /// Dials one more connection to a server if its pending calls need it and its share allows it. Returns
-    /// whether it has.
+    /// whether a dial was started.
     pub(super) fn dial_for(&mut self, id: &Rc<str>) -> bool {
-        let max_connections = self.connections_per_server();
-        let Some(s) = self.servers.get_mut(id) else { return false };
-        let is_dialling =
-            |connection: &&u64| self.connections.get(connection).is_some_and(Connection::is_dialling);
-        let dialling = s.connections.iter().filter(is_dialling).count();
-        let is_refusing = s.dial_failed && !s.connections.is_empty();
-        if s.pending.len() <= dialling * self.max_parts_per_connection
-            || s.connections.len() >= max_connections
+        let max_for_server = self.connections_per_server();
+        let Some(server) = self.servers.get_mut(id) else { return false };
+        let is_dialling = |number: &&u64| self.connections.get(number).is_some_and(Connection::is_dialling);
+        let dialling = server.connections.iter().filter(is_dialling).count();
+        let is_refusing = server.dial_failed && !server.connections.is_empty();
+        if server.pending.len() <= dialling * self.max_parts_per_connection
+            || server.connections.len() >= max_for_server
             || is_refusing
         {
             return false;
@@ -151,7 +153,7 @@
         let number = self.next_connection;
         self.next_connection += 1;
         let lane = Rc::new(Lane::default());
-        s.connections.push(number);
+        server.connections.push(number);
         let connection = Connection {
             lane: lane.clone(),
             server: id.clone(),
@@ -166,7 +168,7 @@
         };
         self.connections.insert(number, connection);
         let (events, ledger) = (self.events.clone(), self.ledger.clone());
-        tokio::task::spawn_local(lane.run(number, s.address, self.dial_timeout, events, ledger));
+        tokio::task::spawn_local(lane.run(number, server.address, self.dial_timeout, events, ledger));
         true
     }
 }
--- a/crates/gatherer/src/routing/pool/frames.rs
+++ b/crates/gatherer/src/routing/pool/frames.rs
@@ -15,11 +15,11 @@
 impl Pool {
     /// Sends the pending calls of all servers, and dials for those that find no connection.
     pub(in crate::routing) fn flush(&mut self) {
-        self.memory_short = false;
+        self.no_memory = false;
         for id in std::mem::take(&mut self.pending_servers) {
             while self.send_frame(&id) {}
             while self.dial_for(&id) {}
-            if self.servers.get(&id).is_some_and(|s| !s.pending.is_empty()) {
+            if self.servers.get(&id).is_some_and(|server| !server.pending.is_empty()) {
                 self.pending_servers.insert(id);
             }
         }
@@ -28,9 +28,9 @@
     /// Sends the oldest pending calls of a server as one frame. Returns false if there is none, no connection
     /// for them or no memory for the frame.
     pub(super) fn send_frame(&mut self, id: &Rc<str>) -> bool {
-        let Some(s) = self.servers.get(id) else { return false };
+        let Some(server) = self.servers.get(id) else { return false };
         // Two leaf calls of one part never share a connection, because answers name only the part.
-        let mut keys: Vec<CallKey> = s.pending.iter().take(self.max_parts_per_frame).copied().collect();
+        let mut keys: Vec<CallKey> = server.pending.iter().take(self.max_parts_per_frame).copied().collect();
         if let Some(split) = (1..keys.len()).find(|at| keys[..*at].iter().any(|key| key.0 == keys[*at].0)) {
             keys.truncate(split);
         }
@@ -54,28 +54,28 @@
                 && !requests.iter().any(|p| c.is_tracking(&p.id))
         };
         let find = |fits: &dyn Fn(&Connection) -> bool| {
-            s.connections.iter().copied().find(|number| self.connections.get(number).is_some_and(fits))
+            server.connections.iter().copied().find(|number| self.connections.get(number).is_some_and(fits))
         };
-        let may_dial = s.connections.len() < self.connections_per_server() && !s.dial_failed;
-        let connection = find(&|c| fits(c) && isolated(c)).or_else(|| find(&fits).filter(|_| !may_dial));
-        let Some(connection) = connection.filter(|_| !keys.is_empty()) else { return false };
+        let may_dial = server.connections.len() < self.connections_per_server() && !server.dial_failed;
+        let number = find(&|c| fits(c) && isolated(c)).or_else(|| find(&fits).filter(|_| !may_dial));
+        let Some(number) = number.filter(|_| !keys.is_empty()) else { return false };
         let bytes: usize = requests.iter().map(|p| PART_OVERHEAD_BYTES + p.id.len() + p.payload.len()).sum();
         let Ok(charge) = self.ledger.take(Purpose::Calls, None, bytes as u64) else {
-            self.memory_short = true;
+            self.no_memory = true;
             keys.iter().for_each(|key| self.calls.get_mut(key).into_iter().for_each(|c| c.no_memory = true));
             return false;
         };
-        let Some(s) = self.servers.get_mut(id) else { return false };
-        s.pending.drain(..keys.len());
-        let Some(c) = self.connections.get_mut(&connection) else { return false };
+        let Some(server) = self.servers.get_mut(id) else { return false };
+        server.pending.drain(..keys.len());
+        let Some(connection) = self.connections.get_mut(&number) else { return false };
         let mut frame = Vec::with_capacity(keys.len());
         for key in keys {
             let Some(call) = self.calls.get_mut(&key) else { continue };
-            self.deadlines.remove(&(call.expires_at(self.dial_timeout), key));
-            (call.waiting_since, call.connection, call.no_memory) = (self.now, Some(connection), false);
-            self.deadlines.insert((call.expires_at(self.dial_timeout), key));
+            self.expiries.remove(&(call.expires_at(self.dial_timeout), key));
+            (call.waiting_since, call.connection, call.no_memory) = (self.now, Some(number), false);
+            self.expiries.insert((call.expires_at(self.dial_timeout), key));
             let request = &call.request;
-            c.in_flight.insert(request.id.clone(), key);
+            connection.in_flight.insert(request.id.clone(), key);
             frame.push(Queued {
                 id: request.id.clone(),
                 shard: request.shard,
@@ -83,9 +83,9 @@
                 until: call.deadline,
             });
         }
-        c.last_used = self.now;
-        c.unanswered_since.get_or_insert(self.now);
-        c.lane.call(frame, charge);
+        connection.last_used = self.now;
+        connection.unanswered_since.get_or_insert(self.now);
+        connection.lane.call(frame, charge);
         true
     }
 }
--- a/crates/gatherer/src/routing/pool/mod.rs
+++ b/crates/gatherer/src/routing/pool/mod.rs
@@ -29,8 +29,8 @@
 /// Maximum number of cancelled parts that a connection remembers, as a multiple of the parts that it carries
 /// at once. Their answers may still arrive.
 const CANCELLED_HISTORY_RATIO: usize = 16;
-/// Delay before sending is retried after there was no memory for a frame. Frames written meanwhile release
-/// some.
+/// Delay before sending is retried after there was no memory for a frame. Frames that are written meanwhile
+/// release memory.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Maximum number of ended calls that are reported to the decision module in one turn. A server list or the
 /// loss of a server may end hundreds at once, and for each the module reviews all parts of its query. The
@@ -55,17 +55,18 @@
     connections: BTreeMap<u64, Connection>,
     calls: BTreeMap<CallKey, Call>,
     /// When each call expires, see [`Call::expires_at`].
-    deadlines: BTreeSet<(Instant, CallKey)>,
+    expiries: BTreeSet<(Instant, CallKey)>,
     /// Ended calls that are not yet reported, the oldest first.
     ended_calls: Vec<EndedCall>,
     events: mpsc::Sender<Event>,
     ledger: Ledger,
     /// Whether there was no memory for a frame in the latest flush. It is retried after
     /// [`MEMORY_RETRY_DELAY`].
-    memory_short: bool,
+    no_memory: bool,
     /// Start of the current turn.
     now: Instant,
     next_idle_check: Instant,
+    /// Number of the next connection.
     next_connection: u64,
     max_connections: usize,
     max_parts_per_frame: usize,
@@ -87,11 +88,11 @@
             pending_servers: BTreeSet::new(),
             connections: BTreeMap::new(),
             calls: BTreeMap::new(),
-            deadlines: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             ended_calls: Vec::new(),
             events,
             ledger,
-            memory_short: false,
+            no_memory: false,
             now,
             next_idle_check: now,
             next_connection: 0,
@@ -110,10 +111,10 @@
 
     /// Returns the earliest time at which the pool has something to do, if any.
     pub(in crate::routing) fn next_deadline(&self) -> Option<Instant> {
-        let deadline = self.deadlines.first().map(|(at, _)| *at);
+        let deadline = self.expiries.first().map(|(at, _)| *at);
         let ended = Some(self.now).filter(|_| !self.ended_calls.is_empty());
         let idle = Some(self.next_idle_check).filter(|_| !self.connections.is_empty());
-        let retry = Some(self.now + MEMORY_RETRY_DELAY).filter(|_| self.memory_short);
+        let retry = Some(self.now + MEMORY_RETRY_DELAY).filter(|_| self.no_memory);
         deadline.into_iter().chain(ended).chain(idle).chain(retry).min()
     }
 
--- a/crates/gatherer/tests/serving.rs
+++ b/crates/gatherer/tests/serving.rs
@@ -152,8 +152,8 @@
 /// connection that has become unusable.
 #[tokio::test]
 async fn a_valid_answer_counts_whatever_bytes_follow_it() {
-    let incomplete_frame = b"\0\0\0\x01?";
-    for more in [&b""[..], b"\x8f\0noise", incomplete_frame, b"HTTP/1.1 200 OK\r\n"] {
+    let unknown_frame = b"\0\0\0\x01?";
+    for more in [&b""[..], b"\x8f\0noise", unknown_frame, b"HTTP/1.1 200 OK\r\n"] {
         let world = World::start(&[Manner::More(more); 2]).await.ready().await;
         let mut client = world.client().await;
         for number in 0..4 {
