--- a/crates/gatherer/src/routing/mod.rs
+++ b/crates/gatherer/src/routing/mod.rs
@@ -28,7 +28,7 @@
 use pool::Pool;
 use route::{ActionQueue, QueueingHost};
 
-/// Memory of a shard server's records here and in the decision module, without the five copies of its id.
+/// Memory of a shard server's records here and in the decision module. Its id, stored five times, is extra.
 const SERVER_OVERHEAD_BYTES: u64 = 640;
 
 /// Unix time that is read once at start and then advanced by the monotonic clock. It never goes back and can
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -26,8 +26,8 @@
 }
 
 impl Call {
-    /// Returns when the call expires: at its deadline or, while it waits for a connection, after the dial
-    /// timeout if that is earlier.
+    /// Returns when the call expires. While it waits for a connection, this is the earlier of its deadline and
+    /// the end of the dial timeout; after that, its deadline.
     pub(super) fn expires_at(&self, dial_timeout: Duration) -> Instant {
         self.connection.map_or((self.waiting_since + dial_timeout).min(self.deadline), |_| self.deadline)
     }
