--- a/crates/gatherer/src/protocol/event.rs
+++ b/crates/gatherer/src/protocol/event.rs
@@ -1,4 +1,5 @@
-//! What can happen to a gatherer, as the sockets tell it to the decisions, and the phase it is in.
+//! The events that the network code sends to routing, the phase of the program, and the tracking of request
+//! handlers that have ended.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,87 +8,96 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-use super::frame::End;
-use super::list::List;
+use super::frame::CallStatus;
+use super::list::ServerList;
 use super::query::{Query, Reply};
 
+/// An event that the network code sends to routing.
 pub(crate) enum Event {
-    Came {
+    /// A client sent a query.
+    QueryReceived {
         query: Query,
         arrived: Instant,
-        /// What its body took; given back once the query is held or answered.
-        room: Charge,
-        /// By which its client's leaving is told.
+        /// Memory of the request body; released once the query is stored or answered.
+        charge: Charge,
+        /// Ticket of the request's handler, see [`EndedHandlers`].
         ticket: u64,
         reply: oneshot::Sender<Reply>,
     },
-    /// A list, and whether there was room for it: it is taken whole or not at all.
-    Listed(List, oneshot::Sender<bool>),
-    ListFailed,
-    /// So many gatherers are alive, as far as that is known now.
-    Fleet(Option<u32>),
-    /// A connection to a shard server is up, has brought an answer, or is no more.
-    Up(u64),
-    Answered {
-        lane: u64,
+    /// Discovery sent a server list. The reply is whether the list was applied: without memory for all of it,
+    /// none of it is.
+    ServerList(ServerList, oneshot::Sender<bool>),
+    /// A request to discovery failed.
+    ServerListFailed,
+    /// The number of live gatherers, or `None` while it is unknown.
+    GathererCount(Option<u32>),
+    /// The connection of this number to a shard server was established.
+    Connected(u64),
+    /// A shard server answered a leaf call.
+    CallAnswered {
+        connection: u64,
         id: String,
-        end: End,
+        status: CallStatus,
         value: String,
-        /// What the frame took.
-        room: Charge,
+        /// Memory of the frame.
+        charge: Charge,
     },
-    Down(u64),
-    /// The program ends: what is held is given up.
-    Ending,
+    /// The connection of this number could not be established, or was closed.
+    Disconnected(u64),
+    /// The program is about to exit: all open queries are aborted.
+    ShuttingDown,
 }
 
+/// The phase of the program, from start to exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Listens, but knows no server that is ready.
+    /// Accepts connections, but knows no shard server that is ready.
     Starting,
+    /// At least one shard server has been ready.
     Ready,
-    /// Told to take over its configuration anew: serves on, until discovery has told the whole list there.
+    /// Has read the configuration again and waits for a complete list from discovery. Clients are served.
     Reloading,
-    /// Told to end: serves on, but whoever asks is told that it is not ready any more.
+    /// Has received the signal to end. Clients are served, but health checks report "not ready".
     Draining,
-    /// Asks its clients to connect elsewhere: idle connections are closed, the others once they are answered.
+    /// Asks clients to reconnect elsewhere: closes idle connections at once, others after their next answer.
     Closing,
 }
 
-/// The requests whose handlers have ended, so that those who left can be told from those answered without a
-/// look through all that is held.
+/// Tickets of request handlers that have ended. If the query of such a ticket is still open, its client has
+/// disconnected. The tickets avoid a scan of all open queries for disconnected clients.
 #[derive(Default)]
-pub(crate) struct Left {
+pub(crate) struct EndedHandlers {
     tickets: Mutex<Vec<u64>>,
-    next: AtomicU64,
-    news: Notify,
+    next_ticket: AtomicU64,
+    ended: Notify,
 }
 
-impl Left {
-    /// A ticket, which is told when what is returned is dropped.
-    pub(crate) fn ticket(self: &Arc<Self>) -> Leaving {
-        Leaving { left: self.clone(), ticket: self.next.fetch_add(1, Ordering::Relaxed) }
+impl EndedHandlers {
+    /// Returns a guard with a new ticket. Dropping the guard records the ticket as ended.
+    pub(crate) fn register(self: &Arc<Self>) -> HandlerGuard {
+        HandlerGuard { handlers: self.clone(), ticket: self.next_ticket.fetch_add(1, Ordering::Relaxed) }
     }
 
-    pub(crate) async fn news(&self) {
-        self.news.notified().await;
+    /// Waits until a handler ends.
+    pub(crate) async fn any_ended(&self) {
+        self.ended.notified().await;
     }
 
-    /// The tickets told since the last call. At most one for each open request stands here.
-    pub(crate) fn take(&self) -> Vec<u64> {
+    /// Returns the tickets recorded since the last call. There is at most one for each open request.
+    pub(crate) fn take_tickets(&self) -> Vec<u64> {
         std::mem::take(&mut *self.tickets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// A request's handler, while it lasts.
-pub(crate) struct Leaving {
-    left: Arc<Left>,
+/// Held by a request handler for as long as it runs.
+pub(crate) struct HandlerGuard {
+    handlers: Arc<EndedHandlers>,
     pub ticket: u64,
 }
 
-impl Drop for Leaving {
+impl Drop for HandlerGuard {
     fn drop(&mut self) {
-        self.left.tickets.lock().unwrap_or_else(PoisonError::into_inner).push(self.ticket);
-        self.left.news.notify_one();
+        self.handlers.tickets.lock().unwrap_or_else(PoisonError::into_inner).push(self.ticket);
+        self.handlers.ended.notify_one();
     }
 }
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -1,4 +1,4 @@
-//! Leaf calls: each waits for a connection, then for its answer, and ends exactly once.
+//! The life of a leaf call: it waits for a connection, then for its answer, and ends exactly once.
 
 use std::rc::Rc;
 
@@ -7,153 +7,180 @@
 
 use tokio::time::Instant;
 
-use super::{Ended, IDLE_LOOK_SHARE, IDLE_SHARE, Key, LATE_TIMES, Pool};
-use crate::routing::book::Carried;
+use super::{CANCELLED_HISTORY_RATIO, CallKey, EndedCall, IDLE_CHECK_RATIO, IDLE_CLOSE_RATIO, Pool};
+use crate::routing::book::CallRequest;
 
+/// A leaf call that has not ended.
 pub(super) struct Call {
     pub(super) server: Rc<str>,
-    pub(super) carried: Carried,
-    /// Since when it waits: for a connection, then for its answer.
-    pub(super) since: Instant,
-    pub(super) until: Instant,
-    /// The connection it went out on; none while it waits for one.
-    pub(super) lane: Option<u64>,
-    /// Its frame found no room here: its server is not to blame.
-    pub(super) roomless: bool,
+    pub(super) request: CallRequest,
+    /// When the call began to wait for a connection or, once it is assigned to one, for its answer.
+    pub(super) waiting_since: Instant,
+    /// When the gatherer stops waiting for the answer.
+    pub(super) deadline: Instant,
+    /// Number of the connection that the call is assigned to, or `None` while it waits for one.
+    pub(super) connection: Option<u64>,
+    /// Whether there was no memory for its frame. If the call then expires, the server does not count as
+    /// unreachable.
+    pub(super) no_memory: bool,
 }
 
 impl Call {
-    /// When its time is over: to be answered in, or to find a connection in.
-    pub(super) fn limit(&self, dial_limit: Duration) -> Instant {
-        self.lane.map_or((self.since + dial_limit).min(self.until), |_| self.until)
+    /// Returns when the call expires. While it waits for a connection, this is the earlier of its deadline and
+    /// the end of the dial timeout; after that, its deadline.
+    pub(super) fn expires_at(&self, dial_timeout: Duration) -> Instant {
+        self.connection.map_or((self.waiting_since + dial_timeout).min(self.deadline), |_| self.deadline)
     }
 }
 
 impl Pool {
-    pub(in crate::routing) fn call(&mut self, part: u64, carried: Carried, server: Rc<str>, until: Instant) {
-        let key = (part, carried.number);
-        let known = self.servers.get_mut(&server);
-        let Some(s) = known else {
-            return self.ended.push(Ended { key, server, outcome: Outcome::Unreachable });
+    /// Adds a leaf call to the pending calls of its server. The call ends as unreachable if the server is
+    /// unknown.
+    pub(in crate::routing) fn enqueue(
+        &mut self, part: u64, request: CallRequest, server: Rc<str>, deadline: Instant,
+    ) {
+        let key = (part, request.attempt);
+        let listed = self.servers.get_mut(&server);
+        let Some(entry) = listed else {
+            return self.ended_calls.push(EndedCall { key, server, outcome: Outcome::Unreachable });
         };
-        s.waiting.push_back(key);
-        self.asked.insert(server.clone());
-        let call = Call { server, carried, since: self.now, until, lane: None, roomless: false };
-        self.limits.insert((call.limit(self.dial_limit), key));
+        entry.pending.push_back(key);
+        self.pending_servers.insert(server.clone());
+        let call =
+            Call { server, request, waiting_since: self.now, deadline, connection: None, no_memory: false };
+        self.expiries.insert((call.expires_at(self.dial_timeout), key));
         self.calls.insert(key, call);
     }
 
-    pub(super) fn drop_call(&mut self, key: Key) -> Option<Call> {
+    /// Removes a call and its expiry.
+    pub(super) fn remove_call(&mut self, key: CallKey) -> Option<Call> {
         let call = self.calls.remove(&key)?;
-        self.limits.remove(&(call.limit(self.dial_limit), key));
+        self.expiries.remove(&(call.expires_at(self.dial_timeout), key));
         Some(call)
     }
 
-    /// Ends a call by itself, with nothing more said to the server.
-    pub(super) fn end(&mut self, key: Key, outcome: Outcome) {
-        if let Some(call) = self.drop_call(key) {
-            self.ended.push(Ended { key, server: call.server, outcome });
+    /// Ends a call without notifying its server.
+    pub(super) fn end_call(&mut self, key: CallKey, outcome: Outcome) {
+        if let Some(call) = self.remove_call(key) {
+            self.ended_calls.push(EndedCall { key, server: call.server, outcome });
         }
     }
 
-    /// Takes a call back that is not begun to be written; false if it is.
-    pub(super) fn withdraw(&mut self, key: Key, outcome: Outcome) -> bool {
+    /// Ends a call unless its frame is already being written or has been. Returns whether the call is ended.
+    pub(super) fn withdraw(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let Some(call) = self.calls.get(&key) else { return true };
-        if let Some(c) = call.lane.and_then(|lane| self.connections.get_mut(&lane)) {
-            if !c.lane.withdraw(&call.carried.id) {
+        if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
+            if !connection.lane.withdraw(&call.request.id) {
                 return false;
             }
-            c.out.remove(&call.carried.id);
-            c.forget_if_done();
-        } else if let Some(s) = self.servers.get_mut(&call.server) {
-            s.waiting.retain(|waiting| *waiting != key);
+            connection.in_flight.remove(&call.request.id);
+            connection.close_if_drained();
+        } else if let Some(server) = self.servers.get_mut(&call.server) {
+            server.pending.retain(|pending| *pending != key);
         }
-        self.end(key, outcome);
+        self.end_call(key, outcome);
         true
     }
 
-    /// Stops waiting for a call: it is not sent if it is not yet, else the server is told.
-    pub(super) fn give_up(&mut self, key: Key, unsent: Outcome, sent: Outcome) {
+    /// Ends a call: with the outcome `unsent` if it could be withdrawn, else with the outcome `sent` and a
+    /// cancel frame to the server.
+    pub(super) fn cancel_call(&mut self, key: CallKey, unsent: Outcome, sent: Outcome) {
         if self.withdraw(key, unsent) {
             return;
         }
         let Some(call) = self.calls.get(&key) else { return };
-        let (id, until) = (call.carried.id.clone(), call.until);
-        if let Some(c) = call.lane.and_then(|lane| self.connections.get_mut(&lane)) {
-            c.out.remove(&id);
-            c.lane.give_up(id.clone());
-            c.late.push_back((id, until));
-            if c.late.len() > self.multiplex * LATE_TIMES {
-                c.late.pop_front();
+        let (id, deadline) = (call.request.id.clone(), call.deadline);
+        if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
+            connection.in_flight.remove(&id);
+            connection.lane.give_up(id.clone());
+            connection.cancelled.push_back((id, deadline));
+            if connection.cancelled.len() > self.max_parts_per_connection * CANCELLED_HISTORY_RATIO {
+                connection.cancelled.pop_front();
             }
-            c.retired |= c.silent(self.now, self.dial_limit);
-            c.forget_if_done();
+            connection.draining |= connection.is_unresponsive(self.now, self.dial_timeout);
+            connection.close_if_drained();
         }
-        self.end(key, sent);
+        self.end_call(key, sent);
     }
 
-    pub(in crate::routing) fn call_off(&mut self, key: Key) {
-        self.give_up(key, Outcome::NeverSent, Outcome::Cancelled);
+    /// Cancels a call that the decision module no longer needs.
+    pub(in crate::routing) fn cancel(&mut self, key: CallKey) {
+        self.cancel_call(key, Outcome::NeverSent, Outcome::Cancelled);
     }
 
-    /// A part's query has ended: what was not sent is not sent any more.
-    pub(in crate::routing) fn over(&mut self, part: u64) {
-        let of: Vec<Key> = self.calls.range((part, 0)..=(part, u32::MAX)).map(|(key, _)| *key).collect();
-        for key in of {
+    /// Withdraws the unsent calls of a part whose query has ended.
+    pub(in crate::routing) fn withdraw_part(&mut self, part: u64) {
+        let keys: Vec<CallKey> =
+            self.calls.range((part, 0)..=(part, u32::MAX)).map(|(key, _)| *key).collect();
+        for key in keys {
             self.withdraw(key, Outcome::NeverSent);
         }
     }
 
-    /// Ends the calls whose time is up, and closes connections that stand idle.
-    pub(in crate::routing) fn overdue(&mut self) {
-        while let Some((_, key)) = self.limits.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.limits.pop_first();
-            let waited = self.calls.get(&key).is_some_and(|c| c.until <= self.now || c.roomless);
-            let unsent = if waited { Outcome::NeverSent } else { Outcome::Unreachable };
-            self.give_up(key, unsent, Outcome::TimedOut);
+    /// Ends expired calls, and closes connections that are idle or unresponsive or whose incoming frame has
+    /// stalled.
+    pub(in crate::routing) fn expire(&mut self) {
+        while let Some((_, key)) = self.expiries.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.expiries.pop_first();
+            let not_server_fault =
+                self.calls.get(&key).is_some_and(|call| call.deadline <= self.now || call.no_memory);
+            let unsent = if not_server_fault { Outcome::NeverSent } else { Outcome::Unreachable };
+            self.cancel_call(key, unsent, Outcome::TimedOut);
         }
-        for c in self.connections.values_mut() {
-            let since = c.lane.reads_since().filter(|_| !c.retired);
-            if since.is_some_and(|since| self.now >= since + self.dial_limit) {
-                // A frame that has begun and does not go on brings nothing more.
-                log::warn!("a frame from {} does not end: its connection is dropped", c.server);
-                c.end();
-            } else if c.out.is_empty() {
-                c.retired |= c.silent(self.now, self.dial_limit);
-                c.forget_if_done();
+        for connection in self.connections.values_mut() {
+            let since = connection.lane.reads_since().filter(|_| !connection.draining);
+            if since.is_some_and(|since| self.now >= since + self.dial_timeout) {
+                // The rest of a frame that stalls for this long is not going to arrive.
+                log::warn!(
+                    "frame from {} incomplete after {:?}; closing the connection",
+                    connection.server,
+                    self.dial_timeout
+                );
+                connection.close_now();
+            } else if connection.in_flight.is_empty() {
+                connection.draining |= connection.is_unresponsive(self.now, self.dial_timeout);
+                connection.close_if_drained();
             }
         }
-        if self.now < self.idle_look {
+        if self.now < self.next_idle_check {
             return;
         }
-        self.idle_look = self.now + self.idle_limit.mul_f64(IDLE_LOOK_SHARE);
-        for c in self.connections.values_mut() {
-            c.retired |= c.up && self.now >= c.used + self.idle_limit.mul_f64(IDLE_SHARE);
-            c.forget_if_done();
+        self.next_idle_check = self.now + self.idle_timeout.mul_f64(IDLE_CHECK_RATIO);
+        for connection in self.connections.values_mut() {
+            connection.draining |= connection.connected
+                && self.now >= connection.last_used + self.idle_timeout.mul_f64(IDLE_CLOSE_RATIO);
+            connection.close_if_drained();
         }
     }
 
-    /// Finds the leaf call that an answer belongs to; none if it was given up before.
-    pub(in crate::routing) fn answered(&mut self, lane: u64, id: &str, outcome: Outcome) -> Option<Ended> {
-        let c = self.connections.get_mut(&lane)?;
-        let asked = c.out.remove_entry(id);
-        (c.used, c.quiet) = (self.now, Some(self.now).filter(|_| !c.out.is_empty()));
-        let Some((id, key)) = asked else {
-            if let Some(at) = c.late.iter().position(|(late, _)| &**late == id) {
-                c.late.remove(at);
-            } else if c.answered.as_deref() == Some(id) {
-                // The answer was good, and so are those that the connection still owes.
-                c.retired = true;
-                c.forget_if_done();
+    /// Ends the leaf call that an answer belongs to, without reporting it. Returns `None` if the answer is
+    /// for a cancelled call, is a duplicate, or was not requested on this connection.
+    pub(in crate::routing) fn match_answer(
+        &mut self, connection: u64, id: &str, outcome: Outcome,
+    ) -> Option<EndedCall> {
+        let connection = self.connections.get_mut(&connection)?;
+        let entry = connection.in_flight.remove_entry(id);
+        (connection.last_used, connection.unanswered_since) =
+            (self.now, Some(self.now).filter(|_| !connection.in_flight.is_empty()));
+        let Some((id, key)) = entry else {
+            if let Some(at) = connection.cancelled.iter().position(|(cancelled, _)| &**cancelled == id) {
+                connection.cancelled.remove(at);
+            } else if connection.last_answered.as_deref() == Some(id) {
+                // A duplicate does not invalidate the first answer or those still outstanding here.
+                connection.draining = true;
+                connection.close_if_drained();
             } else {
-                log::warn!("a server answered {id:?}, which was not asked of it here");
-                c.end();
+                log::warn!(
+                    "{} answered {id:?}, which was not sent on this connection; closing it",
+                    connection.server
+                );
+                connection.close_now();
             }
             return None;
         };
-        c.answered = Some(id);
-        c.forget_if_done();
-        let call = self.drop_call(key)?;
-        Some(Ended { key, server: call.server, outcome })
+        connection.last_answered = Some(id);
+        connection.close_if_drained();
+        let call = self.remove_call(key)?;
+        Some(EndedCall { key, server: call.server, outcome })
     }
 }
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to shard servers: dialled for what waits, shared out evenly, closed when they stand idle or
-//! fall silent.
+//! Connections to shard servers: dialled when calls are pending, limited to an even share for each server,
+//! and closed when they are idle or unresponsive.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -10,147 +10,165 @@
 use ashvane_memory::{Charge, Purpose};
 use tokio::time::Instant;
 
-use super::{Key, Pool};
+use super::{CallKey, Pool};
 use crate::transport::lane::{LANE_BYTES, Lane};
 
+/// A connection to a shard server, from the dial on.
 pub(super) struct Connection {
+    /// Queue to the task that reads and writes the socket.
     pub(super) lane: Rc<Lane>,
     pub(super) server: Rc<str>,
-    pub(super) up: bool,
-    /// Takes no more calls, and is closed once none is out.
-    pub(super) retired: bool,
-    pub(super) out: BTreeMap<Arc<str>, Key>,
-    /// Parts given up here, and until when they may still take room.
-    pub(super) late: VecDeque<(Arc<str>, Instant)>,
-    /// The part answered last: a second copy of its answer is one that nobody waits for.
-    pub(super) answered: Option<Arc<str>>,
-    pub(super) used: Instant,
-    /// Since when it has been asked and has said nothing.
-    pub(super) quiet: Option<Instant>,
-    _room: Charge,
+    /// Whether the dial has succeeded.
+    pub(super) connected: bool,
+    /// Whether the connection takes no more calls, and is closed once none is in flight.
+    pub(super) draining: bool,
+    /// Calls assigned to the connection that have not ended, by the ids of their parts.
+    pub(super) in_flight: BTreeMap<Arc<str>, CallKey>,
+    /// Parts whose calls were cancelled after sending. Until its deadline, each still counts towards the
+    /// capacity.
+    pub(super) cancelled: VecDeque<(Arc<str>, Instant)>,
+    /// The part answered last, to recognize a duplicate of its answer.
+    pub(super) last_answered: Option<Arc<str>>,
+    pub(super) last_used: Instant,
+    /// Since when calls have been in flight without any answer.
+    pub(super) unanswered_since: Option<Instant>,
+    _charge: Charge,
 }
 
 impl Connection {
-    pub(super) fn room(&self, multiplex: usize, now: Instant) -> usize {
-        let late = self.late.iter().filter(|(_, until)| *until > now).count();
-        multiplex.saturating_sub(self.out.len() + late)
+    /// Returns how many more parts the connection can take, of at most `max_parts` at once.
+    pub(super) fn free_capacity(&self, max_parts: usize, now: Instant) -> usize {
+        let cancelled = self.cancelled.iter().filter(|(_, until)| *until > now).count();
+        max_parts.saturating_sub(self.in_flight.len() + cancelled)
     }
 
-    /// Whether an answer to this part could be taken for another leaf call's.
-    pub(super) fn knows(&self, id: &str) -> bool {
-        self.out.contains_key(id) || self.late.iter().any(|(late, _)| &**late == id)
+    /// Whether a leaf call of this part is in flight or was cancelled here. Answers name only the part, so
+    /// the answer to another leaf call of it would be ambiguous.
+    pub(super) fn is_tracking(&self, id: &str) -> bool {
+        self.in_flight.contains_key(id) || self.cancelled.iter().any(|(cancelled, _)| &**cancelled == id)
     }
 
-    /// Whether it has said nothing for longer than a dial may take although it was asked: perhaps nothing
-    /// comes through it any more, while the server is well.
-    pub(super) fn silent(&self, now: Instant, dial_limit: Duration) -> bool {
-        self.quiet.is_some_and(|since| now >= since + dial_limit)
+    /// Whether calls have been in flight for longer than the dial timeout without any answer. The connection
+    /// may be dead although the server is healthy.
+    pub(super) fn is_unresponsive(&self, now: Instant, dial_timeout: Duration) -> bool {
+        self.unanswered_since.is_some_and(|since| now >= since + dial_timeout)
     }
 
-    /// Whether calls may go out on it once it is up.
-    pub(super) fn dialling(&self) -> bool {
-        !self.up && !self.retired
+    /// Whether the connection is being established and will then take calls.
+    pub(super) fn is_dialling(&self) -> bool {
+        !self.connected && !self.draining
     }
 
-    /// Is of no more use: ends at once, and with it what is out on it.
-    pub(super) fn end(&mut self) {
-        self.retired = true;
+    /// Closes the connection at once. The calls in flight on it end with it.
+    pub(super) fn close_now(&mut self) {
+        self.draining = true;
         self.lane.close();
     }
 
-    pub(super) fn forget_if_done(&self) {
-        if self.retired && self.out.is_empty() {
+    /// Closes the connection if it is draining and no call is in flight.
+    pub(super) fn close_if_drained(&self) {
+        if self.draining && self.in_flight.is_empty() {
             self.lane.close();
         }
     }
 }
 
-pub(super) fn retire(connections: &mut BTreeMap<u64, Connection>, lanes: &[u64]) {
-    for lane in lanes {
-        let Some(c) = connections.get_mut(lane) else { continue };
-        c.retired = true;
-        c.forget_if_done();
+/// Drains the connections of these numbers.
+pub(super) fn drain_connections(connections: &mut BTreeMap<u64, Connection>, numbers: &[u64]) {
+    for number in numbers {
+        let Some(connection) = connections.get_mut(number) else { continue };
+        connection.draining = true;
+        connection.close_if_drained();
     }
 }
 
 impl Pool {
-    pub(in crate::routing) fn up(&mut self, lane: u64) {
-        if let Some(c) = self.connections.get_mut(&lane) {
-            (c.up, c.used) = (true, self.now);
-            self.servers.get_mut(&c.server).into_iter().for_each(|s| s.refuses = false);
+    /// Handles a connection that has been established.
+    pub(in crate::routing) fn connection_up(&mut self, number: u64) {
+        if let Some(connection) = self.connections.get_mut(&number) {
+            (connection.connected, connection.last_used) = (true, self.now);
+            self.servers
+                .get_mut(&connection.server)
+                .into_iter()
+                .for_each(|server| server.dial_failed = false);
         }
     }
 
-    pub(in crate::routing) fn down(&mut self, lane: u64) {
-        let Some(c) = self.connections.remove(&lane) else { return };
-        for (id, key) in &c.out {
-            let unsent = c.lane.unwritten(id);
-            self.end(*key, if unsent { Outcome::Unreachable } else { Outcome::ConnectionLost });
+    /// Handles a connection that was closed or could not be established, and ends the calls in flight on it.
+    pub(in crate::routing) fn connection_down(&mut self, number: u64) {
+        let Some(connection) = self.connections.remove(&number) else { return };
+        for (id, key) in &connection.in_flight {
+            let unwritten = connection.lane.unwritten(id);
+            self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
-        let Some(s) = self.servers.get_mut(&c.server) else { return };
-        s.lanes.retain(|known| *known != lane);
-        if s.health == Health::Gone && s.lanes.is_empty() && s.waiting.is_empty() {
-            self.servers.remove(&c.server);
+        let Some(server) = self.servers.get_mut(&connection.server) else { return };
+        server.connections.retain(|other| *other != number);
+        if server.health == Health::Gone && server.connections.is_empty() && server.pending.is_empty() {
+            self.servers.remove(&connection.server);
             return;
         }
-        // A dial that failed fails what waits, unless another connection is there or on its way.
-        let serves = |lane: &u64| self.connections.get(lane).is_some_and(|c| !c.retired);
-        s.refuses = c.dialling();
-        if c.dialling() && !s.lanes.iter().any(serves) {
-            for key in std::mem::take(&mut s.waiting) {
-                self.end(key, Outcome::Unreachable);
+        // A failed dial ends the pending calls unless another connection is established or being dialled.
+        let is_usable = |number: &u64| self.connections.get(number).is_some_and(|c| !c.draining);
+        server.dial_failed = connection.is_dialling();
+        if connection.is_dialling() && !server.connections.iter().any(is_usable) {
+            for key in std::mem::take(&mut server.pending) {
+                self.end_call(key, Outcome::Unreachable);
             }
         }
     }
 
-    /// Every server has its even share of the connections.
-    pub(super) fn share(&self) -> usize {
-        (self.most_lanes / self.servers.len().max(1)).max(1)
+    /// Returns the maximum number of connections to one server: an even share of all.
+    pub(super) fn connections_per_server(&self) -> usize {
+        (self.max_connections / self.servers.len().max(1)).max(1)
     }
 
-    /// Closes the connection that has stood idle for longest, where there is one.
-    pub(super) fn make_room(&mut self) {
-        let idle = |c: &&mut Connection| c.up && !c.retired && c.out.is_empty();
-        if let Some(c) = self.connections.values_mut().filter(idle).min_by_key(|c| c.used) {
-            c.end();
+    /// Closes the connection that has been idle for longest, if any is idle.
+    pub(super) fn close_longest_idle(&mut self) {
+        let is_idle = |c: &&mut Connection| c.connected && !c.draining && c.in_flight.is_empty();
+        if let Some(connection) = self.connections.values_mut().filter(is_idle).min_by_key(|c| c.last_used) {
+            connection.close_now();
         }
     }
 
-    /// Dials for what still waits.
+    /// Dials one more connection to a server if its pending calls need it and its share allows it. Returns
+    /// whether a dial was started.
     pub(super) fn dial_for(&mut self, id: &Rc<str>) -> bool {
-        let share = self.share();
-        let Some(s) = self.servers.get_mut(id) else { return false };
-        let dials = |lane: &&u64| self.connections.get(lane).is_some_and(Connection::dialling);
-        let dialling = s.lanes.iter().filter(dials).count();
-        let refused = s.refuses && !s.lanes.is_empty();
-        if s.waiting.len() <= dialling * self.multiplex || s.lanes.len() >= share || refused {
+        let max_for_server = self.connections_per_server();
+        let Some(server) = self.servers.get_mut(id) else { return false };
+        let is_dialling = |number: &&u64| self.connections.get(number).is_some_and(Connection::is_dialling);
+        let dialling = server.connections.iter().filter(is_dialling).count();
+        let is_refusing = server.dial_failed && !server.connections.is_empty();
+        if server.pending.len() <= dialling * self.max_parts_per_connection
+            || server.connections.len() >= max_for_server
+            || is_refusing
+        {
             return false;
         }
-        if self.connections.len() >= self.most_lanes {
-            self.make_room();
+        if self.connections.len() >= self.max_connections {
+            self.close_longest_idle();
             return false;
         }
-        // The number of connections follows from the room for them: only a lowered cap leaves none.
-        let Ok(room) = self.ledger.take(Purpose::Connections, None, LANE_BYTES) else { return false };
-        let number = self.next_lane;
-        self.next_lane += 1;
+        // `max_connections` is derived from the memory limit, so this fails only after the limit was lowered.
+        let Ok(charge) = self.ledger.take(Purpose::Connections, None, LANE_BYTES) else { return false };
+        let number = self.next_connection;
+        self.next_connection += 1;
         let lane = Rc::new(Lane::default());
-        s.lanes.push(number);
+        server.connections.push(number);
         let connection = Connection {
             lane: lane.clone(),
             server: id.clone(),
-            up: false,
-            retired: false,
-            out: BTreeMap::new(),
-            late: VecDeque::new(),
-            answered: None,
-            used: self.now,
-            quiet: None,
-            _room: room,
+            connected: false,
+            draining: false,
+            in_flight: BTreeMap::new(),
+            cancelled: VecDeque::new(),
+            last_answered: None,
+            last_used: self.now,
+            unanswered_since: None,
+            _charge: charge,
         };
         self.connections.insert(number, connection);
         let (events, ledger) = (self.events.clone(), self.ledger.clone());
-        tokio::task::spawn_local(lane.run(number, s.address, self.dial_limit, events, ledger));
+        tokio::task::spawn_local(lane.run(number, server.address, self.dial_timeout, events, ledger));
         true
     }
 }
--- a/crates/gatherer/src/routing/relay.rs
+++ b/crates/gatherer/src/routing/relay.rs
@@ -1,40 +1,41 @@
-//! Relay: how leaf calls ended goes to the module, and the values that came go to the book.
+//! Stage 5: the outcomes of leaf calls are reported to the decision module, and received values are stored.
 
 use ashvane::Outcome;
 
 use super::Routing;
-use super::pool::Ended;
-use crate::protocol::frame::End;
+use super::pool::EndedCall;
+use crate::protocol::frame::CallStatus;
 
 impl Routing {
-    pub(super) fn answered(&mut self, lane: u64, id: &str, end: End, value: String) {
-        let outcome = match end {
-            End::Done => Outcome::Completed,
-            End::Failed => Outcome::Errored,
-            End::Full => Outcome::Rejected,
+    /// Stores the value of an answer and reports how its leaf call ended.
+    pub(super) fn handle_answer(&mut self, connection: u64, id: &str, status: CallStatus, value: String) {
+        let outcome = match status {
+            CallStatus::Done => Outcome::Completed,
+            CallStatus::Failed => Outcome::Errored,
+            CallStatus::Full => Outcome::Rejected,
         };
-        let Some(ended) = self.pool.answered(lane, id, outcome) else { return };
-        let done = outcome == Outcome::Completed;
-        let kept = if done { self.book.value(ended.key.0, value) } else { Ok(()) };
-        if let Err(query) = kept {
-            // Told before this part's end is, so that no answer is made without its value.
+        let Some(ended) = self.pool.match_answer(connection, id, outcome) else { return };
+        let completed = outcome == Outcome::Completed;
+        let stored = if completed { self.queries.store_value(ended.key.0, value) } else { Ok(()) };
+        if let Err(query) = stored {
+            // Reported before the end of this part, so that the module does not answer without its value.
             self.gatherer.result_buffer_full(query);
-            self.carry_out();
+            self.run_actions();
         }
-        self.settled(&ended);
+        self.report_outcome(&ended);
     }
 
-    /// Tells the module of the calls that ended by other means, those that ended first first.
-    pub(super) fn relay_ended(&mut self) {
+    /// Reports leaf calls that ended without an answer, in the order in which they ended.
+    pub(super) fn report_ended_calls(&mut self) {
         for ended in self.pool.take_ended() {
-            self.settled(&ended);
+            self.report_outcome(&ended);
         }
     }
 
-    fn settled(&mut self, ended: &Ended) {
-        let (part, call) = ended.key;
-        let over = ended.outcome == Outcome::Completed;
-        self.gatherer.call_ended(part, call, ended.outcome, &ended.server, over);
-        self.carry_out();
+    fn report_outcome(&mut self, ended: &EndedCall) {
+        let (part, attempt) = ended.key;
+        let part_done = ended.outcome == Outcome::Completed;
+        self.gatherer.call_ended(part, attempt, ended.outcome, &ended.server, part_done);
+        self.run_actions();
     }
 }
