--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,9 +1,7 @@
-//! Every decision of a gatherer: which replica a part goes to, when a spare is released, when a
-//! query is answered or given up, which servers are shunned.
-//!
-//! How to call it: make one [`Gatherer`] from a [`Host`] and the start [`Settings`], tell it the
-//! time with `at`, then call the method named after what happened. It acts at once by calling the
-//! host. Both types, and how a leaf call can end, stand in `lib.rs`. `docs/design.md` has the why.
+//! Decisions of a gatherer: which replica a part is sent to, when an overdue part is hedged, when a query is
+//! answered, rejected or aborted, and which servers are ejected. For each event, set the time with
+//! [`Gatherer::advance_to`] and call the method named after the event; it acts through the [`Host`] before it
+//! returns. `docs/design.md` gives the reasons.
 
 mod admission;
 mod home;
@@ -17,109 +15,106 @@
 
 use crate::{Health, Host, Idempotency, Outcome, RetryBudgetSettings, Settings, VerticalSettings};
 
-/// Share of the SLO time after which a part is overdue. The design's start value.
-const THRESHOLD: f64 = 0.5;
-/// Or sooner, at so many times its usual latency: where a spare is held, and where it must go again itself.
-const LATE_WITH_SPARE: f64 = 1.7;
-const LATE_WITHOUT: f64 = 4.0;
-/// Times its usual latency at which a part past the threshold is lost, not late. The usual latency follows the
-/// answers, so a slowdown of all moves it. The fleet's pace does not count here: silence raises that too.
-const LOST: f64 = 4.0;
-/// Servers that may look impaired at once: the source's number, or this share of those used in a second.
-const IMPAIRED_MOST: f64 = 2.0;
-const IMPAIRED_SHARE: f64 = 0.34;
-/// How long a server counts as impaired and the tripped breaker halts spares: a query's time.
+/// A part is overdue at the latest after this share of its SLO time.
+const OVERDUE_SLO_RATIO: f64 = 0.5;
+/// Multiples of its usual latency after which a part is overdue: with an unsent part to replace it, or none.
+const OVERDUE_RATIO_WITH_HELD: f64 = 1.7;
+const OVERDUE_RATIO_WITHOUT_HELD: f64 = 4.0;
+/// An overdue call counts as lost after this many times its usual latency. The fleet's slowdown is left out,
+/// since lost calls raise it too; a slowdown of all servers also raises the usual latency.
+const LOST_RATIO: f64 = 4.0;
+/// Impaired servers above which the breaker halts hedging: this many, or this share of those in use if more.
+const MAX_IMPAIRED_COUNT: f64 = 2.0;
+const MAX_IMPAIRED_RATIO: f64 = 0.34;
+/// How long a server counts as impaired and the breaker halts hedging: about the duration of a query.
 const IMPAIRED_WINDOW: Duration = Duration::from_secs(1);
-/// Spares for each part sent, at least one a second: a query of a dozen parts may meet two bad servers.
-const CAP_SHARE: f64 = 0.25;
-/// Parts out at which a part leaves its home: the design's start value while parts usually take less than
-/// this share of their SLO time. Beyond it queues form: servers have few cores, and others send them parts.
-const HOME_BOUND: usize = 4;
-const EASY_SHARE: f64 = 0.05;
-const HOME_BOUND_BUSY: usize = 2;
-/// Parts that its home takes in one call where a call costs it work of its own: they are counted apart from
-/// what was out there before, for what is split into several calls costs that work several times.
-const SHARED_BOUND: usize = 8;
-/// Times the fleet's usual pace at which a server is shunned: more than healthy servers' answers spread.
-const SHUN: f64 = 2.0;
-/// Times the best zone's pace up to which this gatherer's own zone is preferred.
-const NEAR: f64 = 1.4;
-/// Times by which each failed leaf call raises a pace: two running shun a server, a stray one does not.
-const FAILED_TIMES: f64 = 2.0;
-/// The same where it was turned away as full: once is enough.
-const FULL_TIMES: f64 = 4.0;
-/// A pace worse than this says no more.
-const PACE_MOST: f64 = 16.0;
-/// Time in which what was seen of a server loses half its weight: troubles last some twenty seconds, ...
-const KEEP: Duration = Duration::from_secs(20);
-/// ... or so many of the shortest SLO time: where it is short, so are work, cold times and troubles.
-const KEEP_SLO: f64 = 20.0;
-/// Servers of a zone that must have been seen before the zone as a whole is judged.
-const SEVERAL: usize = 3;
-/// Leaf calls out at a server that tell how silent it is: the oldest; younger ones say no more, and looking
-/// through all of them would make each event cost more the more is held.
-const OLDEST: usize = 16;
-/// Weights of the latest answer in a server's pace and in a vertical's usual latency.
-const PACE_WEIGHT: f64 = 0.3;
-const USUAL_WEIGHT: f64 = 0.02;
-/// Times the usual latency that an answer above it pulls at the most: a bad quarter must not pass for usual.
-const OUTLIER: f64 = 1.5;
-/// Usual latency of a part before any answer, as a share of the SLO time.
-const USUAL_AT_FIRST: f64 = 0.1;
-/// A whole query's time beyond its parts' mean, for each e-fold of parts: the slowest, or its spare.
-const STRETCH: f64 = 0.35;
-/// Weight of the latest query, left or answered, in how long a vertical's clients wait.
-const PATIENCE_WEIGHT: f64 = 0.1;
-/// Share of the SLO time in which queries beyond a tenant's share must be predicted to be done.
-const BEYOND_SHARE: f64 = 0.7;
-/// Times its share at which a tenant is beyond it: its traffic varies by so much.
-const SHARE_SLACK: f64 = 1.3;
-/// Seconds over which this gatherer's sends and a tenant's queries a second are averaged.
-const RATE_SPAN: f64 = 10.0;
-/// Room below a cold server's limit: over four deviations of chance sends, squared and quartered.
-const COLD_CHANCE: f64 = 5.0;
-/// A wake this much later than asked shows that this gatherer was starved.
-const STARVED: Duration = Duration::from_millis(100);
-/// Calls of a part that reached no server and take nothing of its limit.
-const UNSENT_MOST: u32 = 3;
-/// Least wait before a query with an overdue or unplaced part, or the fleet, is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// First wait before the list is asked for again; it doubles, up to the next share of the stated time.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-const ASK_SHARE: f64 = 0.4;
-/// Weights may fall short by rounding; the rules bear twice this.
-const WEIGHT_SLACK: f64 = 5e-5;
-/// The list's token for wakes, above those of queries: their numbers.
-const LIST_TOKEN: u64 = 1 << 60;
+/// Hedges per call, with at least one per second allowed: a query of a dozen parts may meet two bad servers.
+const MAX_HEDGE_RATIO: f64 = 0.25;
+/// Calls in flight at which a home replica is full: if usual latency is below this share of the SLO time, and
+/// otherwise. With more, queues form: servers have few cores, and other gatherers call them too.
+const MAX_HOME_CALLS: usize = 4;
+const LIGHT_LOAD_RATIO: f64 = 0.05;
+const MAX_BUSY_HOME_CALLS: usize = 2;
+/// Parts in one batched call that a home replica takes beyond that limit, if each batched call costs it work
+/// of its own: splitting the parts over several calls would cost that work several times.
+const MAX_HOME_BATCH_PARTS: usize = 8;
+/// Servers this many times slower than the fleet are ejected; latencies of healthy servers vary by less.
+const EJECTION_RATIO: f64 = 2.0;
+/// The gatherer's own zone is preferred while it is at most this many times slower than the fastest zone.
+const LOCAL_ZONE_RATIO: f64 = 1.4;
+/// Factors by which failed and rejected calls raise a slowdown: two failures or one rejection eject a server.
+const FAILURE_FACTOR: f64 = 2.0;
+const REJECTION_FACTOR: f64 = 4.0;
+/// Upper bound of a server's slowdown; larger values carry no more information.
+const MAX_SLOWDOWN: f64 = 16.0;
+/// Half-life of observations of a server: this, or this many times the shortest SLO time if that is less.
+/// Faults last some twenty seconds; where SLO times are short, so are work, warm-up and faults.
+const MAX_HALF_LIFE: Duration = Duration::from_secs(20);
+const HALF_LIFE_SLO_RATIO: f64 = 20.0;
+/// Servers with recent observations that a zone needs to be judged as a whole.
+const MIN_ZONE_SERVERS: usize = 3;
+/// Calls in flight per server whose age is examined, the oldest first. Younger ones add no information, and
+/// examining all would make each event cost more the more calls are in flight.
+const MAX_SCANNED_CALLS: usize = 16;
+/// Weights of the latest answer in a server's slowdown and in a vertical's usual latency.
+const SLOWDOWN_WEIGHT: f64 = 0.3;
+const LATENCY_WEIGHT: f64 = 0.02;
+/// Bound on a slow answer's excess, in usual latencies: a quarter of bad servers must not define the usual.
+const MAX_LATENCY_EXCESS_RATIO: f64 = 1.5;
+/// Usual latency of a part before the first answer, as a share of the SLO time.
+const INITIAL_LATENCY_SLO_RATIO: f64 = 0.1;
+/// Growth of a query's latency over its parts' mean, per e-fold of parts: the slowest or its hedge ends it.
+const FAN_OUT_RATIO: f64 = 0.35;
+/// Weight of the latest answered or abandoned query in the time that a vertical's clients wait.
+const CLIENT_WAIT_WEIGHT: f64 = 0.1;
+/// Share of the clients' waiting time in which a query above its tenant's quota must be predicted to finish.
+const OVER_QUOTA_TIME_RATIO: f64 = 0.7;
+/// Multiple of its quota up to which a tenant is within it: its traffic varies by this much.
+const QUOTA_SLACK_RATIO: f64 = 1.3;
+/// Seconds over which rates of calls, hedges and a tenant's queries are averaged.
+const RATE_WINDOW_S: f64 = 10.0;
+/// Headroom for bursts below a cold server's call limit: (more than four standard deviations) squared / 4.
+const COLD_HEADROOM_CALLS: f64 = 5.0;
+/// A timer that fires later than this shows that the gatherer was starved of CPU time.
+const STARVATION_DELAY: Duration = Duration::from_millis(100);
+/// Calls of a part that reached no server and are not counted against its limit of calls.
+const MAX_UNSENT_CALLS: u32 = 3;
+/// Shortest time between reviews of a query with an overdue or unsendable part, and of the fleet.
+const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(50);
+/// First retry delay of the server list; it doubles up to the interval, this share of the longest allowed.
+const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
+const LIST_REQUEST_RATIO: f64 = 0.4;
+/// Tolerance for rounding in sums of weights; the rules allow twice this.
+const WEIGHT_TOLERANCE: f64 = 5e-5;
+/// Timer token of the server list; the other tokens are query numbers, which are smaller.
+const LIST_TIMER_TOKEN: u64 = 1 << 60;
 
 type ServerId = Rc<str>;
-/// A part's replica: how near to its home it stands, its pace, its id and its record.
-type Replica<'a> = ((bool, u64), f64, &'a ServerId, &'a Server);
+/// A replica that may take a part: its rank as home (own zone first, then hash), slowdown, id and state.
+type Candidate<'a> = ((bool, u64), f64, &'a ServerId, &'a Server);
 
 struct Vertical {
     need: f64,
-    floor: f64,
+    min_weight: f64,
     follow_up: u32,
     slo: Duration,
     late_utility: f64,
     idempotency: Idempotency,
-    most_calls: u32,
-    /// Whether an answer's utility is the square of the weight that is in.
+    max_calls: u32,
     squared: bool,
-    /// Usual seconds of a part, in the first and the second step.
-    usual: [f64; 2],
-    heard: Duration,
-    /// Whether any answer has come yet.
+    /// Usual latency of a part in seconds, in the first and the second step.
+    latency_s: [f64; 2],
+    last_answer: Duration,
     answered: bool,
-    /// Seconds that its clients wait: the SLO time, or less while many leave before their time.
-    patience: f64,
+    /// Seconds that clients wait: the SLO time, or less while many abandon their queries before it.
+    client_wait_s: f64,
 }
 
-/// So many a second, of late.
+/// Events per second, averaged over [`RATE_WINDOW_S`], and the time of the last event.
 #[derive(Default)]
 struct Rate(f64, Duration);
 
-/// A part and the number of its leaf call.
+/// Id of a part and the number of its call.
 type CallKey = (u64, u32);
 
 struct Call {
@@ -128,24 +123,23 @@
     step: usize,
 }
 
-/// All that is known of a shard server.
 #[derive(Default)]
 struct Server {
     health: Health,
     cell: u32,
     zone: Option<u32>,
-    /// When it started, if that could still mean that it is cold.
+    /// Start time, if it is so recent that the server may be cold.
     started: Option<Duration>,
     calls: BTreeMap<CallKey, Call>,
-    /// The same by when they were sent, each with its expected seconds.
-    ages: BTreeMap<(Duration, CallKey), f64>,
-    /// Its silence as last looked at, and when: a call that is sent adds none at that time.
-    silent: Cell<(Duration, f64)>,
-    /// Latency of its answers against the expected one; the same for errors, by vertical.
-    pace: f64,
-    seen: Duration,
-    faults: BTreeMap<usize, f64>,
-    impaired: Option<Duration>,
+    /// The usual latency in seconds of each call in flight, by its time of sending.
+    calls_by_age: BTreeMap<(Duration, CallKey), f64>,
+    /// Time and result of the last [`Gatherer::pending_slowdown`]; a call sent at that time adds nothing.
+    pending_cache: Cell<(Duration, f64)>,
+    /// Latency of answers as a multiple of the usual one, raised by failures; by errors, for each vertical.
+    slowdown: f64,
+    last_seen: Duration,
+    error_slowdowns: BTreeMap<usize, f64>,
+    impaired_at: Option<Duration>,
 }
 
 #[derive(Default)]
@@ -154,12 +148,13 @@
     shard: u32,
     weight: f64,
     done: bool,
-    spared: bool,
+    /// Whether its call no longer counts as pending, so that another part or call is sent in its place.
+    hedged: bool,
+    /// Numbers of calls started, of those that reached no server, and of those in flight.
     calls: u32,
-    /// Of its calls, those that reached no server.
     unsent: u32,
-    out: u32,
-    maybe_ran: bool,
+    active: u32,
+    may_have_run: bool,
     first_sent: Duration,
     last_sent: Duration,
     tried: Vec<ServerId>,
@@ -171,71 +166,75 @@
     vertical: usize,
     tenant: Option<usize>,
     key: u64,
-    /// Drawn once, so that all its parts find their cold servers open, or none.
-    luck: f64,
-    came: Duration,
-    until: Duration,
+    /// Random number that admits all parts of the query to cold and ejected servers, or none.
+    draw: f64,
+    arrived: Duration,
+    deadline: Duration,
     parts: Vec<Part>,
     step: usize,
-    /// Weight that makes this step whole.
+    /// Weight of parts that completes the current step, and its number of parts.
     need: f64,
-    awaited: usize,
-    short: bool,
-    due: Option<Duration>,
+    size: usize,
+    is_partial: bool,
+    review_at: Option<Duration>,
 }
 
+/// The decisions of one gatherer and the state behind them.
 pub struct Gatherer<H: Host> {
     host: H,
     now: Duration,
-    /// Waits are counted from here on at the earliest: before it this gatherer was starved.
-    awake: Duration,
+    /// Earliest time from which waits are measured: before it the gatherer was starved of CPU time.
+    running_since: Duration,
     rng: fastrand::Rng,
     zone: Option<u32>,
     verticals: Vec<Vertical>,
+    /// Quota of each tenant in queries per second, and its rate of queries.
     tenants: Vec<(f64, Rate)>,
-    /// By the settings' number of gatherers, and by that of those alive where it is known.
-    stated_share: f64,
-    even_share: f64,
-    /// Hashed, for each part looks up each of its holders; nothing goes by its order.
+    /// This gatherer's even share of the load: by the settings, and by the live gatherers if known.
+    configured_share: f64,
+    gatherer_share: f64,
+    /// A hash map, since each part looks up every holder of its shard; nothing depends on the order.
     servers: HashMap<ServerId, Server>,
-    holders: BTreeMap<u32, Vec<ServerId>>,
-    /// Each zone's pace and the fleet's usual one, as last looked at.
-    zones: BTreeMap<Option<u32>, f64>,
-    usual_pace: f64,
-    ready: usize,
-    looked_at: Duration,
-    /// Time in which what was seen of a server loses half its weight.
-    keep: Duration,
-    /// Servers that may tell something of their zones: seen of late, or with leaf calls out.
-    told: BTreeSet<ServerId>,
-    /// Those that looked impaired, by when: at least all of the last while.
+    /// Listed servers by cell.
+    cells: BTreeMap<u32, Vec<ServerId>>,
+    /// Slowdown of each zone, and of the fastest one, at the last [`Gatherer::update_fleet_slowdown`].
+    zone_slowdowns: BTreeMap<Option<u32>, f64>,
+    fleet_slowdown: f64,
+    ready_count: usize,
+    fleet_updated: Duration,
+    half_life: Duration,
+    /// Servers that count for their zones: observed recently, or with calls in flight.
+    observed: BTreeSet<ServerId>,
+    /// Impaired servers by time, complete for the last [`IMPAIRED_WINDOW`].
     impaired: BTreeSet<(Duration, ServerId)>,
     queries: BTreeMap<u64, Query>,
-    /// When each query is due, the earliest first.
-    dues: BTreeSet<(Duration, u64)>,
-    /// The query's number for the id of each query and part held.
-    numbers: BTreeMap<u64, u64>,
-    cells: u32,
-    span: u32,
-    second_copies: bool,
-    call_off: bool,
-    back_after: Option<Duration>,
+    /// Next review of each query, by time and number.
+    reviews: BTreeSet<(Duration, u64)>,
+    /// Number of the query for the id of each query and part.
+    query_numbers: BTreeMap<u64, u64>,
+    cell_count: u32,
+    cells_per_shard: u32,
+    allow_hedging: bool,
+    allow_cancel: bool,
+    max_retry_after: Option<Duration>,
+    /// Time before a deadline or time limit at which the gatherer acts, to be in time.
     end_margin: Duration,
-    ask_every: Option<Duration>,
-    ask_wait: Duration,
-    ask_at: Duration,
-    budget: Option<RetryBudgetSettings>,
-    taken: VecDeque<Duration>,
-    extras: VecDeque<Duration>,
-    /// The most parts of one call that a home takes whatever its bound.
-    shared_most: usize,
-    cold_from: f64,
-    cold_time: Duration,
-    fall_time: Duration,
-    cold_factor: f64,
-    sends: Rate,
-    spares: Rate,
-    halted_until: Duration,
+    list_interval: Option<Duration>,
+    list_retry_delay: Duration,
+    list_request_at: Duration,
+    retry_budget: Option<RetryBudgetSettings>,
+    /// Times of queries and parts that arrived, and of retries, within the retry budget's window.
+    requests: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
+    /// Largest batch of parts that a home replica takes beyond its limit of calls.
+    max_batch_parts: usize,
+    cold_capacity: f64,
+    warm_up_time: Duration,
+    overload_window: Duration,
+    overload_factor: f64,
+    call_rate: Rate,
+    hedge_rate: Rate,
+    no_hedge_until: Duration,
 }
 
 fn hash(key: u64, text: &str) -> u64 {
@@ -247,305 +246,306 @@
 
 impl Rate {
     fn at(&self, now: Duration) -> f64 {
-        self.0 * (-(now - self.1).as_secs_f64() / RATE_SPAN).exp()
+        self.0 * (-(now - self.1).as_secs_f64() / RATE_WINDOW_S).exp()
     }
 
     fn count(&mut self, now: Duration) {
-        *self = Rate(self.at(now) + 1.0 / RATE_SPAN, now);
+        *self = Rate(self.at(now) + 1.0 / RATE_WINDOW_S, now);
     }
 }
 
 impl Vertical {
-    fn new(v: &VerticalSettings, most_calls: u32, squared: bool, now: Duration) -> Self {
-        let (need, floor, follow_up, slo) = (v.required_weight, v.min_weight, v.follow_up_parts, v.slo);
+    fn new(v: &VerticalSettings, max_calls: u32, squared: bool, now: Duration) -> Self {
+        let (need, min_weight, follow_up, slo) = (v.required_weight, v.min_weight, v.follow_up_parts, v.slo);
         let (late_utility, idempotency) = (v.late_utility, v.idempotency);
-        let (heard, answered, patience) = (now, false, slo.as_secs_f64());
-        let first = patience * USUAL_AT_FIRST;
-        let usual = [first, first * f64::from(follow_up.min(1))];
+        let (last_answer, answered, client_wait_s) = (now, false, slo.as_secs_f64());
+        let first = client_wait_s * INITIAL_LATENCY_SLO_RATIO;
+        let latency_s = [first, first * f64::from(follow_up.min(1))];
         Vertical {
             need,
-            floor,
+            min_weight,
             follow_up,
             slo,
             late_utility,
             idempotency,
-            most_calls,
+            max_calls,
             squared,
-            usual,
-            heard,
+            latency_s,
+            last_answer,
             answered,
-            patience,
+            client_wait_s,
         }
     }
 }
 
 impl<H: Host> Gatherer<H> {
+    /// Creates a gatherer and requests the server list through `host` if the settings call for it.
     pub fn new(host: H, settings: &Settings, now: Duration) -> Self {
-        let most_calls = settings.max_calls_per_part.max(1);
-        let verticals = settings.verticals.iter().map(|v| Vertical::new(v, most_calls, false, now));
-        let gatherers = f64::from(settings.gatherer_count.max(1));
-        let shortest = settings.verticals.iter().map(|v| v.slo).min().unwrap_or_default();
-        let keep = KEEP.min(shortest.mul_f64(KEEP_SLO)).max(IMPAIRED_WINDOW);
-        let tenants = settings.tenant_rates.iter().map(|share| (share.max(1e-6), Rate::default()));
+        let max_calls = settings.max_calls_per_part.max(1);
+        let verticals = settings.verticals.iter().map(|v| Vertical::new(v, max_calls, false, now));
+        let gatherer_count = f64::from(settings.gatherer_count.max(1));
+        let min_slo = settings.verticals.iter().map(|v| v.slo).min().unwrap_or_default();
+        let half_life = MAX_HALF_LIFE.min(min_slo.mul_f64(HALF_LIFE_SLO_RATIO)).max(IMPAIRED_WINDOW);
+        let tenants = settings.tenant_rates.iter().map(|rate| (rate.max(1e-6), Rate::default()));
         let mut gatherer = Gatherer {
             host,
             now,
-            awake: now,
+            running_since: now,
             rng: fastrand::Rng::with_seed(settings.seed),
             zone: settings.zone,
             verticals: verticals.collect(),
             tenants: tenants.collect(),
-            stated_share: 1.0 / gatherers,
-            even_share: 1.0 / gatherers,
+            configured_share: 1.0 / gatherer_count,
+            gatherer_share: 1.0 / gatherer_count,
             servers: HashMap::new(),
-            holders: BTreeMap::new(),
-            zones: BTreeMap::new(),
-            usual_pace: 1.0,
-            ready: 0,
-            looked_at: now,
-            keep,
-            told: BTreeSet::new(),
+            cells: BTreeMap::new(),
+            zone_slowdowns: BTreeMap::new(),
+            fleet_slowdown: 1.0,
+            ready_count: 0,
+            fleet_updated: now,
+            half_life,
+            observed: BTreeSet::new(),
             impaired: BTreeSet::new(),
             queries: BTreeMap::new(),
-            dues: BTreeSet::new(),
-            numbers: BTreeMap::new(),
-            cells: settings.cell_count.max(1),
-            span: settings.cells_per_shard,
-            second_copies: settings.allow_hedging,
-            call_off: settings.allow_cancel,
-            back_after: settings.max_retry_after,
+            reviews: BTreeSet::new(),
+            query_numbers: BTreeMap::new(),
+            cell_count: settings.cell_count.max(1),
+            cells_per_shard: settings.cells_per_shard,
+            allow_hedging: settings.allow_hedging,
+            allow_cancel: settings.allow_cancel,
+            max_retry_after: settings.max_retry_after,
             end_margin: settings.tick * 2,
-            ask_every: settings.max_list_request_interval.map(|t| t.mul_f64(ASK_SHARE)),
-            ask_wait: ASK_AGAIN,
-            ask_at: now,
-            budget: settings.retry_budget,
-            taken: VecDeque::new(),
-            extras: VecDeque::new(),
-            shared_most: if settings.call_overhead.is_zero() {
+            list_interval: settings.max_list_request_interval.map(|t| t.mul_f64(LIST_REQUEST_RATIO)),
+            list_retry_delay: LIST_RETRY_DELAY,
+            list_request_at: now,
+            retry_budget: settings.retry_budget,
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
+            max_batch_parts: if settings.call_overhead.is_zero() {
                 0
             } else {
-                SHARED_BOUND.min(settings.max_parts_per_call)
+                MAX_HOME_BATCH_PARTS.min(settings.max_parts_per_call)
             },
-            cold_from: settings.cold_capacity_share,
-            cold_time: settings.warm_up_time,
-            fall_time: settings.overload_window,
-            cold_factor: settings.overload_factor,
-            sends: Rate::default(),
-            spares: Rate::default(),
-            halted_until: now,
+            cold_capacity: settings.cold_capacity_share,
+            warm_up_time: settings.warm_up_time,
+            overload_window: settings.overload_window,
+            overload_factor: settings.overload_factor,
+            call_rate: Rate::default(),
+            hedge_rate: Rate::default(),
+            no_hedge_until: now,
         };
-        gatherer.list_due();
+        gatherer.request_list_if_due();
         gatherer
     }
 
-    /// The time of what happens next to this gatherer. An overdue wake shows that it stood still: calls out
-    /// count as young and teach nothing, lest their servers be taken for late. Does harm where wakes are
-    /// always late: spares are late by as much.
+    /// Sets the time of the next events. An overdue timer shows starvation: calls in flight then count as
+    /// sent now, and not against their servers. Drawback: if timers always fire late, hedges are as late.
     pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
-        if self.dues.first().is_some_and(|(due, _)| self.now > *due + STARVED) {
-            self.awake = self.now;
+        if self.reviews.first().is_some_and(|(due, _)| self.now > *due + STARVATION_DELAY) {
+            self.running_since = self.now;
         }
-        if self.now >= self.looked_at + LOOK_AGAIN {
-            self.look_at_fleet();
+        if self.now >= self.fleet_updated + MIN_REVIEW_INTERVAL {
+            self.update_fleet_slowdown();
         }
     }
 
-    /// A vertical that came or changed after the start: what was learnt of it stays while its SLO time does.
-    /// Its parts may have so many leaf calls each; `squared`: a partial answer has the square of its weight.
-    pub fn set_vertical(&mut self, at: usize, settings: &VerticalSettings, most_calls: u32, squared: bool) {
-        let mut new = Vertical::new(settings, most_calls.max(1), squared, self.now);
-        match self.verticals.get_mut(at) {
+    /// Adds or changes a vertical; what was observed of it is kept if its SLO time is the same. Each of its
+    /// parts may have `max_calls` calls. If `squared`, an answer's utility is the square of its weight.
+    pub fn set_vertical(&mut self, index: usize, settings: &VerticalSettings, max_calls: u32, squared: bool) {
+        let mut new = Vertical::new(settings, max_calls.max(1), squared, self.now);
+        match self.verticals.get_mut(index) {
             Some(v) => {
                 if v.slo == new.slo {
-                    (new.usual, new.heard, new.answered) = (v.usual, v.heard, v.answered);
-                    new.patience = v.patience;
+                    (new.latency_s, new.last_answer, new.answered) = (v.latency_s, v.last_answer, v.answered);
+                    new.client_wait_s = v.client_wait_s;
                 }
                 *v = new;
             }
             None => self.verticals.push(new),
         }
-        let shortest = self.verticals.iter().map(|v| v.slo).min().unwrap_or_default();
-        self.keep = KEEP.min(shortest.mul_f64(KEEP_SLO)).max(IMPAIRED_WINDOW);
+        let min_slo = self.verticals.iter().map(|v| v.slo).min().unwrap_or_default();
+        self.half_life = MAX_HALF_LIFE.min(min_slo.mul_f64(HALF_LIFE_SLO_RATIO)).max(IMPAIRED_WINDOW);
     }
 
-    /// So many gatherers are alive, this one among them; none where only the settings tell.
-    pub fn set_gatherer_count(&mut self, alive: Option<u32>) {
-        self.even_share = alive.map_or(self.stated_share, |alive| 1.0 / f64::from(alive.max(1)));
+    /// Sets the number of live gatherers, including this one; with `None` that in the settings applies.
+    pub fn set_gatherer_count(&mut self, live: Option<u32>) {
+        self.gatherer_share = live.map_or(self.configured_share, |live| 1.0 / f64::from(live.max(1)));
     }
 
-    /// A query came; its parts follow before time moves on.
+    /// Adds a query of `size` parts, which must be added before time advances. Parts refer to it by `number`.
     #[allow(clippy::too_many_arguments)]
     pub fn query_arrived(
         &mut self, id: u64, number: u64, vertical: usize, tenant: Option<usize>, key: Option<&str>,
-        until: Duration, awaited: usize,
+        deadline: Duration, size: usize,
     ) {
-        let since = self.now.saturating_sub(self.budget.map_or(Duration::ZERO, |b| b.window));
-        while self.taken.front().is_some_and(|t| *t < since) {
-            self.taken.pop_front();
+        let since = self.now.saturating_sub(self.retry_budget.map_or(Duration::ZERO, |b| b.window));
+        while self.requests.front().is_some_and(|t| *t < since) {
+            self.requests.pop_front();
         }
-        self.taken.push_back(self.now);
+        self.requests.push_back(self.now);
         if vertical >= self.verticals.len() || self.queries.contains_key(&number) {
             return self.host.abort(id);
         }
-        self.numbers.insert(id, number);
+        self.query_numbers.insert(id, number);
         let key = key.map_or_else(|| hash(number, ""), |k| hash(0, k));
-        let (came, luck, need) = (self.now, self.rng.f64(), self.verticals[vertical].need);
-        let q = Query { id, vertical, tenant, key, luck, came, until, need, awaited, ..Query::default() };
-        let end = self.end_of(&q);
+        let (arrived, draw, need) = (self.now, self.rng.f64(), self.verticals[vertical].need);
+        let q = Query { id, vertical, tenant, key, draw, arrived, deadline, need, size, ..Query::default() };
+        let end = self.expiry(&q);
         self.queries.insert(number, q);
-        self.see_to(number, end);
+        self.schedule_review(number, end);
     }
 
-    /// A part of a query came; with the last one of a step, the step begins.
+    /// Adds a part to a query; the last part of a step starts the step.
     pub fn part_arrived(&mut self, id: u64, number: u64, shard: u32, weight: f64) {
-        self.taken.push_back(self.now);
+        self.requests.push_back(self.now);
         let Some(q) = self.queries.get_mut(&number) else { return };
-        self.numbers.insert(id, number);
+        self.query_numbers.insert(id, number);
         q.parts.push(Part { id, shard, weight, ..Part::default() });
-        if q.parts.len() == q.awaited {
+        if q.parts.len() == q.size {
             if q.step == 0 { self.admit(number) } else { self.review(number) }
         }
     }
 
+    /// Handles a timer that was set through [`Host::set_timer`].
     pub fn timer_fired(&mut self, token: u64) {
-        if token == LIST_TOKEN {
-            return self.list_due();
+        if token == LIST_TIMER_TOKEN {
+            return self.request_list_if_due();
         }
         let Some(q) = self.queries.get_mut(&token) else { return };
-        if let Some(due) = q.due.take_if(|due| self.now >= *due) {
-            self.dues.remove(&(due, token));
+        if let Some(due) = q.review_at.take_if(|due| self.now >= *due) {
+            self.reviews.remove(&(due, token));
             self.review(token);
         }
     }
 
-    /// A leaf call ended.
-    pub fn call_ended(&mut self, part: u64, call: u32, outcome: Outcome, server: &str, over: bool) {
-        let known = self.learn(part, call, outcome, server);
-        let Some(number) = self.numbers.get(&part).copied().filter(|_| known) else { return };
+    /// Handles the end of a call; with `is_final`, its part must not be sent again.
+    pub fn call_ended(&mut self, part: u64, call: u32, outcome: Outcome, server: &str, is_final: bool) {
+        let is_known = self.record_outcome(part, call, outcome, server);
+        let Some(number) = self.query_numbers.get(&part).copied().filter(|_| is_known) else { return };
         let Some(q) = self.queries.get_mut(&number) else { return };
-        let Some(p) = q.parts.iter_mut().find(|p| p.id == part && p.out > 0) else { return };
-        p.out -= 1;
+        let Some(p) = q.parts.iter_mut().find(|p| p.id == part && p.active > 0) else { return };
+        p.active -= 1;
         p.unsent += u32::from(matches!(outcome, Outcome::Unreachable | Outcome::NeverSent));
-        p.maybe_ran |= !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent);
+        p.may_have_run |= !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent);
         if outcome == Outcome::Completed {
             p.done = true;
             let tried = std::mem::take(&mut p.tried);
-            self.call_off_part(part, &tried);
-        } else if over {
-            p.calls = self.verticals[q.vertical].most_calls;
+            self.cancel_part_calls(part, &tried);
+        } else if is_final {
+            p.calls = self.verticals[q.vertical].max_calls;
         }
         self.review(number);
     }
 
-    /// The client left, or its time is over: the query needs nothing more.
+    /// Drops a query that its client has left or whose time is over.
     pub fn query_abandoned(&mut self, id: u64) {
-        let Some(number) = self.numbers.get(&id).copied() else { return };
+        let Some(number) = self.query_numbers.get(&id).copied() else { return };
         let Some(q) = self.queries.get(&number).filter(|q| q.id == id) else { return };
         let v = &mut self.verticals[q.vertical];
-        if self.now + self.end_margin < q.until {
-            let (age, slo) = ((self.now - q.came).as_secs_f64(), v.slo.as_secs_f64());
-            v.patience += (age.min(slo) - v.patience) * PATIENCE_WEIGHT;
+        if self.now + self.end_margin < q.deadline {
+            let (age, slo) = ((self.now - q.arrived).as_secs_f64(), v.slo.as_secs_f64());
+            v.client_wait_s += (age.min(slo) - v.client_wait_s) * CLIENT_WAIT_WEIGHT;
         }
         self.drop_query(number);
     }
 
-    /// Nothing can be held any more of what a query's parts brought: it is given up, as honestly as can be.
+    /// Ends a query whose results cannot be buffered for lack of memory.
     pub fn result_buffer_full(&mut self, id: u64) {
-        let held = |n: &u64| self.queries.get(n).is_some_and(|q| q.id == id);
-        if let Some(number) = self.numbers.get(&id).copied().filter(held) {
-            self.give_up(number);
+        let is_held = |n: &u64| self.queries.get(n).is_some_and(|q| q.id == id);
+        if let Some(number) = self.query_numbers.get(&id).copied().filter(is_held) {
+            self.end_unanswered(number);
         }
     }
 
     fn review(&mut self, number: u64) {
         let Some(q) = self.queries.get(&number) else { return };
         let v = &self.verticals[q.vertical];
-        let end = self.end_of(q);
-        if q.parts.len() < q.awaited && self.now < end {
-            return self.see_to(number, end);
+        let end = self.expiry(q);
+        if q.parts.len() < q.size && self.now < end {
+            return self.schedule_review(number, end);
         }
-        let floor = if v.floor < v.need { v.floor } else { q.need };
+        let min_weight = if v.min_weight < v.need { v.min_weight } else { q.need };
         let weight = |parts: &dyn Fn(&&Part) -> bool| -> f64 {
-            q.parts.iter().filter(parts).map(|p| p.weight).sum::<f64>() + WEIGHT_SLACK
+            q.parts.iter().filter(parts).map(|p| p.weight).sum::<f64>() + WEIGHT_TOLERANCE
         };
         let got = weight(&|p| p.done);
         if got >= q.need {
             return self.answer(number, true);
         }
-        let reach = weight(&|p| p.done || p.out > 0 || p.calls == 0 || self.may_call(q, p, p.out));
-        // Past the SLO time the whole is worth no more than a late answer.
-        let cut = (q.came + v.slo).saturating_sub(self.end_margin);
-        let cut = Some(cut).filter(|_| v.squared && got >= floor && got * got > v.late_utility);
-        let settles = cut.is_some_and(|cut| self.now >= cut);
-        // With more on its way each part counts: what can still come is waited for.
-        let coming = v.squared && got < weight(&|p| p.done || p.out > 0 || p.calls == 0) && self.now < end;
-        if self.now >= end || reach < q.need || settles {
-            if got >= floor && (settles || !coming) {
+        let reach = weight(&|p| p.done || p.active > 0 || p.calls == 0 || self.may_call(q, p, p.active));
+        // After the SLO time a complete answer has the utility of a late one only.
+        let cutoff = (q.arrived + v.slo).saturating_sub(self.end_margin);
+        let cutoff = Some(cutoff).filter(|_| v.squared && got >= min_weight && got * got > v.late_utility);
+        let is_cut_off = cutoff.is_some_and(|cutoff| self.now >= cutoff);
+        // Each further part raises the utility, so a partial answer waits for parts that may still arrive.
+        let more = v.squared && got < weight(&|p| p.done || p.active > 0 || p.calls == 0) && self.now < end;
+        if self.now >= end || reach < q.need || is_cut_off {
+            if got >= min_weight && (is_cut_off || !more) {
                 return self.answer(number, false);
             }
-            if self.now >= end || reach < floor {
-                return self.give_up(number);
+            if self.now >= end || reach < min_weight {
+                return self.end_unanswered(number);
             }
         }
         let after = self.overdue_after(q);
         for at in 0..q.parts.len() {
             let due = self.overdue_at(&self.queries[&number].parts[at], after);
-            due.filter(|due| self.now >= *due).into_iter().for_each(|due| self.overdue(number, at, due));
+            due.filter(|due| self.now >= *due).into_iter().for_each(|due| self.hedge(number, at, due));
         }
-        let filled = self.fill(number);
+        let all_sent = self.send_missing_parts(number);
         let q = &self.queries[&number];
-        let (after, soon) = (self.overdue_after(q), self.now + LOOK_AGAIN);
-        let next = q.parts.iter().filter_map(|p| self.overdue_at(p, after)).min().filter(|_| filled);
-        let next = next.unwrap_or(if filled { end } else { soon }).max(soon);
-        self.see_to(number, cut.map_or(next, |cut| next.min(cut)).min(end));
+        let (after, soon) = (self.overdue_after(q), self.now + MIN_REVIEW_INTERVAL);
+        let next = q.parts.iter().filter_map(|p| self.overdue_at(p, after)).min().filter(|_| all_sent);
+        let next = next.unwrap_or(if all_sent { end } else { soon }).max(soon);
+        self.schedule_review(number, cutoff.map_or(next, |cutoff| next.min(cutoff)).min(end));
     }
 
-    fn see_to(&mut self, number: u64, next: Duration) {
-        let q = self.queries.get_mut(&number).expect("held");
-        if q.due.is_none_or(|due| next < due || due <= self.now) {
-            q.due.replace(next).map(|before| self.dues.remove(&(before, number)));
-            self.dues.insert((next, number));
+    fn schedule_review(&mut self, number: u64, next: Duration) {
+        let q = self.queries.get_mut(&number).expect("the query is held");
+        if q.review_at.is_none_or(|due| next < due || due <= self.now) {
+            q.review_at.replace(next).map(|before| self.reviews.remove(&(before, number)));
+            self.reviews.insert((next, number));
             self.host.set_timer(number, next.saturating_sub(self.now));
         }
     }
 
-    /// Answers a query. A vertical with a second step goes on with it after the first answer.
-    fn answer(&mut self, number: u64, enough: bool) {
-        let q = self.queries.get_mut(&number).expect("held");
+    /// Answers a query, and starts the second step if the vertical has one.
+    fn answer(&mut self, number: u64, complete: bool) {
+        let q = self.queries.get_mut(&number).expect("the query is held");
         let v = &mut self.verticals[q.vertical];
-        let more = if q.step == 0 { v.follow_up as usize } else { 0 };
+        let follow_up = if q.step == 0 { v.follow_up as usize } else { 0 };
         let done = q.parts.iter().filter(|p| p.done).count();
-        q.short |= !enough;
-        v.patience += (v.slo.as_secs_f64() - v.patience) * PATIENCE_WEIGHT;
-        self.host.answer(q.id, !q.short);
-        if more == 0 {
+        q.is_partial |= !complete;
+        v.client_wait_s += (v.slo.as_secs_f64() - v.client_wait_s) * CLIENT_WAIT_WEIGHT;
+        self.host.answer(q.id, !q.is_partial);
+        if follow_up == 0 {
             return self.drop_query(number);
         }
         self.clear_parts(number);
-        let q = self.queries.get_mut(&number).expect("held");
-        (q.step, q.need, q.awaited) = (1, 1.0, more.min(done));
+        let q = self.queries.get_mut(&number).expect("the query is held");
+        (q.step, q.need, q.size) = (1, 1.0, follow_up.min(done));
         self.review(number);
     }
 
     fn drop_query(&mut self, number: u64) {
         self.clear_parts(number);
         let Some(q) = self.queries.remove(&number) else { return };
-        self.numbers.remove(&q.id);
-        q.due.map(|due| self.dues.remove(&(due, number)));
+        self.query_numbers.remove(&q.id);
+        q.review_at.map(|due| self.reviews.remove(&(due, number)));
     }
 
-    /// Lets go of a query's parts; what is still out is called off where that is allowed.
+    /// Removes a query's parts and cancels their calls in flight, if cancelling is allowed.
     fn clear_parts(&mut self, number: u64) {
         let parts = self.queries.get_mut(&number).map(|q| std::mem::take(&mut q.parts));
         for p in parts.unwrap_or_default() {
-            self.numbers.remove(&p.id);
-            self.call_off_part(p.id, &p.tried);
+            self.query_numbers.remove(&p.id);
+            self.cancel_part_calls(p.id, &p.tried);
         }
     }
 
-    fn call_off_part(&mut self, part: u64, tried: &[ServerId]) {
-        let servers = tried.iter().filter_map(|id| self.servers.get(id)).filter(|_| self.call_off);
+    fn cancel_part_calls(&mut self, part: u64, tried: &[ServerId]) {
+        let servers = tried.iter().filter_map(|id| self.servers.get(id)).filter(|_| self.allow_cancel);
         let calls = servers.flat_map(|s| s.calls.range((part, 0)..=(part, u32::MAX)));
         calls.for_each(|((_, number), _)| self.host.cancel_call(part, *number));
     }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,59 +1,59 @@
-//! Which queries are taken, and how those are given up that are not.
+//! Which queries are admitted, and how queries without an answer end.
 
 use super::*;
 
 impl<H: Host> Gatherer<H> {
-    /// When nothing of utility can come of a query any more, a little before its time is up.
-    pub(super) fn end_of(&self, q: &Query) -> Duration {
+    /// Time up to which an answer has any utility, less a margin.
+    pub(super) fn expiry(&self, q: &Query) -> Duration {
         let v = &self.verticals[q.vertical];
-        let useful = if v.late_utility > 0.0 { q.until } else { q.until.min(q.came + v.slo) };
+        let useful = if v.late_utility > 0.0 { q.deadline } else { q.deadline.min(q.arrived + v.slo) };
         useful.saturating_sub(self.end_margin)
     }
 
-    /// Whether a query is within its tenant's share: the even part of it, or more if others get more here.
-    pub(super) fn within_share(&mut self, tenant: Option<usize>) -> bool {
+    /// Whether a tenant uses at most an even share of its quota here, or the share that another tenant uses.
+    pub(super) fn is_within_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(t) = tenant.filter(|t| *t < self.tenants.len()) else { return true };
         self.tenants[t].1.count(self.now);
-        let used = |(share, rate): &(f64, Rate)| rate.at(self.now) / share;
+        let used = |(quota, rate): &(f64, Rate)| rate.at(self.now) / quota;
         let others = self.tenants.iter().enumerate().filter(|(u, _)| *u != t).map(|(_, u)| used(u));
-        let part = others.fold(self.even_share, f64::max);
-        self.rng.f64() * used(&self.tenants[t]) <= part * SHARE_SLACK
+        let allowed = others.fold(self.gatherer_share, f64::max);
+        self.rng.f64() * used(&self.tenants[t]) <= allowed * QUOTA_SLACK_RATIO
     }
 
-    /// Takes a query if it is predicted to be in time; beyond its tenant's share, well in time.
+    /// Admits a query if it is predicted to finish in time; above its tenant's quota, well in time.
     pub(super) fn admit(&mut self, number: u64) {
-        let within = self.within_share(self.queries[&number].tenant);
+        let within_quota = self.is_within_quota(self.queries[&number].tenant);
         let q = &self.queries[&number];
         let v = &self.verticals[q.vertical];
-        let (mut weight, mut times) = (0.0, Vec::new());
-        // Where a partial answer is worth its part, one bad shard must not turn the query away.
-        let need = if v.squared { v.floor } else { v.need };
-        for (w, _, time, _) in self.waiting(q) {
-            if weight < need - WEIGHT_SLACK {
+        let (mut weight, mut latencies) = (0.0, Vec::new());
+        // If partial answers have utility, one bad shard must not get the query rejected.
+        let need = if v.squared { v.min_weight } else { v.need };
+        for (w, _, latency, _) in self.sendable_parts(q) {
+            if weight < need - WEIGHT_TOLERANCE {
                 weight += w;
-                times.push(time);
+                latencies.push(latency);
             }
         }
-        let n = times.len().max(1) as f64;
-        let predicted = times.iter().sum::<f64>() / n + v.usual[1] * self.usual_pace;
-        let share = if within { 1.0 } else { BEYOND_SHARE };
-        let time = (v.patience * share).min(self.end_of(q).saturating_sub(self.now).as_secs_f64());
-        // What was predicted fades, so that none keeps itself true by rejecting all.
-        let slowest = times.iter().copied().fold(predicted * (1.0 + STRETCH * n.ln()), f64::max);
-        if weight < v.floor - WEIGHT_SLACK || slowest * self.fresh(v.heard) > time {
-            return self.give_up(number);
+        let n = latencies.len().max(1) as f64;
+        let predicted = latencies.iter().sum::<f64>() / n + v.latency_s[1] * self.fleet_slowdown;
+        let ratio = if within_quota { 1.0 } else { OVER_QUOTA_TIME_RATIO };
+        let limit = (v.client_wait_s * ratio).min(self.expiry(q).saturating_sub(self.now).as_secs_f64());
+        // The prediction decays: else rejecting all queries would keep it from ever being corrected.
+        let slowest = latencies.iter().copied().fold(predicted * (1.0 + FAN_OUT_RATIO * n.ln()), f64::max);
+        if weight < v.min_weight - WEIGHT_TOLERANCE || slowest * self.recency(v.last_answer) > limit {
+            return self.end_unanswered(number);
         }
         self.review(number);
     }
 
-    /// Ends a query without an answer: sent back where that is honest, else given up.
-    pub(super) fn give_up(&mut self, number: u64) {
+    /// Ends a query without an answer: rejects it if a retry is safe, else aborts it.
+    pub(super) fn end_unanswered(&mut self, number: u64) {
         let q = &self.queries[&number];
         let v = &self.verticals[q.vertical];
-        let ran = q.step > 0 || q.parts.iter().any(|p| p.maybe_ran || p.out > 0);
-        if v.idempotency == Idempotency::Idempotent || !ran {
-            let wait = Duration::from_secs_f64(v.usual[0] * self.usual_pace);
-            self.host.reject(q.id, self.back_after.map(|most| wait.min(most)));
+        let may_have_run = q.step > 0 || q.parts.iter().any(|p| p.may_have_run || p.active > 0);
+        if v.idempotency == Idempotency::Idempotent || !may_have_run {
+            let wait = Duration::from_secs_f64(v.latency_s[0] * self.fleet_slowdown);
+            self.host.reject(q.id, self.max_retry_after.map(|max| wait.min(max)));
         } else {
             self.host.abort(q.id);
         }
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -1,57 +1,59 @@
-//! Which replica a part goes to: its home, or the one with fewest calls out.
+//! Which replica a part is sent to: its home, or the one with the fewest calls in flight.
 
 use super::*;
 
 impl<H: Host> Gatherer<H> {
-    /// Share of a cold server's usual traffic that it bears: were all gatherers like this one, what comes to
-    /// it in a fall time must stay within the stated multiple. Does harm where they differ: it warms slowly.
-    pub(super) fn cold_share(&self, s: &Server) -> f64 {
-        let age = |t| self.now.saturating_sub(t).as_secs_f64() / self.cold_time.as_secs_f64();
+    /// Share of its usual traffic that a cold server gets, so that all gatherers together do not overload it
+    /// if each sends as much as this one. Drawback: if they differ, it warms up slowly.
+    pub(super) fn traffic_share(&self, s: &Server) -> f64 {
+        let age = |t| self.now.saturating_sub(t).as_secs_f64() / self.warm_up_time.as_secs_f64();
         let Some(age) = s.started.map(age).filter(|age| *age < 1.0) else { return 1.0 };
-        let each = self.sends.at(self.now) / self.even_share / self.ready.max(1) as f64;
-        let usual = (each * self.fall_time.as_secs_f64()).max(0.01);
-        let most = (self.cold_from + (1.0 - self.cold_from) * age) * self.cold_factor * usual;
-        ((COLD_CHANCE + most).sqrt() - COLD_CHANCE.sqrt()).powi(2) / usual
+        let rate = self.call_rate.at(self.now) / self.gatherer_share / self.ready_count.max(1) as f64;
+        let normal = (rate * self.overload_window.as_secs_f64()).max(0.01);
+        let max = (self.cold_capacity + (1.0 - self.cold_capacity) * age) * self.overload_factor * normal;
+        ((COLD_HEADROOM_CALLS + max).sqrt() - COLD_HEADROOM_CALLS.sqrt()).powi(2) / normal
     }
 
-    /// The replica for a part, with its pace: the home, unless past its bound or shunned; then that with
-    /// fewest calls out. A shunned one gets a trial now and then.
-    pub(super) fn place(&self, q: &Query, p: &Part) -> Option<(ServerId, f64)> {
+    /// Picks a part's replica, with its slowdown: the home, by rendezvous hashing, unless full or ejected;
+    /// else the one with the fewest calls in flight. Ejected replicas get an occasional trial call.
+    pub(super) fn pick(&self, q: &Query, p: &Part) -> Option<(ServerId, f64)> {
         let v = &self.verticals[q.vertical];
-        let bears = p.calls == 0 && v.idempotency != Idempotency::NonIdempotent;
-        let cell = |j| self.holders.get(&((p.shard % self.cells + j) % self.cells));
-        let holders = (0..self.span).filter_map(cell).flatten().map(|id| (id, &self.servers[id]));
-        let near = |s: &Server| s.zone == self.zone && self.zone_pace(s) <= NEAR * self.usual_pace;
+        let may_try = p.calls == 0 && v.idempotency != Idempotency::NonIdempotent;
+        let cell = |j| self.cells.get(&((p.shard % self.cell_count + j) % self.cell_count));
+        let holders = (0..self.cells_per_shard).filter_map(cell).flatten().map(|id| (id, &self.servers[id]));
+        let local = |s: &Server| {
+            s.zone == self.zone && self.zone_slowdown(s) <= LOCAL_ZONE_RATIO * self.fleet_slowdown
+        };
         let ready = holders.filter(|(_, s)| s.health == Health::Ready);
-        let placed = ready.map(|(id, s)| ((near(s), hash(q.key, id)), self.pace(s, q.vertical), id, s));
-        let mut replicas: Vec<Replica<'_>> = placed.collect();
-        let home = replicas.iter().map(|r| r.0).max()?;
-        // Clearly slower than the fleet's well servers and than the others that hold the shard.
-        let best = replicas.iter().map(|r| r.1).fold(f64::INFINITY, f64::min).max(self.usual_pace);
-        replicas.retain(|(place, _, _, s)| {
-            let share = self.cold_share(s);
-            share >= 1.0 || (q.luck < share && *place == home && s.calls.is_empty())
+        let ranked = ready.map(|(id, s)| ((local(s), hash(q.key, id)), self.slowdown(s, q.vertical), id, s));
+        let mut candidates: Vec<Candidate<'_>> = ranked.collect();
+        let home = candidates.iter().map(|r| r.0).max()?;
+        // A server is ejected only if slower than both the fleet and the shard's other replicas.
+        let best = candidates.iter().map(|r| r.1).fold(f64::INFINITY, f64::min).max(self.fleet_slowdown);
+        candidates.retain(|(rank, _, _, s)| {
+            let share = self.traffic_share(s);
+            share >= 1.0 || (q.draw < share && *rank == home && s.calls.is_empty())
         });
-        // The worse it looks, the fewer queries try a shunned one; each draws once for all its parts.
-        let trial = |pace: f64| (SHUN * best / pace).powi(2);
-        let fit = |pace: f64| trial(pace) >= 1.0 || (bears && q.luck < trial(pace));
-        let fresh = |id: &ServerId| !p.tried.contains(id);
-        let &(_, pace, id, s) = replicas.iter().max_by_key(|r| r.0)?;
-        let easy = self.expected(q) * self.usual_pace < v.slo.as_secs_f64() * EASY_SHARE;
-        let bound = if easy { HOME_BOUND } else { HOME_BOUND_BUSY };
-        let sharing = s.ages.range((self.now, (0, 0))..).count();
-        let (apart, most) = (s.calls.len() - sharing, self.shared_most);
-        if fit(pace) && apart < bound && (s.calls.len() < bound || sharing < most) && fresh(id) {
-            return Some((id.clone(), pace));
+        // The slower an ejected server, the fewer queries try it; a query draws once for all its parts.
+        let trial = |slowdown: f64| (EJECTION_RATIO * best / slowdown).powi(2);
+        let usable = |slowdown: f64| trial(slowdown) >= 1.0 || (may_try && q.draw < trial(slowdown));
+        let untried = |id: &ServerId| !p.tried.contains(id);
+        let &(_, slowdown, id, s) = candidates.iter().max_by_key(|r| r.0)?;
+        let light = self.latency_s(q) * self.fleet_slowdown < v.slo.as_secs_f64() * LIGHT_LOAD_RATIO;
+        let limit = if light { MAX_HOME_CALLS } else { MAX_BUSY_HOME_CALLS };
+        let batch = s.calls_by_age.range((self.now, (0, 0))..).count();
+        let (older, max_batch) = (s.calls.len() - batch, self.max_batch_parts);
+        if usable(slowdown) && older < limit && (s.calls.len() < limit || batch < max_batch) && untried(id) {
+            return Some((id.clone(), slowdown));
         }
-        // A server that has failed this part gets it again only after some usual answers' time.
-        let wait = self.expected(q) * f64::from(1 << p.calls.min(8));
-        let again = (self.now - p.last_sent).as_secs_f64() >= wait;
-        let rank = |&&(place, pace, id, s): &&Replica<'_>| {
-            let slow = if fit(pace) { 0 } else { (pace * 100.0) as u64 };
-            (!fresh(id), slow, s.calls.len(), std::cmp::Reverse(place))
+        // A server that was already sent this part gets it again only after a backoff.
+        let wait = self.latency_s(q) * f64::from(1 << p.calls.min(8));
+        let may_repeat = (self.now - p.last_sent).as_secs_f64() >= wait;
+        let order = |&&(rank, slowdown, id, s): &&Candidate<'_>| {
+            let penalty = if usable(slowdown) { 0 } else { (slowdown * 100.0) as u64 };
+            (!untried(id), penalty, s.calls.len(), std::cmp::Reverse(rank))
         };
-        let &(_, pace, id, _) = replicas.iter().min_by_key(rank)?;
-        Some((id.clone(), pace)).filter(|_| again || fresh(id))
+        let &(_, slowdown, id, _) = candidates.iter().min_by_key(order)?;
+        Some((id.clone(), slowdown)).filter(|_| may_repeat || untried(id))
     }
 }
