--- a/src/decide/spares.rs
+++ b/src/decide/spares.rs
@@ -55,7 +55,7 @@
         self.host.start_call(p.id, id, timeout);
     }
 
-    /// Parts that may be sent now, as weight, calls so far, expected seconds and index: the heaviest first, then
+    /// Parts that may be sent, as weight, calls so far, expected seconds and index: the heaviest first, then
     /// those with the fewest calls, then the fastest.
     pub(super) fn sendable_parts(&self, q: &Query) -> Vec<(f64, u32, f64, usize)> {
         let is_sendable = |p: &Part| (p.active == 0 || p.hedged) && self.may_call(q, p, p.active);
