--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,10 @@
-//! The interface between the decisions in [`decide`] and whatever hosts them: the actions that a
-//! gatherer can take ([`Host`]), the settings that it starts from, and how a leaf call can end.
+//! Interface between the decisions in [`decide`] and the program around them: the actions that a gatherer can
+//! take ([`Host`]), its settings, and the outcomes of calls.
+//!
+//! A query consists of parts, each for one shard. A call sends one part to one shard server; each retry and
+//! each hedge of the part is a further call.
 
 #![allow(clippy::wildcard_imports, reason = "not done yet: The path of a request reads as well as it works")]
-#![expect(missing_docs, reason = "not done yet: The path of a request reads as well as it works")]
 
 use std::time::Duration;
 
@@ -10,131 +12,141 @@
 
 pub use decide::Gatherer;
 
-/// What a gatherer can do. Handed over at start; every action takes effect when it is called.
+/// Actions of a gatherer, which take effect when called.
 pub trait Host {
-    /// Sends a part to a shard server. `limit` is the leaf call's time-out.
+    /// Sends a part to a shard server. The call times out after `timeout`.
     fn start_call(&mut self, part: u64, server: &str, timeout: Duration);
-    /// Stops waiting for one leaf call of a part; `call` counts the part's leaf calls from 0.
+    /// Stops waiting for a call of a part; `call` is its number, counted from 0 for each part.
     fn cancel_call(&mut self, part: u64, call: u32);
-    /// Answers a query from the parts that are in.
+    /// Answers a query from the parts answered so far; `complete` if they have the required weight.
     fn answer(&mut self, query: u64, complete: bool);
-    /// Sends a query back: to ask again is harmless, and best done after `back_after`, if given.
+    /// Rejects a query. A retry is safe, and best sent after `retry_after`, if given.
     fn reject(&mut self, query: u64, retry_after: Option<Duration>);
-    /// Gives a query up with no promise about its effect.
+    /// Ends a query without an answer; it may have taken effect.
     fn abort(&mut self, query: u64);
-    /// Asks for [`Gatherer::timer_fired`] with this token after a while.
+    /// Requests a call of [`Gatherer::timer_fired`] with this token after the delay.
     fn set_timer(&mut self, token: u64, delay: Duration);
-    /// Asks for the list of shard servers and all later changes of it.
+    /// Requests the list of shard servers and all later changes of it.
     fn watch_server_list(&mut self);
-    /// Whether a part of this shard may have a leaf call beyond its first, where all gatherers share a limit.
+    /// Whether a part of this shard may have a call beyond its first, if the gatherers share a retry budget.
     fn may_retry(&self, _shard: u32) -> bool {
         true
     }
 }
 
-/// How a leaf call ended.
+/// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer is in.
+    /// The server answered.
     Completed,
     /// The server answered with an error; the part may have run.
     Errored,
-    /// The server turned the part away unseen: it never ran.
+    /// The server rejected the part without running it.
     Rejected,
-    /// No answer in time; the part may have run, or may run yet.
+    /// No answer arrived in time; the part may have run, or may still run.
     TimedOut,
-    /// No connection could be made: it never ran.
+    /// The connection could not be established; the part did not run.
     Unreachable,
-    /// The connection broke; the part may have run.
+    /// The connection was lost; the part may have run.
     ConnectionLost,
-    /// The gatherer called it off; the part may have run, or may run yet.
+    /// The gatherer cancelled the call; the part may have run, or may still run.
     Cancelled,
-    /// It was never sent.
+    /// The call was never sent.
     NeverSent,
 }
 
-/// What running a part of a vertical again would do.
+/// Whether a part of a vertical may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The part may run any number of times.
     Idempotent,
-    /// A repeat is dropped if it is sent within this long of the first leaf call that may have run.
+    /// Servers drop a repeat that is sent within this time of the first call that may have run.
     Deduplicated(Duration),
-    /// Must never run twice.
+    /// The part must not run twice.
     NonIdempotent,
 }
 
-/// Whether a shard server is offered work, as the list of servers has it.
+/// Whether a shard server may get calls, according to the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
+    /// The server accepts calls.
     #[default]
     Ready,
+    /// The server finishes its calls and gets no new ones.
     Draining,
+    /// The server has ended or is no longer listed.
     Gone,
 }
 
-/// One kind of query.
+/// Settings of a vertical, which is one kind of query.
 #[derive(Clone, Debug)]
 pub struct VerticalSettings {
-    /// Weight of the parts that make a whole answer.
+    /// Weight of the parts that make an answer complete.
     pub required_weight: f64,
-    /// Weight of the parts below which no answer may be given.
+    /// Smallest weight of parts for which any answer may be given.
     pub min_weight: f64,
-    /// How many parts the second step has; 0 for none.
+    /// Largest number of parts of the second step, which starts after the first answer; 0 for no such step.
     pub follow_up_parts: u32,
-    /// An answer within this time has its full utility.
+    /// Latency target: an answer within this time has its full utility.
     pub slo: Duration,
-    /// Utility of an answer after the SLO time, as a share of the full.
+    /// Utility of an answer after the SLO time, as a share of the full one.
     pub late_utility: f64,
+    /// Whether parts may run more than once.
     pub idempotency: Idempotency,
 }
 
-/// The limit on leaf calls beyond each part's first.
+/// Limit on retries and hedges, which are all calls of a part beyond its first.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetSettings {
+    /// Time window over which retries, queries and parts are counted.
     pub window: Duration,
+    /// Retries allowed in the window whatever the number of queries and parts.
     pub min_retries: f64,
+    /// Further retries allowed for each query and part that arrived in the window.
     pub ratio: f64,
 }
 
-/// All that a gatherer is told at start.
+/// Settings of a gatherer at start.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How many gatherers there are, this one among them.
+    /// Number of gatherers, including this one.
     pub gatherer_count: u32,
-    /// The zone that this one is in.
+    /// Zone of this gatherer.
     pub zone: Option<u32>,
-    /// The shortest time between two rounds of events.
+    /// Shortest time between two batches of events.
     pub tick: Duration,
+    /// Settings of each vertical, by its index.
     pub verticals: Vec<VerticalSettings>,
-    /// Queries a second within each tenant's share, over all gatherers.
+    /// Quota of each tenant in queries per second over all gatherers.
     pub tenant_rates: Vec<f64>,
-    /// How many cells the shards are spread over.
+    /// Number of cells over which the shards are spread.
     pub cell_count: u32,
-    /// How many cells in a row hold a shard.
+    /// Number of consecutive cells whose servers hold a shard.
     pub cells_per_shard: u32,
-    /// How many parts sent in one turn to one server share a call there.
+    /// Largest number of parts in one batched call, which carries the parts sent to one server in one tick.
     pub max_parts_per_call: usize,
-    /// What a call costs a server beside the work of its parts.
+    /// Work that a batched call costs a server in addition to that of its parts.
     pub call_overhead: Duration,
-    /// The most leaf calls for one part.
+    /// Largest number of calls of one part.
     pub max_calls_per_part: u32,
-    /// Whether a part may have two leaf calls out at once.
+    /// Whether a part may have two calls in flight at once.
     pub allow_hedging: bool,
-    /// Whether leaf calls can be called off.
+    /// Whether calls can be cancelled.
     pub allow_cancel: bool,
-    /// The longest time to come back that clients follow, where they are given one.
+    /// Longest delay of a retry that clients honour, if rejections can carry one.
     pub max_retry_after: Option<Duration>,
-    /// Where the list of servers comes only when asked for: how long it may go unasked.
+    /// Longest time allowed between requests for the server list, if it is only sent on request.
     pub max_list_request_interval: Option<Duration>,
+    /// Limit on calls beyond each part's first.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// A server starts with this share of its capacity ...
+    /// Share of its capacity that a server has when it starts.
     pub cold_capacity_share: f64,
-    /// ... is warm after this long ...
+    /// Time after its start at which a server has its full capacity.
     pub warm_up_time: Duration,
-    /// ... and falls over when it gets this many times what it can do ...
+    /// Load, as a multiple of a server's current capacity, that makes it fail from overload.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Time for which that load must last until the server fails.
     pub overload_window: Duration,
 }
