--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -9,11 +9,11 @@
 use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings, VerticalSettings};
 
 /// Long enough that nothing held falls due while it is measured.
-const AIM: Duration = Duration::from_secs(100_000);
-pub(crate) const PARTS: u32 = 4;
+const SLO: Duration = Duration::from_secs(100_000);
+pub(crate) const PARTS_PER_QUERY: u32 = 4;
 
 #[derive(Default)]
-pub(crate) struct Noted {
+pub(crate) struct RecordedActions {
     /// Calls of the query that passes, as part and server.
     pub calls: VecDeque<(u64, String)>,
     pub sent: u64,
@@ -21,19 +21,19 @@
     pub ended: u64,
 }
 
-pub(crate) struct Hand(pub Rc<RefCell<Noted>>);
+pub(crate) struct RecordingHost(pub Rc<RefCell<RecordedActions>>);
 
-impl Host for Hand {
+impl Host for RecordingHost {
     fn start_call(&mut self, part: u64, server: &str, _: Duration) {
-        let mut noted = self.0.borrow_mut();
-        noted.sent += 1;
-        noted.calls.push_back((part, server.to_owned()));
+        let mut actions = self.0.borrow_mut();
+        actions.sent += 1;
+        actions.calls.push_back((part, server.to_owned()));
     }
     fn cancel_call(&mut self, _: u64, _: u32) {}
     fn answer(&mut self, _: u64, _: bool) {
-        let mut noted = self.0.borrow_mut();
-        noted.answered += 1;
-        noted.ended += 1;
+        let mut actions = self.0.borrow_mut();
+        actions.answered += 1;
+        actions.ended += 1;
     }
     fn reject(&mut self, _: u64, _: Option<Duration>) {
         self.0.borrow_mut().ended += 1;
@@ -45,23 +45,23 @@
     fn watch_server_list(&mut self) {}
 }
 
-pub(crate) struct Crowd {
-    pub gatherer: Gatherer<Hand>,
-    pub noted: Rc<RefCell<Noted>>,
+pub(crate) struct LoadedGatherer {
+    pub gatherer: Gatherer<RecordingHost>,
+    pub actions: Rc<RefCell<RecordedActions>>,
     now: Duration,
-    next: u64,
+    next_id: u64,
     /// Makes new names of servers.
     generation: u64,
     servers: u32,
 }
 
-impl Crowd {
-    pub(crate) fn new(servers: u32) -> Crowd {
+impl LoadedGatherer {
+    pub(crate) fn new(servers: u32) -> LoadedGatherer {
         let vertical = VerticalSettings {
             required_weight: 1.0,
             min_weight: 1.0,
             follow_up_parts: 0,
-            slo: AIM,
+            slo: SLO,
             late_utility: 0.1,
             idempotency: Idempotency::Idempotent,
         };
@@ -87,16 +87,16 @@
             overload_factor: 2.0,
             overload_window: Duration::from_secs(1),
         };
-        let noted = Rc::new(RefCell::default());
+        let actions = Rc::new(RefCell::default());
         let now = Duration::from_secs(1_000_000);
-        let gatherer = Gatherer::new(Hand(Rc::clone(&noted)), &settings, now);
-        let mut crowd = Crowd { gatherer, noted, now, next: 1, generation: 0, servers };
-        crowd.rename();
-        crowd
+        let gatherer = Gatherer::new(RecordingHost(Rc::clone(&actions)), &settings, now);
+        let mut loaded = LoadedGatherer { gatherer, actions, now, next_id: 1, generation: 0, servers };
+        loaded.replace_servers();
+        loaded
     }
 
     /// All servers are replaced by others of new names.
-    pub(crate) fn rename(&mut self) {
+    pub(crate) fn replace_servers(&mut self) {
         self.generation += 1;
         self.gatherer.begin_server_list(true);
         for s in 0..self.servers {
@@ -106,38 +106,38 @@
     }
 
     /// A query comes, of a new id and key; its parts are sent.
-    pub(crate) fn comes(&mut self) {
+    pub(crate) fn start_query(&mut self) {
         self.now += Duration::from_micros(100);
         self.gatherer.advance_to(self.now);
-        let id = self.next;
-        self.next += 1 + u64::from(PARTS);
+        let id = self.next_id;
+        self.next_id += 1 + u64::from(PARTS_PER_QUERY);
         let key = format!("key-{id}");
-        self.gatherer.query_arrived(id, id, 0, None, Some(&key), self.now + AIM, PARTS as usize);
-        for part in 0..PARTS {
+        self.gatherer.query_arrived(id, id, 0, None, Some(&key), self.now + SLO, PARTS_PER_QUERY as usize);
+        for part in 0..PARTS_PER_QUERY {
             let shard = (id as u32).wrapping_mul(31).wrapping_add(part);
-            self.gatherer.part_arrived(id + 1 + u64::from(part), id, shard, 1.0 / f64::from(PARTS));
+            self.gatherer.part_arrived(id + 1 + u64::from(part), id, shard, 1.0 / f64::from(PARTS_PER_QUERY));
         }
     }
 
     /// Every part that is out is answered.
-    pub(crate) fn settles(&mut self) {
+    pub(crate) fn answer_calls(&mut self) {
         self.now += Duration::from_millis(1);
         self.gatherer.advance_to(self.now);
-        let calls = std::mem::take(&mut self.noted.borrow_mut().calls);
+        let calls = std::mem::take(&mut self.actions.borrow_mut().calls);
         for (part, server) in calls {
             self.gatherer.call_ended(part, 0, Outcome::Completed, &server, true);
         }
     }
 
     /// So many queries are held, their parts out for good.
-    pub(crate) fn hold(&mut self, queries: u64) {
-        (0..queries).for_each(|_| self.comes());
-        self.noted.borrow_mut().calls.clear();
+    pub(crate) fn hold_queries(&mut self, queries: u64) {
+        (0..queries).for_each(|_| self.start_query());
+        self.actions.borrow_mut().calls.clear();
     }
 
     /// One more query, from its coming to its answer.
-    pub(crate) fn pass(&mut self) {
-        self.comes();
-        self.settles();
+    pub(crate) fn run_query(&mut self) {
+        self.start_query();
+        self.answer_calls();
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,7 +12,7 @@
     Duration::from_millis(ms)
 }
 
-pub(crate) fn number(server: &str) -> usize {
+pub(crate) fn server_index(server: &str) -> usize {
     server[1..].parse().expect("a number")
 }
 
@@ -21,8 +21,8 @@
     pub number: u32,
     pub server: String,
     pub sent: Duration,
-    pub called_off: bool,
-    pub ended: Option<Outcome>,
+    pub cancelled: bool,
+    pub outcome: Option<Outcome>,
 }
 
 pub(crate) struct Part {
@@ -34,9 +34,9 @@
 
 pub(crate) struct Query {
     pub vertical: usize,
-    pub until: Duration,
+    pub deadline: Duration,
     pub step: u32,
-    pub whole: bool,
+    pub complete: bool,
     pub open: bool,
 }
 
@@ -46,19 +46,19 @@
     pub started: Option<Duration>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Model {
     pub settings: Settings,
     pub now: Duration,
     pub calls: Vec<Call>,
     pub parts: BTreeMap<u64, Part>,
     pub queries: BTreeMap<u64, Query>,
     pub servers: BTreeMap<String, Server>,
-    pub wakes: Vec<(Duration, u64)>,
-    pub asks: Vec<Duration>,
+    pub timers: Vec<(Duration, u64)>,
+    pub arrivals: Vec<Duration>,
     pub log: Vec<String>,
 }
 
-pub(crate) struct Seat(pub Rc<RefCell<World>>);
+pub(crate) struct CheckingHost(pub Rc<RefCell<Model>>);
 
 pub(crate) fn vertical(
     required_weight: f64, min_weight: f64, follow_up_parts: u32, idempotency: Idempotency,
@@ -98,124 +98,121 @@
     }
 }
 
-fn ran(call: &Call) -> bool {
-    !matches!(call.ended, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
+fn may_have_run(call: &Call) -> bool {
+    !matches!(call.outcome, Some(Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent))
 }
 
-impl World {
-    pub(crate) fn holds(&self, server: &str, shard: u32) -> bool {
+impl Model {
+    pub(crate) fn holds_shard(&self, server: &str, shard: u32) -> bool {
         let (cells, cell) = (self.settings.cell_count, self.servers[server].cell);
         (0..self.settings.cells_per_shard).any(|j| (shard + j) % cells == cell)
     }
 
-    pub(crate) fn is_in(&self, part: u64) -> bool {
-        self.calls.iter().any(|c| c.part == part && c.ended == Some(Outcome::Completed))
+    pub(crate) fn is_answered(&self, part: u64) -> bool {
+        self.calls.iter().any(|c| c.part == part && c.outcome == Some(Outcome::Completed))
     }
 
-    pub(crate) fn got(&self, query: u64) -> f64 {
+    pub(crate) fn answered_weight(&self, query: u64) -> f64 {
         let step = self.queries[&query].step;
-        let of = self.parts.iter().filter(|(_, p)| p.query == query && p.step == step);
-        of.filter(|(id, _)| self.is_in(**id)).map(|(_, p)| p.weight).sum()
+        let parts = self.parts.iter().filter(|(_, p)| p.query == query && p.step == step);
+        parts.filter(|(id, _)| self.is_answered(**id)).map(|(_, p)| p.weight).sum()
     }
 
-    pub(crate) fn forbidden(&self, part: u64) -> Option<&'static str> {
+    pub(crate) fn violation(&self, part: u64) -> Option<&'static str> {
         let p = &self.parts[&part];
         let q = &self.queries[&p.query];
-        let earlier: Vec<&Call> = self.calls.iter().filter(|c| c.part == part).collect();
-        let extra = |c: &&Call| c.number > 0;
-        let budget = self.settings.retry_budget.is_some_and(|b| {
-            let within = |t: Duration| self.now - t <= b.window;
-            let extras = self.calls.iter().filter(extra).filter(|c| within(c.sent)).count();
-            let asks = self.asks.iter().filter(|t| self.now - **t < b.window).count();
-            extras as f64 + 1.0 > b.min_retries + b.ratio * asks as f64
+        let calls: Vec<&Call> = self.calls.iter().filter(|c| c.part == part).collect();
+        let is_retry = |c: &&Call| c.number > 0;
+        let over_budget = self.settings.retry_budget.is_some_and(|b| {
+            let in_window = |t: Duration| self.now - t <= b.window;
+            let retries = self.calls.iter().filter(is_retry).filter(|c| in_window(c.sent)).count();
+            let arrivals = self.arrivals.iter().filter(|t| self.now - **t < b.window).count();
+            retries as f64 + 1.0 > b.min_retries + b.ratio * arrivals as f64
         });
-        let first = earlier.iter().find(|c| ran(c)).map_or(self.now, |c| c.sent);
+        let first_run = calls.iter().find(|c| may_have_run(c)).map_or(self.now, |c| c.sent);
         match self.settings.verticals[q.vertical].idempotency {
             _ if !q.open || p.step != q.step => Some("the query is over"),
-            _ if self.is_in(part) => Some("the part is in"),
-            _ if earlier.len() as u32 >= self.settings.max_calls_per_part => Some("too many leaf calls"),
-            _ if !self.settings.allow_hedging && earlier.iter().any(|c| c.ended.is_none()) => {
+            _ if self.is_answered(part) => Some("the part is in"),
+            _ if calls.len() as u32 >= self.settings.max_calls_per_part => Some("too many leaf calls"),
+            _ if !self.settings.allow_hedging && calls.iter().any(|c| c.outcome.is_none()) => {
                 Some("a second copy")
             }
-            _ if !earlier.is_empty() && budget => Some("over the budget"),
-            Idempotency::NonIdempotent if earlier.iter().any(|c| ran(c)) => Some("it may have run"),
-            Idempotency::Deduplicated(window) if self.now + self.settings.tick * 2 >= first + window => {
+            _ if !calls.is_empty() && over_budget => Some("over the budget"),
+            Idempotency::NonIdempotent if calls.iter().any(|c| may_have_run(c)) => Some("it may have run"),
+            Idempotency::Deduplicated(window) if self.now + self.settings.tick * 2 >= first_run + window => {
                 Some("outside the window")
             }
             _ => None,
         }
     }
 
-    fn end(&mut self, query: u64, what: &str) {
+    fn end_query(&mut self, query: u64, result: &str) {
         let q = self.queries.get_mut(&query).expect("a query that came");
-        assert!(q.open, "{what}: {query} had its final answer");
-        assert!(self.now <= q.until, "{what}: {query} is late");
+        assert!(q.open, "{result}: {query} had its final answer");
+        assert!(self.now <= q.deadline, "{result}: {query} is late");
         q.open = false;
-        self.log.push(format!("{what} {query}"));
+        self.log.push(format!("{result} {query}"));
     }
 }
 
-impl Host for Seat {
+impl Host for CheckingHost {
     fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
-        let w = &mut *self.0.borrow_mut();
-        let why = w.forbidden(part);
-        assert!(why.is_none(), "call of {part}: {why:?}");
-        let p = &w.parts[&part];
-        assert!(w.holds(server, p.shard), "{server} does not hold the shard of {part}");
-        assert_eq!(w.servers[server].health, Health::Ready, "{server} is not ready");
-        assert!(w.now + timeout <= w.queries[&p.query].until, "{part} may outlive its query");
-        let number = w.calls.iter().filter(|c| c.part == part).count() as u32;
-        let (server, sent) = (server.to_owned(), w.now);
-        w.log.push(format!("call {part} {server}"));
-        w.calls.push(Call { part, number, server, sent, called_off: false, ended: None });
+        let model = &mut *self.0.borrow_mut();
+        let violation = model.violation(part);
+        assert!(violation.is_none(), "call of {part}: {violation:?}");
+        let p = &model.parts[&part];
+        assert!(model.holds_shard(server, p.shard), "{server} does not hold the shard of {part}");
+        assert_eq!(model.servers[server].health, Health::Ready, "{server} is not ready");
+        assert!(model.now + timeout <= model.queries[&p.query].deadline, "{part} may outlive its query");
+        let number = model.calls.iter().filter(|c| c.part == part).count() as u32;
+        let (server, sent) = (server.to_owned(), model.now);
+        model.log.push(format!("call {part} {server}"));
+        model.calls.push(Call { part, number, server, sent, cancelled: false, outcome: None });
     }
 
     fn cancel_call(&mut self, part: u64, call: u32) {
-        let w = &mut *self.0.borrow_mut();
-        assert!(w.settings.allow_cancel, "calling off is not allowed");
-        w.log.push(format!("off {part}"));
-        let known = w.calls.iter_mut().find(|c| c.part == part && c.number == call);
-        known.expect("a call that was made").called_off = true;
+        let model = &mut *self.0.borrow_mut();
+        assert!(model.settings.allow_cancel, "calling off is not allowed");
+        model.log.push(format!("off {part}"));
+        let found = model.calls.iter_mut().find(|c| c.part == part && c.number == call);
+        found.expect("a call that was made").cancelled = true;
     }
 
     fn answer(&mut self, query: u64, complete: bool) {
-        let w = &mut *self.0.borrow_mut();
-        let v = w.settings.verticals[w.queries[&query].vertical].clone();
-        let (got, step) = (w.got(query) + 1e-4, w.queries[&query].step);
-        let need = if step == 0 { v.required_weight } else { 1.0 };
+        let model = &mut *self.0.borrow_mut();
+        let v = model.settings.verticals[model.queries[&query].vertical].clone();
+        let (weight, step) = (model.answered_weight(query) + 1e-4, model.queries[&query].step);
+        let required = if step == 0 { v.required_weight } else { 1.0 };
         assert!(
-            got >= if v.min_weight < v.required_weight { v.min_weight } else { need },
+            weight >= if v.min_weight < v.required_weight { v.min_weight } else { required },
             "{query}: under the floor"
         );
-        assert!(!complete || (got >= need && w.queries[&query].whole), "{query}: not whole");
-        w.queries.get_mut(&query).expect("held").whole = complete;
+        assert!(!complete || (weight >= required && model.queries[&query].complete), "{query}: not whole");
+        model.queries.get_mut(&query).expect("held").complete = complete;
         if step == 0 && v.follow_up_parts > 0 {
-            w.queries.get_mut(&query).expect("held").step = 1;
-            w.log.push(format!("first answer {query}"));
+            model.queries.get_mut(&query).expect("held").step = 1;
+            model.log.push(format!("first answer {query}"));
         } else {
-            w.end(query, if complete { "answer" } else { "short answer" });
+            model.end_query(query, if complete { "answer" } else { "short answer" });
         }
     }
 
     fn reject(&mut self, query: u64, _retry_after: Option<Duration>) {
-        let w = &mut *self.0.borrow_mut();
-        let idempotency = w.settings.verticals[w.queries[&query].vertical].idempotency;
-        let may_have_run = w.calls.iter().any(|c| w.parts[&c.part].query == query && ran(c));
-        assert!(
-            idempotency == Idempotency::Idempotent || !may_have_run,
-            "{query} rejected, and may have run"
-        );
-        w.end(query, "reject");
+        let model = &mut *self.0.borrow_mut();
+        let idempotency = model.settings.verticals[model.queries[&query].vertical].idempotency;
+        let any_ran = model.calls.iter().any(|c| model.parts[&c.part].query == query && may_have_run(c));
+        assert!(idempotency == Idempotency::Idempotent || !any_ran, "{query} rejected, and may have run");
+        model.end_query(query, "reject");
     }
 
     fn abort(&mut self, query: u64) {
-        self.0.borrow_mut().end(query, "abort");
+        self.0.borrow_mut().end_query(query, "abort");
     }
 
     fn set_timer(&mut self, token: u64, delay: Duration) {
-        let w = &mut *self.0.borrow_mut();
-        let at = w.now + delay.max(ms(1));
-        w.wakes.push((at, token));
+        let model = &mut *self.0.borrow_mut();
+        let at = model.now + delay.max(ms(1));
+        model.timers.push((at, token));
     }
 
     fn watch_server_list(&mut self) {
@@ -223,103 +220,103 @@
     }
 }
 
-pub(crate) struct Stage {
-    pub world: Rc<RefCell<World>>,
-    pub gatherer: Gatherer<Seat>,
+pub(crate) struct Harness {
+    pub model: Rc<RefCell<Model>>,
+    pub gatherer: Gatherer<CheckingHost>,
 }
 
-impl Stage {
-    pub(crate) fn new(settings: Settings) -> Stage {
-        let world = World {
+impl Harness {
+    pub(crate) fn new(settings: Settings) -> Harness {
+        let model = Model {
             settings: settings.clone(),
             now: ms(0),
             calls: Vec::new(),
             parts: BTreeMap::new(),
             queries: BTreeMap::new(),
             servers: BTreeMap::new(),
-            wakes: Vec::new(),
-            asks: Vec::new(),
+            timers: Vec::new(),
+            arrivals: Vec::new(),
             log: Vec::new(),
         };
-        let world = Rc::new(RefCell::new(world));
-        let gatherer = Gatherer::new(Seat(world.clone()), &settings, ms(0));
-        let mut stage = Stage { world, gatherer };
-        (0..settings.cell_count).for_each(|i| stage.list(&format!("s{i}"), Health::Ready, i, None));
-        stage
+        let model = Rc::new(RefCell::new(model));
+        let gatherer = Gatherer::new(CheckingHost(model.clone()), &settings, ms(0));
+        let mut harness = Harness { model, gatherer };
+        (0..settings.cell_count).for_each(|i| harness.list_server(&format!("s{i}"), Health::Ready, i, None));
+        harness
     }
 
-    pub(crate) fn list(&mut self, id: &str, health: Health, cell: u32, started: Option<Duration>) {
+    pub(crate) fn list_server(&mut self, id: &str, health: Health, cell: u32, started: Option<Duration>) {
         let server = Server { health, cell, started };
-        self.world.borrow_mut().servers.insert(id.into(), server);
+        self.model.borrow_mut().servers.insert(id.into(), server);
         self.gatherer.begin_server_list(false);
         self.gatherer.update_server(id, health, cell, Some(cell % 3), started);
     }
 
     /// Query `id` with one part for each shard; the parts' ids are `id + 1` and on.
-    pub(crate) fn query(&mut self, id: u64, vertical: usize, shards: &[u32]) {
-        let until = self.world.borrow().now + ms(3000);
-        let q = Query { vertical, until, step: 0, whole: true, open: true };
-        self.world.borrow_mut().queries.insert(id, q);
-        self.world.borrow_mut().asks.push(until - ms(3000));
-        self.gatherer.query_arrived(id, id, vertical, None, None, until, shards.len());
-        self.parts(id, id + 1, shards);
+    pub(crate) fn start_query(&mut self, id: u64, vertical: usize, shards: &[u32]) {
+        let deadline = self.model.borrow().now + ms(3000);
+        let q = Query { vertical, deadline, step: 0, complete: true, open: true };
+        self.model.borrow_mut().queries.insert(id, q);
+        self.model.borrow_mut().arrivals.push(deadline - ms(3000));
+        self.gatherer.query_arrived(id, id, vertical, None, None, deadline, shards.len());
+        self.add_parts(id, id + 1, shards);
     }
 
-    pub(crate) fn parts(&mut self, query: u64, first: u64, shards: &[u32]) {
+    pub(crate) fn add_parts(&mut self, query: u64, first: u64, shards: &[u32]) {
         for (id, shard) in (first..).zip(shards) {
-            let (weight, step) = (1.0 / shards.len() as f64, self.world.borrow().queries[&query].step);
+            let (weight, step) = (1.0 / shards.len() as f64, self.model.borrow().queries[&query].step);
             let part = Part { query, shard: *shard, weight, step };
-            let now = self.world.borrow().now;
-            self.world.borrow_mut().asks.push(now);
-            self.world.borrow_mut().parts.insert(id, part);
+            let now = self.model.borrow().now;
+            self.model.borrow_mut().arrivals.push(now);
+            self.model.borrow_mut().parts.insert(id, part);
             self.gatherer.part_arrived(id, query, *shard, weight);
         }
     }
 
-    pub(crate) fn settle(&mut self, at: usize, outcome: Outcome) {
+    pub(crate) fn end_call(&mut self, index: usize, outcome: Outcome) {
         let (part, number, server) = {
-            let call = &mut self.world.borrow_mut().calls[at];
-            call.ended = Some(outcome);
+            let call = &mut self.model.borrow_mut().calls[index];
+            call.outcome = Some(outcome);
             (call.part, call.number, call.server.clone())
         };
         self.gatherer.call_ended(part, number, outcome, &server, outcome == Outcome::Completed);
     }
 
     /// Ends the calls that are out, each as it is told; those that are told nothing stay out.
-    pub(crate) fn settle_all(&mut self, how: impl Fn(&World, &Call) -> Option<Outcome>) {
-        for at in 0..self.calls() {
+    pub(crate) fn end_calls(&mut self, outcome_of: impl Fn(&Model, &Call) -> Option<Outcome>) {
+        for index in 0..self.call_count() {
             let outcome = {
-                let w = self.world.borrow();
-                Some(&w.calls[at]).filter(|c| c.ended.is_none()).and_then(|c| how(&w, c))
+                let model = self.model.borrow();
+                Some(&model.calls[index]).filter(|c| c.outcome.is_none()).and_then(|c| outcome_of(&model, c))
             };
             if let Some(outcome) = outcome {
-                self.settle(at, outcome);
+                self.end_call(index, outcome);
             }
         }
     }
 
-    pub(crate) fn pass(&mut self, time: Duration) {
-        let until = self.world.borrow().now + time;
+    pub(crate) fn advance(&mut self, time: Duration) {
+        let until = self.model.borrow().now + time;
         loop {
-            let next = self.world.borrow().wakes.iter().min().copied().filter(|w| w.0 <= until);
-            let at = next.map_or(until, |w| w.0);
-            self.world.borrow_mut().now = at;
+            let next = self.model.borrow().timers.iter().min().copied().filter(|t| t.0 <= until);
+            let at = next.map_or(until, |t| t.0);
+            self.model.borrow_mut().now = at;
             self.gatherer.advance_to(at);
-            let Some(wake) = next else { break };
-            self.world.borrow_mut().wakes.retain(|w| *w != wake);
-            self.gatherer.timer_fired(wake.1);
+            let Some(timer) = next else { break };
+            self.model.borrow_mut().timers.retain(|t| *t != timer);
+            self.gatherer.timer_fired(timer.1);
         }
     }
 
-    pub(crate) fn calls(&self) -> usize {
-        self.world.borrow().calls.len()
+    pub(crate) fn call_count(&self) -> usize {
+        self.model.borrow().calls.len()
     }
 
     pub(crate) fn log(&self) -> Vec<String> {
-        self.world.borrow().log.clone()
+        self.model.borrow().log.clone()
     }
 
-    pub(crate) fn count(&self, what: &str) -> usize {
-        self.world.borrow().log.iter().filter(|l| l.starts_with(what)).count()
+    pub(crate) fn count_logged(&self, prefix: &str) -> usize {
+        self.model.borrow().log.iter().filter(|l| l.starts_with(prefix)).count()
     }
 }
