--- a/benches/held.rs
+++ b/benches/held.rs
@@ -1,4 +1,4 @@
-//! What one query costs in the module, by how many are held and how many servers there are.
+//! Cost of one query in the module, by number of queries held and number of servers.
 
 #[path = "../tests/common/crowd.rs"]
 mod crowd;
--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -1,4 +1,4 @@
-//! A gatherer that holds a crowd of queries, and one more query that passes through it.
+//! A gatherer that holds many queries, for measuring the cost of one more.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -8,13 +8,13 @@
 
 use ashvane::{Gatherer, Health, Host, Idempotency, Outcome, Settings, VerticalSettings};
 
-/// Long enough that nothing held falls due while it is measured.
+/// Long enough that no held query becomes due during a measurement.
 const SLO: Duration = Duration::from_secs(100_000);
 pub(crate) const PARTS_PER_QUERY: u32 = 4;
 
 #[derive(Default)]
 pub(crate) struct RecordedActions {
-    /// Calls of the query that passes, as part and server.
+    /// Calls in flight that are to be answered, as part and server.
     pub calls: VecDeque<(u64, String)>,
     pub sent: u64,
     pub answered: u64,
@@ -50,7 +50,7 @@
     pub actions: Rc<RefCell<RecordedActions>>,
     now: Duration,
     next_id: u64,
-    /// Makes new names of servers.
+    /// Number of the server list; part of the servers' ids, so that each list has new ones.
     generation: u64,
     servers: u32,
 }
@@ -95,7 +95,7 @@
         loaded
     }
 
-    /// All servers are replaced by others of new names.
+    /// Replaces all servers by others with new ids.
     pub(crate) fn replace_servers(&mut self) {
         self.generation += 1;
         self.gatherer.begin_server_list(true);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A query comes, of a new id and key; its parts are sent.
+    /// Starts a query with a new id and key, which sends its parts.
     pub(crate) fn start_query(&mut self) {
         self.now += Duration::from_micros(100);
         self.gatherer.advance_to(self.now);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Every part that is out is answered.
+    /// Answers all recorded calls.
     pub(crate) fn answer_calls(&mut self) {
         self.now += Duration::from_millis(1);
         self.gatherer.advance_to(self.now);
@@ -129,13 +129,13 @@
         }
     }
 
-    /// So many queries are held, their parts out for good.
+    /// Starts queries whose calls are never answered.
     pub(crate) fn hold_queries(&mut self, queries: u64) {
         (0..queries).for_each(|_| self.start_query());
         self.actions.borrow_mut().calls.clear();
     }
 
-    /// One more query, from its coming to its answer.
+    /// Starts a query and answers its calls.
     pub(crate) fn run_query(&mut self) {
         self.start_query();
         self.answer_calls();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A slow, plain model of the rules behind the host: it sees every action and panics at one they forbid.
+//! A host with a simple model of the rules: it checks every action of the gatherer and panics at a violation.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -13,11 +13,12 @@
 }
 
 pub(crate) fn server_index(server: &str) -> usize {
-    server[1..].parse().expect("a number")
+    server[1..].parse().expect("a server id is `s` and a number")
 }
 
 pub(crate) struct Call {
     pub part: u64,
+    /// Number among the calls of the part, from 0.
     pub number: u32,
     pub server: String,
     pub sent: Duration,
@@ -36,6 +37,7 @@
     pub vertical: usize,
     pub deadline: Duration,
     pub step: u32,
+    /// Whether all answers so far had the required weight.
     pub complete: bool,
     pub open: bool,
 }
@@ -54,7 +56,9 @@
     pub queries: BTreeMap<u64, Query>,
     pub servers: BTreeMap<String, Server>,
     pub timers: Vec<(Duration, u64)>,
+    /// Times at which queries and parts arrived.
     pub arrivals: Vec<Duration>,
+    /// Actions of the gatherer.
     pub log: Vec<String>,
 }
 
@@ -118,6 +122,7 @@
         parts.filter(|(id, _)| self.is_answered(**id)).map(|(_, p)| p.weight).sum()
     }
 
+    /// The rule that a call of this part would violate now.
     pub(crate) fn violation(&self, part: u64) -> Option<&'static str> {
         let p = &self.parts[&part];
         let q = &self.queries[&p.query];
@@ -131,25 +136,25 @@
         });
         let first_run = calls.iter().find(|c| may_have_run(c)).map_or(self.now, |c| c.sent);
         match self.settings.verticals[q.vertical].idempotency {
-            _ if !q.open || p.step != q.step => Some("the query is over"),
-            _ if self.is_answered(part) => Some("the part is in"),
-            _ if calls.len() as u32 >= self.settings.max_calls_per_part => Some("too many leaf calls"),
+            _ if !q.open || p.step != q.step => Some("the query has ended"),
+            _ if self.is_answered(part) => Some("the part is answered"),
+            _ if calls.len() as u32 >= self.settings.max_calls_per_part => Some("the call limit is used up"),
             _ if !self.settings.allow_hedging && calls.iter().any(|c| c.outcome.is_none()) => {
-                Some("a second copy")
+                Some("another call of the part is in flight")
             }
-            _ if !calls.is_empty() && over_budget => Some("over the budget"),
+            _ if !calls.is_empty() && over_budget => Some("the retry budget is used up"),
             Idempotency::NonIdempotent if calls.iter().any(|c| may_have_run(c)) => Some("it may have run"),
             Idempotency::Deduplicated(window) if self.now + self.settings.tick * 2 >= first_run + window => {
-                Some("outside the window")
+                Some("the deduplication window has passed")
             }
             _ => None,
         }
     }
 
     fn end_query(&mut self, query: u64, result: &str) {
-        let q = self.queries.get_mut(&query).expect("a query that came");
-        assert!(q.open, "{result}: {query} had its final answer");
-        assert!(self.now <= q.deadline, "{result}: {query} is late");
+        let q = self.queries.get_mut(&query).expect("the query has arrived");
+        assert!(q.open, "{result} of query {query}, which has already ended");
+        assert!(self.now <= q.deadline, "{result} of query {query} after its deadline");
         q.open = false;
         self.log.push(format!("{result} {query}"));
     }
@@ -159,11 +164,18 @@
     fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
         let model = &mut *self.0.borrow_mut();
         let violation = model.violation(part);
-        assert!(violation.is_none(), "call of {part}: {violation:?}");
+        assert!(violation.is_none(), "part {part} must not be sent: {violation:?}");
         let p = &model.parts[&part];
-        assert!(model.holds_shard(server, p.shard), "{server} does not hold the shard of {part}");
-        assert_eq!(model.servers[server].health, Health::Ready, "{server} is not ready");
-        assert!(model.now + timeout <= model.queries[&p.query].deadline, "{part} may outlive its query");
+        assert!(model.holds_shard(server, p.shard), "server {server} does not hold the shard of part {part}");
+        assert_eq!(
+            model.servers[server].health,
+            Health::Ready,
+            "server {server} must be ready to get a call"
+        );
+        assert!(
+            model.now + timeout <= model.queries[&p.query].deadline,
+            "a call of part {part} must time out by the deadline of its query"
+        );
         let number = model.calls.iter().filter(|c| c.part == part).count() as u32;
         let (server, sent) = (server.to_owned(), model.now);
         model.log.push(format!("call {part} {server}"));
@@ -172,10 +184,10 @@
 
     fn cancel_call(&mut self, part: u64, call: u32) {
         let model = &mut *self.0.borrow_mut();
-        assert!(model.settings.allow_cancel, "calling off is not allowed");
+        assert!(model.settings.allow_cancel, "cancelling calls is not allowed");
         model.log.push(format!("off {part}"));
         let found = model.calls.iter_mut().find(|c| c.part == part && c.number == call);
-        found.expect("a call that was made").cancelled = true;
+        found.expect("only started calls are cancelled").cancelled = true;
     }
 
     fn answer(&mut self, query: u64, complete: bool) {
@@ -185,12 +197,15 @@
         let required = if step == 0 { v.required_weight } else { 1.0 };
         assert!(
             weight >= if v.min_weight < v.required_weight { v.min_weight } else { required },
-            "{query}: under the floor"
+            "answer to query {query} below the smallest allowed weight"
         );
-        assert!(!complete || (weight >= required && model.queries[&query].complete), "{query}: not whole");
-        model.queries.get_mut(&query).expect("held").complete = complete;
+        assert!(
+            !complete || (weight >= required && model.queries[&query].complete),
+            "answer to query {query} marked complete without the required weight"
+        );
+        model.queries.get_mut(&query).expect("the query has arrived").complete = complete;
         if step == 0 && v.follow_up_parts > 0 {
-            model.queries.get_mut(&query).expect("held").step = 1;
+            model.queries.get_mut(&query).expect("the query has arrived").step = 1;
             model.log.push(format!("first answer {query}"));
         } else {
             model.end_query(query, if complete { "answer" } else { "short answer" });
@@ -201,7 +216,10 @@
         let model = &mut *self.0.borrow_mut();
         let idempotency = model.settings.verticals[model.queries[&query].vertical].idempotency;
         let any_ran = model.calls.iter().any(|c| model.parts[&c.part].query == query && may_have_run(c));
-        assert!(idempotency == Idempotency::Idempotent || !any_ran, "{query} rejected, and may have run");
+        assert!(
+            idempotency == Idempotency::Idempotent || !any_ran,
+            "query {query} rejected although it may have run"
+        );
         model.end_query(query, "reject");
     }
 
@@ -252,7 +270,7 @@
         self.gatherer.update_server(id, health, cell, Some(cell % 3), started);
     }
 
-    /// Query `id` with one part for each shard; the parts' ids are `id + 1` and on.
+    /// Starts query `id` with one part for each shard; the ids of the parts start at `id + 1`.
     pub(crate) fn start_query(&mut self, id: u64, vertical: usize, shards: &[u32]) {
         let deadline = self.model.borrow().now + ms(3000);
         let q = Query { vertical, deadline, step: 0, complete: true, open: true };
@@ -262,6 +280,7 @@
         self.add_parts(id, id + 1, shards);
     }
 
+    /// Adds one part for each shard to a query; their ids start at `first`.
     pub(crate) fn add_parts(&mut self, query: u64, first: u64, shards: &[u32]) {
         for (id, shard) in (first..).zip(shards) {
             let (weight, step) = (1.0 / shards.len() as f64, self.model.borrow().queries[&query].step);
@@ -273,6 +292,7 @@
         }
     }
 
+    /// Ends the call at this index of [`Model::calls`].
     pub(crate) fn end_call(&mut self, index: usize, outcome: Outcome) {
         let (part, number, server) = {
             let call = &mut self.model.borrow_mut().calls[index];
@@ -282,7 +302,7 @@
         self.gatherer.call_ended(part, number, outcome, &server, outcome == Outcome::Completed);
     }
 
-    /// Ends the calls that are out, each as it is told; those that are told nothing stay out.
+    /// Ends the calls in flight for which the function returns an outcome.
     pub(crate) fn end_calls(&mut self, outcome_of: impl Fn(&Model, &Call) -> Option<Outcome>) {
         for index in 0..self.call_count() {
             let outcome = {
@@ -295,6 +315,7 @@
         }
     }
 
+    /// Advances the clock and fires the timers that become due.
     pub(crate) fn advance(&mut self, time: Duration) {
         let until = self.model.borrow().now + time;
         loop {
@@ -316,6 +337,7 @@
         self.model.borrow().log.clone()
     }
 
+    /// Number of logged actions that start with the prefix.
     pub(crate) fn count_logged(&self, prefix: &str) -> usize {
         self.model.borrow().log.iter().filter(|l| l.starts_with(prefix)).count()
     }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -1,4 +1,4 @@
-//! The design's path and the failures found so far, each played by hand.
+//! Decisions in single scenarios: the regular path and the failures found so far.
 
 mod common;
 
@@ -19,7 +19,7 @@
     observe_latency(harness, ms(50));
 }
 
-/// Each answer takes so long.
+/// Has queries answered with this latency, until it is the usual one.
 fn observe_latency(harness: &mut Harness, latency: Duration) {
     for id in (10_000..14_000).step_by(100) {
         harness.start_query(id, 0, &[0, 1, 2, 3, 4, 5]);
@@ -36,8 +36,8 @@
     harness.start_query(100, 0, &[0, 1, 2, 3, 4]);
     assert_eq!(harness.count_logged("call"), 3);
     (0..3).for_each(|at| harness.end_call(at, Outcome::Completed));
-    assert_eq!(harness.count_logged("call"), 3, "spares stay held: {:?}", harness.log());
-    assert_eq!(harness.log().last().expect("an answer"), "answer 100");
+    assert_eq!(harness.count_logged("call"), 3, "the other parts stay unsent: {:?}", harness.log());
+    assert_eq!(harness.log().last().expect("the query was answered"), "answer 100");
 }
 
 #[test]
@@ -49,13 +49,13 @@
     (first..first + 2).for_each(|at| harness.end_call(at, Outcome::Completed));
     harness.advance(ms(100));
     assert_eq!(harness.count_logged("call 10"), 4, "{:?}", harness.log());
-    assert_eq!(harness.count_logged("off"), 0, "the original keeps running");
+    assert_eq!(harness.count_logged("off"), 0, "the overdue call must not be cancelled");
     harness.end_call(first + 3, Outcome::Completed);
     assert_eq!(harness.count_logged("answer"), 1);
-    assert_eq!(harness.count_logged("off"), 1, "what is still out is called off");
+    assert_eq!(harness.count_logged("off"), 1, "the call still in flight must be cancelled");
 }
 
-/// Three servers of six fall silent with a part each: these are no few sick ones any longer.
+/// Three of six servers do not answer a part each, which is enough to trip the breaker.
 fn with_three_silent_servers() -> Harness {
     let mut harness = Harness::new(Settings { cells_per_shard: 1, ..idempotent(0.5) });
     warm_up(&mut harness);
@@ -67,7 +67,7 @@
     harness.model.borrow_mut().log.clear();
     harness.start_query(100, 0, &[0, 1, 2, 3, 4, 5]);
     harness.advance(ms(120));
-    assert_eq!(harness.count_logged("call"), 5, "two spares, then none: {:?}", harness.log());
+    assert_eq!(harness.count_logged("call"), 5, "two hedges, then none: {:?}", harness.log());
     harness
 }
 
@@ -76,21 +76,27 @@
     let mut harness = with_three_silent_servers();
     let silent = harness.call_count() - 3;
     harness.end_call(silent, Outcome::Unreachable);
-    assert_eq!(harness.count_logged("call"), 6, "a failed part has its spare: {:?}", harness.log());
+    assert_eq!(harness.count_logged("call"), 6, "the failed part must be replaced: {:?}", harness.log());
 }
 
-/// Guards against queries that wait until they are late for answers lost at many servers, while the others are well.
+/// Guards against queries that become late because the answers of many servers are lost while the other
+/// servers are healthy.
 #[test]
 fn a_tripped_breaker_does_not_halt_replacements_of_lost_parts() {
     let mut harness = with_three_silent_servers();
     harness.advance(ms(360));
-    assert_eq!(harness.count_logged("call"), 5, "the breaker holds: {:?}", harness.log());
+    assert_eq!(harness.count_logged("call"), 5, "the breaker must halt hedging: {:?}", harness.log());
     harness.advance(ms(80));
-    assert_eq!(harness.count_logged("call"), 6, "past the threshold the part is lost: {:?}", harness.log());
+    assert_eq!(
+        harness.count_logged("call"),
+        6,
+        "a part past the SLO threshold is lost and must be replaced: {:?}",
+        harness.log()
+    );
 }
 
-/// Guards against parts that wait until they are late where most servers lose this gatherer's calls: their silence
-/// raises the fleet's pace, as a slowdown of all would, though what answers comes is as quick as ever.
+/// Guards against parts that become late if most servers lose this gatherer's calls: the calls in flight
+/// raise the fleet's slowdown as if all servers were slow, although answers arrive as fast as usual.
 #[test]
 fn a_fleet_that_loses_most_calls_is_not_treated_as_a_slow_one() {
     let mut harness = Harness::new(Settings { cells_per_shard: 1, cell_count: 12, ..idempotent(0.5) });
@@ -107,7 +113,7 @@
     let sent_after = harness.count_logged("call 30") + harness.count_logged("call 31");
     assert!(
         sent_before == 6 && sent_after > 9,
-        "past the threshold they are lost: {sent_before}, {sent_after}"
+        "parts past the SLO threshold must be replaced: {sent_before} sent before, {sent_after} after"
     );
 }
 
@@ -120,13 +126,14 @@
         let model = harness.model.borrow();
         model.calls[first..].iter().filter(|c| c.server == model.calls[first].server).count()
     };
-    assert_eq!(at_home(&mut harness, 100), 2, "two where parts take a tenth of their time");
+    assert_eq!(at_home(&mut harness, 100), 2, "two while the usual latency is a tenth of the SLO time");
     harness.end_calls(|_, _| Some(Outcome::Completed));
     observe_latency(&mut harness, ms(20));
-    assert_eq!(at_home(&mut harness, 200), 4, "the design's four where they take little of it");
+    assert_eq!(at_home(&mut harness, 200), 4, "four while it is a small share");
 }
 
-/// Guards against a long query that is split into several calls, each of which costs the home work of its own.
+/// Guards against splitting a large query into several batched calls, each of which costs its servers extra
+/// work.
 #[test]
 fn parts_that_share_a_costly_batched_call_stay_at_their_home() {
     let at_home = |call_overhead, max_parts_per_call| {
@@ -143,10 +150,10 @@
         };
         (max_at_one(&model.calls[..first]), max_at_one(&model.calls[first..]))
     };
-    assert_eq!(at_home(ms(80), 16).0, 6, "one call with all of them");
-    assert_eq!(at_home(ms(80), 3).0, 3, "as many as a call takes");
-    assert_eq!(at_home(ms(0), 16), (2, 2), "calls are free: the bound of a busy home");
-    assert!(at_home(ms(80), 16).1 >= 4, "the next query has a call of its own elsewhere");
+    assert_eq!(at_home(ms(80), 16).0, 6, "all parts in one batched call");
+    assert_eq!(at_home(ms(80), 3).0, 3, "as many parts as a batched call can hold");
+    assert_eq!(at_home(ms(0), 16), (2, 2), "without call overhead the limit of a busy home applies");
+    assert!(at_home(ms(80), 16).1 >= 4, "the next query must get a batched call at another server");
 }
 
 #[test]
@@ -157,7 +164,7 @@
     let at = harness.call_count() - 1;
     harness.advance(ms(400));
     assert_eq!(harness.count_logged("off 101"), 1, "{:?}", harness.log());
-    assert_eq!(harness.count_logged("call 101"), 1, "not before the outcome is known");
+    assert_eq!(harness.count_logged("call 101"), 1, "no other call before the outcome of the cancelled one");
     harness.end_call(at, Outcome::Cancelled);
     let model = harness.model.borrow();
     assert_ne!(model.calls[at].server, model.calls[at + 1].server);
@@ -170,7 +177,7 @@
     harness.end_call(0, Outcome::Unreachable);
     assert_eq!(harness.count_logged("call 101"), 2);
     harness.end_call(1, Outcome::ConnectionLost);
-    assert_eq!(harness.log().last().expect("an end"), "abort 100");
+    assert_eq!(harness.log().last().expect("the query ended"), "abort 100");
 }
 
 #[test]
@@ -178,7 +185,7 @@
     let mut harness = Harness::new(idempotent(0.6));
     warm_up(&mut harness);
     harness.start_query(100, 0, &[0, 1, 2, 3, 4]);
-    // Nothing ran for 600 ms: the wakes come late, and the answers right behind them.
+    // The process did not run for 600 ms: timers fire late, and answers are read only after them.
     harness.model.borrow_mut().now += ms(600);
     harness.gatherer.advance_to(harness.model.borrow().now);
     harness.gatherer.timer_fired(100);
@@ -187,7 +194,8 @@
 
 #[test]
 fn a_cut_link_to_a_zone_is_attributed_to_the_zone_and_costs_few_parts() {
-    // Of 90 servers each answered only now and then: every one beyond the way would be a failure of its own.
+    // Each of 90 servers gets few calls, so that finding out about each one behind the link would cost many
+    // parts.
     let mut harness = Harness::new(Settings { cell_count: 90, cells_per_shard: 3, ..idempotent(1.0) });
     let is_cut_off = |server: &str| server_index(server) % 3 == 1;
     let cut_turn = 60;
@@ -206,11 +214,11 @@
     let misdirected = recent.iter().filter(|c| is_cut_off(&c.server)).count();
     assert!(
         misdirected * 12 <= recent.len(),
-        "{misdirected} of {} parts went to the lost zone",
+        "{misdirected} of {} parts went to the zone that is cut off",
         recent.len()
     );
     let pending = recent.iter().filter(|c| c.outcome.is_none()).count();
-    assert!(pending <= 8, "{pending} parts still wait at the lost zone");
+    assert!(pending <= 8, "{pending} parts are still in flight to the zone that is cut off");
 }
 
 #[test]
@@ -230,7 +238,7 @@
     let rejecting = model.calls.iter().filter(|c| c.server == "s5").count();
     assert!(
         remote <= 6 && rejecting <= 2,
-        "{remote} of 60 left the zone, {rejecting} went to the full server"
+        "{remote} of 60 parts went to other zones, {rejecting} to the rejecting server"
     );
 }
 
@@ -241,16 +249,16 @@
         let id = 1000 + 100 * turn;
         harness.start_query(id, 0, &[0, 1, 2]);
         harness.advance(ms(150));
-        // From the twentieth on they leave after 150 ms, just before the answers come.
+        // From the twentieth query on, clients leave after 150 ms, just before the answers arrive.
         if turn >= 20 && harness.model.borrow().queries[&id].open {
-            harness.model.borrow_mut().queries.get_mut(&id).expect("held").open = false;
+            harness.model.borrow_mut().queries.get_mut(&id).expect("the query was started").open = false;
             harness.gatherer.query_abandoned(id);
         }
         harness.end_calls(|_, _| Some(Outcome::Completed));
     }
     assert!(
         harness.count_logged("reject") >= 15,
-        "work for clients that are gone: {}",
+        "work for clients that have left: {} calls",
         harness.count_logged("call")
     );
 }
@@ -271,10 +279,10 @@
     }
     let model = harness.model.borrow();
     let errors = model.calls.iter().filter(|c| c.outcome == Some(Outcome::Errored)).count();
-    assert!(errors <= 7, "{errors} of 100 parts went where their vertical is not served");
+    assert!(errors <= 7, "{errors} of 100 parts went to the server that fails their vertical");
     let served = model.calls.iter().filter(|c| c.server == "s0" && c.sent >= start);
     let served = served.filter(|c| c.outcome == Some(Outcome::Completed)).count();
-    assert!(served >= 30, "{served} parts of the vertical that it answers went there");
+    assert!(served >= 30, "only {served} parts of the other vertical went to that server");
 }
 
 #[test]
@@ -285,8 +293,11 @@
         harness.advance(ms(100));
         harness.end_calls(|_, c| Some(Outcome::Completed).filter(|_| (id - 899..id - 896).contains(&c.part)));
     }
-    assert!(harness.count_logged("reject") > 20, "few queries are taken while each needs its whole SLO time");
-    // Nothing is out any more, and no answer comes that could make the prediction better.
+    assert!(
+        harness.count_logged("reject") > 20,
+        "most queries must be rejected while each takes its whole SLO time"
+    );
+    // With no calls in flight, no answer can correct the prediction.
     harness.advance(ms(4000));
     harness.end_calls(|_, _| Some(Outcome::Cancelled));
     harness.advance(ms(20_000));
@@ -318,14 +329,14 @@
     harness.start_query(100, 0, &[0]);
     harness.end_call(0, Outcome::Completed);
     harness.gatherer.call_ended(101, 0, Outcome::Completed, "s0", true);
-    assert_eq!(harness.log().last().expect("an answer"), "answer 100");
+    assert_eq!(harness.log().last().expect("the query was answered"), "answer 100");
 }
 
 #[test]
 fn of_two_ejected_replicas_the_slow_one_is_preferred_to_the_failing_one() {
     let mut harness = Harness::new(idempotent(1.0));
     warm_up(&mut harness);
-    // s1 refuses every connection, trials too; s0 answers.
+    // s1 refuses every connection, also those of trial calls; s0 answers.
     for id in (20_000..24_000).step_by(100) {
         harness.start_query(id, 0, &[0]);
         for _ in 0..4 {
@@ -336,16 +347,17 @@
         }
         harness.advance(ms(600));
     }
-    // Now s0 is silent as well, for over four times a usual answer. Some queries still try s1.
+    // s0 stops answering too, for over four times its usual latency. Some queries still try s1.
     harness.start_query(100, 0, &[0]);
     harness.advance(ms(230));
     harness.model.borrow_mut().log.clear();
     (300..2300).step_by(100).for_each(|id| harness.start_query(id, 0, &[0]));
     let to_failing = harness.log().iter().filter(|l| l.starts_with("call") && l.ends_with("s1")).count();
-    assert!(to_failing <= 12, "{to_failing} of 20 went to the one that only fails: {:?}", harness.log());
+    assert!(to_failing <= 12, "{to_failing} of 20 went to the failing server: {:?}", harness.log());
 }
 
-/// Guards against a fleet that has grown and goes on by the stated number, and against a count that outlives who told it.
+/// Guards against using the configured number of gatherers after the fleet has grown, and against using a
+/// count that is no longer reported.
 #[test]
 fn a_cold_server_gets_traffic_by_the_number_of_live_gatherers_if_known() {
     let cold_calls = |counts: &[Option<u32>]| {
@@ -366,5 +378,9 @@
     let configured = cold_calls(&[]);
     let (many, few) = (cold_calls(&[Some(300)]), cold_calls(&[Some(1)]));
     assert!(many > 2 * configured.max(5) && few <= configured, "{few}, {configured} and {many} calls");
-    assert_eq!(cold_calls(&[Some(300), None]), configured, "nobody can tell any more");
+    assert_eq!(
+        cold_calls(&[Some(300), None]),
+        configured,
+        "the configured number applies again once the count is unknown"
+    );
 }
--- a/tests/held.rs
+++ b/tests/held.rs
@@ -1,4 +1,5 @@
-//! The module at size: what an event costs while much is held, and what stays of queries that are over.
+//! The module under load: the cost of an event while many queries are held, and memory after queries have
+//! ended.
 
 #[path = "common/crowd.rs"]
 mod crowd;
@@ -13,12 +14,13 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// One at a time: they share the allocator, and measure time.
+/// Makes the tests run one at a time, since they share the allocator and measure time.
 static TEST_LOCK: Mutex<()> = Mutex::new(());
-/// How often a tenth is measured for its fastest.
+/// Number of measurements of which the fastest counts.
 const SAMPLE_COUNT: usize = 7;
 
-/// The cost of a query with so many held: the fastest of some hundreds, so that a busy machine does not count.
+/// Seconds for 50 queries with this many held: the fastest of several measurements, so that other load on the
+/// machine does not count.
 fn query_cost(held: u64) -> f64 {
     let mut loaded = LoadedGatherer::new(120);
     loaded.hold_queries(held);
@@ -28,12 +30,16 @@
         (0..50).for_each(|_| loaded.run_query());
         best = best.min(start.elapsed().as_secs_f64());
     }
-    assert_eq!(loaded.actions.borrow().answered, SAMPLE_COUNT as u64 * 50, "what passes is answered");
+    assert_eq!(
+        loaded.actions.borrow().answered,
+        SAMPLE_COUNT as u64 * 50,
+        "every measured query must be answered"
+    );
     best
 }
 
-/// Guards against events that look through all that is held: 700 times the cost once. The bound is wide for
-/// a build without optimization on a loaded machine; `benches/held.rs` measures it.
+/// Guards against events that scan everything held, which once cost 700 times as much. The bound leaves room
+/// for a build without optimization on a loaded machine; `benches/held.rs` measures the cost.
 #[test]
 fn a_query_costs_about_the_same_with_ten_and_a_hundred_thousand_queries_held() {
     let _guard = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
@@ -41,8 +47,8 @@
     assert!(many < few * 8.0, "{:.0} us with 10 held, {:.0} us with 100,000", few * 2e4, many * 2e4);
 }
 
-/// Guards against records that stay: ids, keys and servers are new all the time. `ASHVANE_QUERIES` asks for
-/// more than the tenth of a million that every run passes.
+/// Guards against records that are never removed, with ids, keys and servers that are always new.
+/// `ASHVANE_QUERIES` sets the number of queries; the default is 100,000.
 #[test]
 fn ended_queries_leave_no_memory_in_use() {
     let _guard = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
@@ -59,6 +65,9 @@
     };
     let early = run(queries / 10);
     let late = run(queries);
-    assert!(late < early + early / 10 + 20_000, "{early} bytes live after a tenth, {late} at the end");
+    assert!(
+        late < early + early / 10 + 20_000,
+        "{early} bytes in use after a tenth of the queries, {late} at the end"
+    );
     assert_eq!(loaded.actions.borrow().answered, queries + queries / 10);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The module beside the model of the rules: nothing forbidden is done, nothing allowed held back.
+//! Random events against the model of the rules: the module does nothing that is forbidden and withholds no
+//! part that may be sent.
 
 mod common;
 
@@ -12,6 +13,7 @@
 const OUTCOMES: [Outcome; 8] =
     [Completed, Errored, Rejected, TimedOut, Unreachable, ConnectionLost, NeverSent, Completed];
 
+/// Applies a random event: a query, the end of a call, a change of a server, an abandoned query, or time.
 fn apply_step(harness: &mut Harness, next_id: &mut u64, (kind, a, b): (u8, u8, u8)) {
     let in_flight: Vec<usize> = {
         let model = harness.model.borrow();
@@ -36,7 +38,8 @@
         6 if b % 8 == 0 => {
             let open = harness.model.borrow().queries.iter().find(|(_, q)| q.open).map(|(id, _)| *id);
             if let Some(id) = open {
-                harness.model.borrow_mut().queries.get_mut(&id).expect("open").open = false;
+                harness.model.borrow_mut().queries.get_mut(&id).expect("the query was found above").open =
+                    false;
                 harness.gatherer.query_abandoned(id);
             }
         }
@@ -44,6 +47,7 @@
     }
 }
 
+/// Ends cancelled calls and adds the parts of second steps, as a host does.
 fn run_follow_ups(harness: &mut Harness, next_id: &mut u64) {
     loop {
         let cancelled = harness.model.borrow().calls.iter().position(|c| c.cancelled && c.outcome.is_none());
@@ -63,7 +67,8 @@
     }
 }
 
-/// Parts held though their query lacks parts on their way, and rules and servers would let them go.
+/// Parts that are not sent although their query lacks weight in flight, and both the rules and a server allow
+/// it.
 fn withheld_parts(harness: &Harness) -> Vec<u64> {
     let model = harness.model.borrow();
     let mut withheld = Vec::new();
@@ -78,7 +83,7 @@
             continue;
         }
         let is_ready = |s: &common::Server| s.health == Health::Ready && s.started.is_none();
-        // A server that failed a part may wait for longer before it gets it again.
+        // A server that was already sent a part gets it again only after a backoff, so it does not count.
         let was_tried = |part, server| model.calls.iter().any(|c| c.part == part && &c.server == server);
         let has_server = |part, shard| {
             model
@@ -156,7 +161,7 @@
             sent[server_index(&c.server)].push(c.sent - step * start_turn);
         }
     }
-    // The fleet bears what it gets on average: 100 gatherers, 12.5 parts a second each.
+    // Average load of a server: 100 gatherers send 12.5 parts a second each to 240 servers.
     let warm_rate = 100.0 * 12.5 / 240.0;
     let limit = |age: Duration| {
         let share = s.cold_capacity_share
@@ -167,8 +172,11 @@
         let in_window =
             |end: Duration| sent.iter().filter(|t| **t + window > end && **t <= end).count() as f64;
         let excess = sent.iter().map(|t| in_window(*t) - limit(*t)).fold(0.0, f64::max);
-        assert!(excess <= 3.0, "{excess} parts over the limit, beside chance: {sent:?}");
+        assert!(excess <= 3.0, "{excess} parts over the limit, more than chance allows: {sent:?}");
     }
     let mean_rate = sent[..200].iter().map(Vec::len).sum::<usize>() as f64 / 200.0 / 8.0;
-    assert!(mean_rate >= 0.05 * limit(ms(4000)), "cold servers get {mean_rate} a second, too few to warm");
+    assert!(
+        mean_rate >= 0.05 * limit(ms(4000)),
+        "cold servers get {mean_rate} parts a second, too few to warm up"
+    );
 }
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -1,11 +1,11 @@
-//! Queries over all shards of an index, where an answer is worth the square of the share that is in.
+//! Queries over all shards of an index, where an answer's utility is the square of its share of the shards.
 
 mod common;
 
 use ashvane::{Idempotency, Outcome, Settings, VerticalSettings};
 use common::{Harness, ms, settings, vertical};
 
-/// One server for each of four shards; a partial answer needs this share of them.
+/// Four shards with one server each; a partial answer needs this weight.
 fn four_shards(min_weight: f64) -> (Harness, VerticalSettings) {
     let v = VerticalSettings { late_utility: 0.5, ..vertical(1.0, min_weight, 0, Idempotency::Idempotent) };
     let max_calls_per_part = 8;
@@ -24,12 +24,12 @@
 
 const SHARDS: [u32; 4] = [0, 1, 2, 3];
 
-/// Answers given, whole or not.
+/// Number of complete and partial answers.
 fn answer_count(harness: &Harness) -> usize {
     harness.count_logged("answer") + harness.count_logged("short answer")
 }
 
-/// Ends what is out: the server of the last shard cannot be reached, the others answer.
+/// Ends all calls in flight: the server of the last shard is unreachable, the others answer.
 fn end_all_calls(harness: &mut Harness) {
     for _ in 0..6 {
         harness.advance(ms(10));
@@ -38,8 +38,8 @@
     }
 }
 
-/// Found on a day when all servers of one shard were down: its pace alone predicted each query as late, and
-/// nine in ten were turned away though three quarters of the shards were well.
+/// Guards against a failure seen with all servers of one shard down: its slowdown alone made each query
+/// predicted as late, and nine in ten were rejected although three quarters of the shards were healthy.
 #[test]
 fn a_shard_that_is_down_does_not_get_queries_rejected() {
     let (mut harness, _) = four_shards(0.6);
@@ -48,7 +48,7 @@
         end_all_calls(&mut harness);
         harness.advance(ms(20));
     }
-    // The last ones wait for their last try.
+    // The last queries wait for their last attempt.
     (0..100).for_each(|_| end_all_calls(&mut harness));
     assert_eq!(
         (harness.count_logged("reject"), answer_count(&harness)),
@@ -67,12 +67,13 @@
         harness.advance(ms(20));
     }
     harness.end_calls(|_, c| (c.server == "s0").then_some(Outcome::Completed));
-    assert_eq!(answer_count(&harness), 0, "two more may come: {:?}", harness.log());
+    assert_eq!(answer_count(&harness), 0, "two more parts may still be answered: {:?}", harness.log());
     harness.end_calls(|_, _| Some(Outcome::Completed));
     assert_eq!(answer_count(&harness), 1, "{:?}", harness.log());
 }
 
-/// At the target time three quarters, worth 0.56, are better than a late whole, worth 0.5; a half is not.
+/// At the SLO time an answer from three quarters of the shards (utility 0.56) is better than a late complete
+/// one (0.5), but an answer from half of them is not.
 #[test]
 fn a_late_part_is_left_out_if_waiting_for_it_lowers_the_utility() {
     for (silent_count, expected) in [(1, 1), (2, 0)] {
@@ -85,11 +86,16 @@
         harness.advance(v.slo.saturating_sub(ms(50)));
         assert_eq!(answer_count(&harness), 0);
         harness.advance(ms(50));
-        assert_eq!(answer_count(&harness), expected, "{silent_count} silent: {:?}", harness.log());
+        assert_eq!(
+            answer_count(&harness),
+            expected,
+            "with {silent_count} servers not answering: {:?}",
+            harness.log()
+        );
     }
 }
 
-/// A server that cannot be reached was not sent the query: it takes nothing of the limit on servers.
+/// The limit is on servers that received the part, which an unreachable server did not.
 #[test]
 fn calls_to_an_unreachable_server_do_not_use_up_the_call_limit() {
     let (mut harness, _) = four_shards(1.0);
@@ -103,5 +109,5 @@
         harness.end_calls(|_, _| Some(Outcome::Errored));
         harness.advance(ms(400));
     }
-    assert_eq!(harness.count_logged("call"), 4, "two that were sent it: {:?}", harness.log());
+    assert_eq!(harness.count_logged("call"), 4, "two calls that reached a server: {:?}", harness.log());
 }
