--- a/src/decide.rs
+++ b/src/decide.rs
@@ -35,8 +35,8 @@
 const MAX_HOME_CALLS: usize = 4;
 const LIGHT_LOAD_RATIO: f64 = 0.05;
 const MAX_BUSY_HOME_CALLS: usize = 2;
-/// Parts in one batched call that a home replica takes beyond that limit, if each batched call costs it work
-/// of its own: splitting the parts over several calls would cost that work several times.
+/// Parts in one batched call that a home replica takes even if they exceed its limit, where each batched call
+/// costs it work of its own: splitting the parts over several calls would cost that work several times.
 const MAX_HOME_BATCH_PARTS: usize = 8;
 /// Servers this many times slower than the fleet are ejected; latencies of healthy servers vary by less.
 const EJECTION_RATIO: f64 = 2.0;
@@ -73,7 +73,7 @@
 const QUOTA_SLACK_RATIO: f64 = 1.3;
 /// Seconds over which rates of calls, hedges and a tenant's queries are averaged.
 const RATE_WINDOW_S: f64 = 10.0;
-/// Headroom for bursts below a cold server's call limit: (more than four standard deviations) squared / 4.
+/// Headroom for bursts below a cold server's call limit: k * k / 4 for k standard deviations, over four.
 const COLD_HEADROOM_CALLS: f64 = 5.0;
 /// A timer that fires later than this shows that the gatherer was starved of CPU time.
 const STARVATION_DELAY: Duration = Duration::from_millis(100);
@@ -84,7 +84,7 @@
 /// First retry delay of the server list; it doubles up to the interval, this share of the longest allowed.
 const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
 const LIST_REQUEST_RATIO: f64 = 0.4;
-/// Tolerance for rounding in sums of weights; the rules allow twice this.
+/// Tolerance for rounding in sums of weights; the checks of the rules allow twice this.
 const WEIGHT_TOLERANCE: f64 = 5e-5;
 /// Timer token of the server list; the other tokens are query numbers, which are smaller.
 const LIST_TIMER_TOKEN: u64 = 1 << 60;
@@ -135,7 +135,7 @@
     calls_by_age: BTreeMap<(Duration, CallKey), f64>,
     /// Time and result of the last [`Gatherer::pending_slowdown`]; a call sent at that time adds nothing.
     pending_cache: Cell<(Duration, f64)>,
-    /// Latency of answers as a multiple of the usual one, raised by failures; by errors, for each vertical.
+    /// Latency of answers as a multiple of the usual, raised by failures; by errors for their vertical only.
     slowdown: f64,
     last_seen: Duration,
     error_slowdowns: BTreeMap<usize, f64>,
@@ -217,7 +217,7 @@
     allow_hedging: bool,
     allow_cancel: bool,
     max_retry_after: Option<Duration>,
-    /// Time before a deadline or time limit at which the gatherer acts, to be in time.
+    /// Margin by which the gatherer acts before a deadline or time limit.
     end_margin: Duration,
     list_interval: Option<Duration>,
     list_retry_delay: Duration,
@@ -226,7 +226,7 @@
     /// Times of queries and parts that arrived, and of retries, within the retry budget's window.
     requests: VecDeque<Duration>,
     retries: VecDeque<Duration>,
-    /// Largest batch of parts that a home replica takes beyond its limit of calls.
+    /// Largest batch of parts that a home replica takes even if the batch exceeds its limit.
     max_batch_parts: usize,
     cold_capacity: f64,
     warm_up_time: Duration,
@@ -373,7 +373,7 @@
         self.gatherer_share = live.map_or(self.configured_share, |live| 1.0 / f64::from(live.max(1)));
     }
 
-    /// Adds a query of `size` parts, which must be added before time advances. Parts refer to it by `number`.
+    /// Adds a query. Its `size` parts, which refer to it by `number`, must be added before time advances.
     #[allow(clippy::too_many_arguments)]
     pub fn query_arrived(
         &mut self, id: u64, number: u64, vertical: usize, tenant: Option<usize>, key: Option<&str>,
@@ -474,7 +474,7 @@
             return self.answer(number, true);
         }
         let reach = weight(&|p| p.done || p.active > 0 || p.calls == 0 || self.may_call(q, p, p.active));
-        // After the SLO time a complete answer has the utility of a late one only.
+        // After the SLO time a complete answer has late utility only: a better partial one is sent by then.
         let cutoff = (q.arrived + v.slo).saturating_sub(self.end_margin);
         let cutoff = Some(cutoff).filter(|_| v.squared && got >= min_weight && got * got > v.late_utility);
         let is_cut_off = cutoff.is_some_and(|cutoff| self.now >= cutoff);
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -10,7 +10,7 @@
         useful.saturating_sub(self.end_margin)
     }
 
-    /// Whether a tenant uses at most an even share of its quota here, or the share that another tenant uses.
+    /// Whether a tenant uses at most this gatherer's share of its quota, or as much as another tenant does.
     pub(super) fn is_within_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(t) = tenant.filter(|t| *t < self.tenants.len()) else { return true };
         self.tenants[t].1.count(self.now);
--- a/src/decide/home.rs
+++ b/src/decide/home.rs
@@ -28,7 +28,7 @@
         let ranked = ready.map(|(id, s)| ((local(s), hash(q.key, id)), self.slowdown(s, q.vertical), id, s));
         let mut candidates: Vec<Candidate<'_>> = ranked.collect();
         let home = candidates.iter().map(|r| r.0).max()?;
-        // A server is ejected only if slower than both the fleet and the shard's other replicas.
+        // A server is ejected only if slower than both the fleet and the fastest replica of the shard.
         let best = candidates.iter().map(|r| r.1).fold(f64::INFINITY, f64::min).max(self.fleet_slowdown);
         candidates.retain(|(rank, _, _, s)| {
             let share = self.traffic_share(s);
--- a/src/decide/servers.rs
+++ b/src/decide/servers.rs
@@ -6,7 +6,7 @@
     /// Computes the slowdown of each zone, the median of its recently observed servers: several must be bad
     /// before the link to the zone is blamed. It stands in for servers without recent observations. The
     /// fleet's slowdown is the fastest zone's: other zones may be cut off, while a slowdown of all servers
-    /// raises it and ejects none. Drawback: fails if half of a zone's servers are bad.
+    /// raises it and ejects none. Drawback: this fails if half of a zone's servers are bad.
     pub(super) fn update_fleet_slowdown(&mut self) {
         self.fleet_updated = self.now;
         let mut by_zone: BTreeMap<Option<u32>, Vec<f64>> = BTreeMap::new();
@@ -28,7 +28,7 @@
         self.fleet_slowdown = self.zone_slowdowns.values().copied().reduce(f64::min).unwrap_or(1.0).max(1.0);
     }
 
-    /// Begins a complete server list or one of changes; drops servers gone before with no calls in flight.
+    /// Begins a complete server list or one of changes, and drops gone servers without calls in flight.
     pub fn begin_server_list(&mut self, is_complete: bool) {
         self.list_retry_delay = LIST_RETRY_DELAY;
         self.list_request_at = self.now + self.list_interval.unwrap_or_default();
