--- a/tests/design.rs
+++ b/tests/design.rs
@@ -56,7 +56,7 @@
 }
 
 /// Three of six servers do not answer a part each, which is enough to trip the breaker.
-fn with_three_silent_servers() -> Harness {
+fn with_three_unresponsive_servers() -> Harness {
     let mut harness = Harness::new(Settings { cells_per_shard: 1, ..idempotent(0.5) });
     warm_up(&mut harness);
     for id in (5000..8000).step_by(100) {
@@ -73,9 +73,9 @@
 
 #[test]
 fn a_tripped_breaker_halts_hedging_but_not_replacements_of_failed_parts() {
-    let mut harness = with_three_silent_servers();
-    let silent = harness.call_count() - 3;
-    harness.end_call(silent, Outcome::Unreachable);
+    let mut harness = with_three_unresponsive_servers();
+    let unanswered = harness.call_count() - 3;
+    harness.end_call(unanswered, Outcome::Unreachable);
     assert_eq!(harness.count_logged("call"), 6, "the failed part must be replaced: {:?}", harness.log());
 }
 
@@ -83,7 +83,7 @@
 /// servers are healthy.
 #[test]
 fn a_tripped_breaker_does_not_halt_replacements_of_lost_parts() {
-    let mut harness = with_three_silent_servers();
+    let mut harness = with_three_unresponsive_servers();
     harness.advance(ms(360));
     assert_eq!(harness.count_logged("call"), 5, "the breaker must halt hedging: {:?}", harness.log());
     harness.advance(ms(80));
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -76,12 +76,12 @@
 /// one (0.5), but an answer from half of them is not.
 #[test]
 fn a_late_part_is_left_out_if_waiting_for_it_lowers_the_utility() {
-    for (silent_count, expected) in [(1, 1), (2, 0)] {
+    for (unresponsive_count, expected) in [(1, 1), (2, 0)] {
         let (mut harness, v) = four_shards(0.25);
         harness.start_query(1000, 0, &SHARDS);
         harness.end_calls(|_, c| {
             let number: u32 = c.server[1..].parse().ok()?;
-            (number >= silent_count).then_some(Outcome::Completed)
+            (number >= unresponsive_count).then_some(Outcome::Completed)
         });
         harness.advance(v.slo.saturating_sub(ms(50)));
         assert_eq!(answer_count(&harness), 0);
@@ -89,7 +89,7 @@
         assert_eq!(
             answer_count(&harness),
             expected,
-            "with {silent_count} servers not answering: {:?}",
+            "with {unresponsive_count} servers not answering: {:?}",
             harness.log()
         );
     }
