--- a/src/decide.rs
+++ b/src/decide.rs
@@ -26,7 +26,7 @@
 /// Impaired servers above which the breaker halts hedging: this many, or this share of those in use if more.
 const MAX_IMPAIRED_COUNT: f64 = 2.0;
 const MAX_IMPAIRED_RATIO: f64 = 0.34;
-/// How long a server counts as impaired and the breaker halts hedging: about the duration of a query.
+/// Time for which a server counts as impaired, and a tripped breaker halts hedging: about that of a query.
 const IMPAIRED_WINDOW: Duration = Duration::from_secs(1);
 /// Hedges per call, with at least one per second allowed: a query of a dozen parts may meet two bad servers.
 const MAX_HEDGE_RATIO: f64 = 0.25;
@@ -51,7 +51,7 @@
 /// Faults last some twenty seconds; where SLO times are short, so are work, warm-up and faults.
 const MAX_HALF_LIFE: Duration = Duration::from_secs(20);
 const HALF_LIFE_SLO_RATIO: f64 = 20.0;
-/// Servers with recent observations that a zone needs to be judged as a whole.
+/// Smallest number of recently observed servers from which a zone's slowdown is computed.
 const MIN_ZONE_SERVERS: usize = 3;
 /// Calls in flight per server whose age is examined, the oldest first. Younger ones add no information, and
 /// examining all would make each event cost more the more calls are in flight.
@@ -63,7 +63,7 @@
 const MAX_LATENCY_EXCESS_RATIO: f64 = 1.5;
 /// Usual latency of a part before the first answer, as a share of the SLO time.
 const INITIAL_LATENCY_SLO_RATIO: f64 = 0.1;
-/// Growth of a query's latency over its parts' mean, per e-fold of parts: the slowest or its hedge ends it.
+/// Excess of a query's latency over its parts' mean per e-fold of parts: the slowest or its hedge decides.
 const FAN_OUT_RATIO: f64 = 0.35;
 /// Weight of the latest answered or abandoned query in the time that a vertical's clients wait.
 const CLIENT_WAIT_WEIGHT: f64 = 0.1;
@@ -73,7 +73,7 @@
 const QUOTA_SLACK_RATIO: f64 = 1.3;
 /// Seconds over which rates of calls, hedges and a tenant's queries are averaged.
 const RATE_WINDOW_S: f64 = 10.0;
-/// Headroom for bursts below a cold server's call limit: k * k / 4 for k standard deviations, over four.
+/// Headroom for bursts below a cold server's call limit: k * k / 4 for k > 4 standard deviations.
 const COLD_HEADROOM_CALLS: f64 = 5.0;
 /// A timer that fires later than this shows that the gatherer was starved of CPU time.
 const STARVATION_DELAY: Duration = Duration::from_millis(100);
@@ -81,8 +81,9 @@
 const MAX_UNSENT_CALLS: u32 = 3;
 /// Shortest time between reviews of a query with an overdue or unsendable part, and of the fleet.
 const MIN_REVIEW_INTERVAL: Duration = Duration::from_millis(50);
-/// First retry delay of the server list; it doubles up to the interval, this share of the longest allowed.
+/// Delay before a failed request for the server list is repeated; it doubles up to the regular interval.
 const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Regular interval between requests for the server list, as a share of the longest allowed.
 const LIST_REQUEST_RATIO: f64 = 0.4;
 /// Tolerance for rounding in sums of weights; the checks of the rules allow twice this.
 const WEIGHT_TOLERANCE: f64 = 5e-5;
@@ -135,7 +136,7 @@
     calls_by_age: BTreeMap<(Duration, CallKey), f64>,
     /// Time and result of the last [`Gatherer::pending_slowdown`]; a call sent at that time adds nothing.
     pending_cache: Cell<(Duration, f64)>,
-    /// Latency of answers as a multiple of the usual, raised by failures; by errors for their vertical only.
+    /// Latency of answers as a multiple of the usual, raised by failures; errors count by vertical.
     slowdown: f64,
     last_seen: Duration,
     error_slowdowns: BTreeMap<usize, f64>,
@@ -166,7 +167,7 @@
     vertical: usize,
     tenant: Option<usize>,
     key: u64,
-    /// Random number that admits all parts of the query to cold and ejected servers, or none.
+    /// Random number that decides for all parts at once whether they may try cold or ejected servers.
     draw: f64,
     arrived: Duration,
     deadline: Duration,
