--- a/crates/fleet/src/call_schedule.rs
+++ b/crates/fleet/src/call_schedule.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A call comes this much sooner or later than its usual time, as a fraction: none is in step with another's.
-const JITTER: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 
 /// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,8 @@
 
     /// A call is made now. Whether it is answered or not, the next one comes no sooner than this says.
     pub fn call_made(&mut self, now: Duration) {
-        self.next.at = now + self.interval.mul_f64(1.0 - JITTER + 2.0 * JITTER * self.rng.f64());
+        self.next.at =
+            now + self.interval.mul_f64(1.0 - JITTER_FRACTION + 2.0 * JITTER_FRACTION * self.rng.f64());
     }
 
     /// The keeper did not answer: the next call goes to another one, at its usual time.
@@ -57,6 +58,6 @@
     /// The most calls a second of so many gatherers, were all of them to call one keeper.
     #[must_use]
     pub fn max_rate(interval: Duration, gatherers: u32) -> f64 {
-        f64::from(gatherers) / (interval.as_secs_f64() * (1.0 - JITTER))
+        f64::from(gatherers) / (interval.as_secs_f64() * (1.0 - JITTER_FRACTION))
     }
 }
--- a/crates/fleet/src/lease_expiry.rs
+++ b/crates/fleet/src/lease_expiry.rs
@@ -7,14 +7,14 @@
 
 /// A lease as it was when a keeper received its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Observed {
+struct ObservedLease {
     epoch: u64,
     renewals: u64,
-    at: Duration,
+    observed_at: Duration,
 }
 
-impl Observed {
-    fn is_of(&self, lease: &Lease) -> bool {
+impl ObservedLease {
+    fn matches(&self, lease: &Lease) -> bool {
         self.epoch == lease.epoch && self.renewals == lease.renewals
     }
 }
@@ -23,15 +23,16 @@
 /// A keeper that receives late, or starts again and receives anew, judges later than it might, never sooner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseExpiry {
-    observed: BTreeMap<String, Observed>,
+    observed: BTreeMap<String, ObservedLease>,
 }
 
 impl LeaseExpiry {
     /// The record has changed, or was read from a disk or another keeper.
     pub fn observe(&mut self, record: &LeaseRecord, now: Duration) {
         for (role, lease) in &record.leases {
-            if !self.observed.get(role).is_some_and(|observed| observed.is_of(lease)) {
-                let observed = Observed { epoch: lease.epoch, renewals: lease.renewals, at: now };
+            if !self.observed.get(role).is_some_and(|observed| observed.matches(lease)) {
+                let observed =
+                    ObservedLease { epoch: lease.epoch, renewals: lease.renewals, observed_at: now };
                 self.observed.insert(role.clone(), observed);
             }
         }
@@ -41,9 +42,10 @@
     #[must_use]
     pub fn is_expired(&self, record: &LeaseRecord, role: &str, now: Duration, terms: &LeaseTerms) -> bool {
         let lease = record.lease(role);
-        let has_waited =
-            |observed: &Observed| observed.is_of(&lease) && now >= observed.at + terms.expiry_delay();
-        lease.owner.is_none() || self.observed.get(role).is_some_and(has_waited)
+        let has_expired = |observed: &ObservedLease| {
+            observed.matches(&lease) && now >= observed.observed_at + terms.expiry_delay()
+        };
+        lease.owner.is_none() || self.observed.get(role).is_some_and(has_expired)
     }
 
     /// The command by which somebody acquires a role, if that is free by this keeper's clock.
--- a/crates/fleet/src/lease_participant.rs
+++ b/crates/fleet/src/lease_participant.rs
@@ -9,7 +9,7 @@
 
 /// A process that has lost a lease because its calls took too long leaves the role to others for so many leases: one that is
 /// as badly off as that would only lose it again.
-const REST_LEASES: u32 = 20;
+const BACKOFF_LEASES: u32 = 20;
 
 /// Where a process stands with a role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -22,7 +22,7 @@
         /// The epoch of its lease.
         epoch: u64,
         /// When the lease may be over, on its own clock.
-        until: Duration,
+        expires_at: Duration,
     },
 }
 
@@ -45,9 +45,9 @@
     /// The latest epoch that it owned or was fenced by.
     latest_epoch: u64,
     /// It does not seek the role before.
-    rests_until: Duration,
+    backoff_until: Duration,
     /// Something that it sent since the last answer may have been received.
-    is_doubtful: bool,
+    has_unanswered_call: bool,
 }
 
 impl LeaseParticipant {
@@ -69,32 +69,32 @@
     /// Whether it would take the role, if that is free, when its last call to a keeper took so long: one that could not
     /// renew its lease in time does not.
     #[must_use]
-    pub fn is_seeking(&self, last_call: Duration, now: Duration, terms: &LeaseTerms) -> bool {
+    pub fn is_seeking(&self, last_call_duration: Duration, now: Duration, terms: &LeaseTerms) -> bool {
         let is_candidate = self.state == ParticipantState::Candidate;
-        is_candidate && now >= self.rests_until && last_call < terms.renewal_interval()
+        is_candidate && now >= self.backoff_until && last_call_duration < terms.renewal_interval()
     }
 
     /// What it sent was not answered, and may have been received all the same.
     pub fn call_unanswered(&mut self) {
-        self.is_doubtful = true;
+        self.has_unanswered_call = true;
     }
 
     /// Whether an owner still renews its lease. One that is heard and does not hear would hold up its successor with every
     /// renewal.
     #[must_use]
     pub fn may_renew(&self, now: Duration, terms: &LeaseTerms) -> bool {
-        let ParticipantState::Owner { until, .. } = self.state else { return false };
-        !self.is_doubtful || now + terms.silence_before_end() < until
+        let ParticipantState::Owner { expires_at, .. } = self.state else { return false };
+        !self.has_unanswered_call || now + terms.renewal_cutoff() < expires_at
     }
 
     /// Time goes on: an owner whose lease may be over stops.
     pub fn tick(&mut self, now: Duration, terms: &LeaseTerms) -> Option<Transition> {
-        let ParticipantState::Owner { until, .. } = self.state else { return None };
-        (now >= until).then(|| self.lose(now, terms))
+        let ParticipantState::Owner { expires_at, .. } = self.state else { return None };
+        (now >= expires_at).then(|| self.lose_lease(now, terms))
     }
 
-    fn lose(&mut self, now: Duration, terms: &LeaseTerms) -> Transition {
-        self.rests_until = now + terms.lease * REST_LEASES;
+    fn lose_lease(&mut self, now: Duration, terms: &LeaseTerms) -> Transition {
+        self.backoff_until = now + terms.lease * BACKOFF_LEASES;
         self.release()
     }
 
@@ -103,31 +103,35 @@
         &mut self, sent_at: Duration, reply: &Reply, now: Duration, terms: &LeaseTerms,
     ) -> Option<Transition> {
         match (reply, &mut self.state) {
-            (Reply::Granted { epoch }, ParticipantState::Owner { epoch: own, until }) if epoch == own => {
+            (Reply::Granted { epoch }, ParticipantState::Owner { epoch: own_epoch, expires_at })
+                if epoch == own_epoch =>
+            {
                 // Answers may come in another order than they were asked for.
-                *until = (*until).max(sent_at + terms.holder_duration());
-                self.is_doubtful = false;
+                *expires_at = (*expires_at).max(sent_at + terms.holder_duration());
+                self.has_unanswered_call = false;
                 self.tick(now, terms)
             }
             (Reply::Granted { epoch }, ParticipantState::Candidate) => {
-                self.lease_granted(*epoch, sent_at + terms.holder_duration(), now)
+                self.accept_grant(*epoch, sent_at + terms.holder_duration(), now)
             }
-            (Reply::Fenced { epoch }, ParticipantState::Owner { epoch: own, .. }) if *epoch >= *own => {
+            (Reply::Fenced { epoch }, ParticipantState::Owner { epoch: own_epoch, .. })
+                if *epoch >= *own_epoch =>
+            {
                 self.latest_epoch = self.latest_epoch.max(*epoch);
-                Some(self.lose(now, terms))
+                Some(self.lose_lease(now, terms))
             }
             _ => None,
         }
     }
 
     /// A grant that comes after the lease is over, or of an epoch that is over, grants nothing.
-    fn lease_granted(&mut self, epoch: u64, until: Duration, now: Duration) -> Option<Transition> {
-        if now >= until || epoch <= self.latest_epoch {
+    fn accept_grant(&mut self, epoch: u64, expires_at: Duration, now: Duration) -> Option<Transition> {
+        if now >= expires_at || epoch <= self.latest_epoch {
             return None;
         }
-        self.state = ParticipantState::Owner { epoch, until };
+        self.state = ParticipantState::Owner { epoch, expires_at };
         self.latest_epoch = epoch;
-        self.is_doubtful = false;
+        self.has_unanswered_call = false;
         Some(Transition::Acquired { epoch })
     }
 
@@ -140,7 +144,7 @@
     /// Leave for one act.
     #[must_use]
     pub fn permit<R: SingletonRole>(&self, now: Duration) -> Option<Permit<R>> {
-        let ParticipantState::Owner { epoch, until } = self.state else { return None };
-        (now < until).then(|| Permit::new(epoch, until))
+        let ParticipantState::Owner { epoch, expires_at } = self.state else { return None };
+        (now < expires_at).then(|| Permit::new(epoch, expires_at))
     }
 }
--- a/crates/fleet/src/lease_participant/tests.rs
+++ b/crates/fleet/src/lease_participant/tests.rs
@@ -10,7 +10,7 @@
 const TERMS: LeaseTerms = LeaseTerms { lease: ms(3000), drift: 0.0 };
 
 #[test]
-fn it_acts_from_when_it_asked_and_a_permit_ends_with_the_lease_though_nobody_looked() {
+fn a_lease_counts_from_the_send_time_and_permits_expire_with_it_without_a_tick() {
     let mut participant = LeaseParticipant::default();
     assert!(participant.permit::<Roster>(ms(0)).is_none());
     let granted = |epoch| Reply::Granted { epoch };
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn answers_that_come_late_doubled_or_in_another_order_grant_nothing_that_is_over() {
+fn late_duplicate_and_reordered_replies_do_not_revive_an_ended_lease() {
     let mut participant = LeaseParticipant::default();
     let granted = |epoch| Reply::Granted { epoch };
     assert_eq!(participant.reply_received(ms(0), &granted(1), ms(3000), &TERMS), None, "over before it came");
@@ -58,7 +58,7 @@
 
 /// Guards against a successor that waits for two leases: keepers hear the old owner, who does not hear them.
 #[test]
-fn who_is_heard_and_does_not_hear_asks_no_more_in_the_second_half_of_its_time() {
+fn an_owner_whose_calls_go_unanswered_stops_renewing_after_half_its_lease() {
     let mut participant = LeaseParticipant::default();
     participant.reply_received(ms(0), &Reply::Granted { epoch: 1 }, ms(10), &TERMS);
     assert!(participant.may_renew(ms(2900), &TERMS), "nothing that was asked may have been heard");
@@ -70,7 +70,7 @@
 
 /// Guards against a duty that goes to and fro between those whose calls take nearly a lease.
 #[test]
-fn who_is_too_slow_to_renew_does_not_seek_and_who_lost_it_so_leaves_it_for_a_minute() {
+fn a_slow_process_does_not_seek_the_role_and_backs_off_for_a_minute_after_losing_it() {
     let mut participant = LeaseParticipant::default();
     assert!(
         participant.is_seeking(ms(50), ms(0), &TERMS) && !participant.is_seeking(ms(2700), ms(0), &TERMS)
--- a/crates/fleet/src/lease_record.rs
+++ b/crates/fleet/src/lease_record.rs
@@ -61,13 +61,15 @@
     }
 
     /// Why a command can never be applied.
-    fn rejects(&self, command: &Command) -> Option<&'static str> {
+    fn rejection_reason(&self, command: &Command) -> Option<&'static str> {
         let role = command.role();
-        let is_bad = |name: &str| name.is_empty() || name.len() > MAX_NAME_LENGTH;
+        let is_invalid = |name: &str| name.is_empty() || name.len() > MAX_NAME_LENGTH;
         match command {
-            _ if is_bad(role) => Some("a duty's name is empty or too long"),
+            _ if is_invalid(role) => Some("a duty's name is empty or too long"),
             _ if !self.leases.contains_key(role) && self.leases.len() >= MAX_ROLES => Some("too many duties"),
-            Command::Acquire { owner, .. } if is_bad(owner) => Some("an owner's name is empty or too long"),
+            Command::Acquire { owner, .. } if is_invalid(owner) => {
+                Some("an owner's name is empty or too long")
+            }
             Command::Write { text, .. } if text.len() > MAX_TABLE_LENGTH => Some("a table is too long"),
             _ => None,
         }
@@ -75,7 +77,7 @@
 
     /// Applies a command: the same on every keeper, whatever its clock.
     pub fn apply(&mut self, command: &Command) -> Reply {
-        if let Some(reason) = self.rejects(command) {
+        if let Some(reason) = self.rejection_reason(command) {
             return Reply::Rejected { reason: reason.to_owned() };
         }
         match command {
--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -19,10 +19,10 @@
 /// A renewal is sent after this fraction of an owner's time.
 const RENEWAL_FRACTION: f64 = 0.25;
 /// A call may take this fraction of the time until then: retries fit in before an owner falls silent.
-const CALL_FRACTION: f64 = 0.5;
+const CALL_TIMEOUT_FRACTION: f64 = 0.5;
 /// After this fraction of its time without an answer an owner renews no more: a renewal may be received although no answer
 /// comes back, and each time it is keepers wait a complete lease anew.
-const SILENCE_FRACTION: f64 = 0.5;
+const RENEWAL_CUTOFF_FRACTION: f64 = 0.5;
 /// The fewest and the most keepers of a fleet.
 const MIN_KEEPERS: usize = 3;
 const MAX_KEEPERS: usize = 5;
@@ -82,14 +82,14 @@
     /// The longest that a call may take.
     #[must_use]
     pub fn max_call_duration(&self) -> Duration {
-        self.renewal_interval().mul_f64(CALL_FRACTION)
+        self.renewal_interval().mul_f64(CALL_TIMEOUT_FRACTION)
     }
 
     /// How long before the end of its time an owner whose renewals may have been received and are not answered sends no
     /// more: another one is in at most a lease and a half after the last answer.
     #[must_use]
-    pub fn silence_before_end(&self) -> Duration {
-        self.holder_duration().mul_f64(1.0 - SILENCE_FRACTION)
+    pub fn renewal_cutoff(&self) -> Duration {
+        self.holder_duration().mul_f64(1.0 - RENEWAL_CUTOFF_FRACTION)
     }
 
     /// What is wrong with the terms.
--- a/crates/fleet/src/permit.rs
+++ b/crates/fleet/src/permit.rs
@@ -12,11 +12,11 @@
     /// What a round goes by.
     type Observation;
     /// What an act of it is; it goes out with the permit's token.
-    type Act;
+    type Action;
     /// This process is the owner from now on.
     fn acquired(&mut self, epoch: u64);
     /// One round, as the owner: the act that the permit is used for, if there is one.
-    fn round(&mut self, observation: &Self::Observation) -> Option<Self::Act>;
+    fn round(&mut self, observation: &Self::Observation) -> Option<Self::Action>;
     /// This process is not the owner any more.
     fn lost(&mut self);
 }
@@ -37,7 +37,7 @@
 /// ```compile_fail
 /// // Nobody but a participant can make one: its fields are its own.
 /// let permit = ashvane_fleet::Permit::<ashvane_fleet::roster::Roster> {
-///     epoch: 7, until: std::time::Duration::MAX, role: std::marker::PhantomData,
+///     epoch: 7, expires_at: std::time::Duration::MAX, role: std::marker::PhantomData,
 /// };
 /// ```
 ///
@@ -51,18 +51,18 @@
 #[derive(Debug, PartialEq)]
 pub struct Permit<R> {
     epoch: u64,
-    until: Duration,
+    expires_at: Duration,
     role: PhantomData<R>,
 }
 
 impl<R: SingletonRole> Permit<R> {
-    pub(crate) fn new(epoch: u64, until: Duration) -> Self {
-        Permit { epoch, until, role: PhantomData }
+    pub(crate) fn new(epoch: u64, expires_at: Duration) -> Self {
+        Permit { epoch, expires_at, role: PhantomData }
     }
 
     /// The token for the act, unless the lease may be over by now.
     #[must_use]
     pub fn token(self, now: Duration) -> Option<FencingToken> {
-        (now < self.until).then(|| FencingToken { role: R::NAME.to_owned(), epoch: self.epoch })
+        (now < self.expires_at).then(|| FencingToken { role: R::NAME.to_owned(), epoch: self.epoch })
     }
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -14,7 +14,7 @@
 /// A gatherer that no keeper has heard for so many of its call intervals is not counted.
 const MAX_MISSED_CALLS: f64 = 4.0;
 /// A roster is fresh while its owner has written within so many rounds.
-const FRESH_ROUNDS: f64 = 4.0;
+const FRESHNESS_ROUNDS: f64 = 4.0;
 /// Names at the most: what a table holds of the longest ones.
 pub const MAX_NAMES: usize = MAX_TABLE_LENGTH / 72;
 
@@ -50,7 +50,7 @@
     /// What most of the keepers have heard, a table from each that answered.
     type Observation = Vec<LastHeard>;
     /// The table's text.
-    type Act = String;
+    type Action = String;
 
     fn acquired(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
@@ -72,14 +72,14 @@
 
 /// Which write of a table was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct SeenTable {
+struct TableVersion {
     epoch: u64,
     version: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct FreshCount {
-    at: Duration,
+struct AliveCount {
+    received_at: Duration,
     alive: u32,
 }
 
@@ -87,29 +87,29 @@
 /// reader's eyes, by the reader's own clock: one that is only old, however late it is read, is never fresh.
 #[derive(Clone, Debug, Default)]
 pub struct RosterReader {
-    latest: Option<SeenTable>,
+    latest: Option<TableVersion>,
     /// When the table last grew, and what it then said.
-    last_growth: Option<FreshCount>,
+    last_update: Option<AliveCount>,
 }
 
 impl RosterReader {
     /// A keeper sent this table. What is older than what was seen is dropped.
     pub fn table_received(&mut self, table: &Table, now: Duration) {
-        let seen = SeenTable { epoch: table.epoch, version: table.version };
+        let seen = TableVersion { epoch: table.epoch, version: table.version };
         if self.latest.is_some_and(|latest| seen <= latest) {
             return;
         }
-        let was_known = self.latest.replace(seen).is_some();
+        let has_previous = self.latest.replace(seen).is_some();
         let Ok(gatherers) = serde_json::from_str::<AliveGatherers>(&table.text) else { return };
-        if was_known {
-            self.last_growth = Some(FreshCount { at: now, alive: gatherers.names.len() as u32 });
+        if has_previous {
+            self.last_update = Some(AliveCount { received_at: now, alive: gatherers.names.len() as u32 });
         }
     }
 
     /// How many are alive, or none where nobody can tell any more.
     #[must_use]
     pub fn alive(&self, interval: Duration, now: Duration) -> Option<u32> {
-        let is_fresh = |count: &FreshCount| now < count.at + interval.mul_f64(FRESH_ROUNDS);
-        self.last_growth.filter(is_fresh).map(|count| count.alive).filter(|alive| *alive > 0)
+        let is_fresh = |count: &AliveCount| now < count.received_at + interval.mul_f64(FRESHNESS_ROUNDS);
+        self.last_update.filter(is_fresh).map(|count| count.alive).filter(|alive| *alive > 0)
     }
 }
--- a/crates/fleet/src/roster/tests.rs
+++ b/crates/fleet/src/roster/tests.rs
@@ -3,7 +3,7 @@
 use super::{AliveGatherers, LastHeard, Roster, RosterReader};
 use crate::{SingletonRole as _, Table};
 
-const EVERY: Duration = Duration::from_secs(1);
+const INTERVAL: Duration = Duration::from_secs(1);
 
 fn table(epoch: u64, version: u64, names: usize) -> Table {
     let names = (0..names).map(|i| format!("n{i}")).collect();
@@ -11,34 +11,36 @@
 }
 
 #[test]
-fn the_owner_counts_whom_any_keeper_has_heard_of_late_once() {
+fn the_owner_lists_each_gatherer_heard_recently_by_any_keeper_once() {
     let heard = |of: &[(&str, u64)]| LastHeard(of.iter().map(|(n, age)| ((*n).to_owned(), *age)).collect());
-    let seen = vec![heard(&[("a", 100), ("b", 9000)]), heard(&[("a", 8000), ("c", 3999), ("d", 4001)])];
-    let mut roster = Roster::new(EVERY);
-    assert_eq!(roster.round(&seen), None, "not its owner");
+    let observation =
+        vec![heard(&[("a", 100), ("b", 9000)]), heard(&[("a", 8000), ("c", 3999), ("d", 4001)])];
+    let mut roster = Roster::new(INTERVAL);
+    assert_eq!(roster.round(&observation), None, "not its owner");
     roster.acquired(4);
-    let alive: AliveGatherers = serde_json::from_str(&roster.round(&seen).expect("a table")).expect("JSON");
+    let alive: AliveGatherers =
+        serde_json::from_str(&roster.round(&observation).expect("a table")).expect("JSON");
     assert_eq!(alive.names.into_iter().collect::<Vec<_>>(), ["a", "c"]);
     roster.lost();
-    assert_eq!(roster.round(&seen), None);
+    assert_eq!(roster.round(&observation), None);
 }
 
 #[test]
-fn a_table_is_young_only_while_it_grows_before_the_readers_eyes() {
+fn a_table_is_fresh_only_after_its_version_was_seen_to_increase() {
     let s = Duration::from_secs;
     let mut reader = RosterReader::default();
     reader.table_received(&table(3, 70, 20), s(0));
-    assert_eq!(reader.alive(EVERY, s(0)), None, "it may have stood there for a year");
+    assert_eq!(reader.alive(INTERVAL, s(0)), None, "it may have stood there for a year");
     reader.table_received(&table(3, 70, 20), s(1));
-    assert_eq!(reader.alive(EVERY, s(1)), None);
+    assert_eq!(reader.alive(INTERVAL, s(1)), None);
     reader.table_received(&table(3, 71, 20), s(2));
-    assert_eq!(reader.alive(EVERY, s(5)), Some(20));
+    assert_eq!(reader.alive(INTERVAL, s(5)), Some(20));
     reader.table_received(&table(4, 72, 3), s(5));
     // An old owner's table, and an older version, come late.
     reader.table_received(&table(3, 99, 300), s(5));
     reader.table_received(&table(4, 71, 300), s(5));
-    assert_eq!(reader.alive(EVERY, s(8)), Some(3));
-    assert_eq!(reader.alive(EVERY, s(9)), None, "its owner is gone");
+    assert_eq!(reader.alive(INTERVAL, s(8)), Some(3));
+    assert_eq!(reader.alive(INTERVAL, s(9)), None, "its owner is gone");
     reader.table_received(&table(5, 73, 0), s(10));
-    assert_eq!(reader.alive(EVERY, s(10)), None, "nobody is no number to go by");
+    assert_eq!(reader.alive(INTERVAL, s(10)), None, "nobody is no number to go by");
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -9,31 +9,31 @@
 use ashvane_fleet::{FencingGuard, FencingToken, LeaseParticipant, LeaseTerms, SingletonRole as _};
 use stateright::{Checker as _, HasDiscoveries, Model, Property};
 
-const DUTY: &str = Roster::NAME;
+const ROLE: &str = Roster::NAME;
 
 /// What is taken out of the protection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Without {
+enum Disabled {
     Nothing,
     /// The receiver's fence.
     FencingGuard,
     /// The margin for clocks that differ.
-    Margin,
+    DriftMargin,
     /// The comparison, as a take is applied, with what it was judged on.
-    Comparison,
+    AcquireComparison,
     /// The comparison of a write with the epoch that holds.
     WriteComparison,
     /// The owner's look at its own clock: it counts its lease from the answer, not from its question.
-    Question,
+    SendTime,
 }
 
 struct Fleet {
     candidates: usize,
     /// How often each candidate may ask.
-    asks: u8,
+    max_calls: u8,
     /// Ticks of true time.
     ticks: u64,
-    without: Without,
+    disabled: Disabled,
     /// Whether acts go to the record, as writes, or to a receiver with a fence.
     to_record: bool,
 }
@@ -45,20 +45,20 @@
 enum Message {
     /// On its way through the keepers' log, with when it was asked for by the candidate's own clock: a take, which
     /// was judged on this epoch and renewals, or a renewal.
-    Take {
+    Acquire {
         from: usize,
-        sent: Duration,
+        sent_at: Duration,
         epoch: u64,
         renewals: u64,
     },
     Renew {
         from: usize,
-        sent: Duration,
+        sent_at: Duration,
         epoch: u64,
     },
-    Answer {
+    Reply {
         to: usize,
-        sent: Duration,
+        sent_at: Duration,
         granted: Option<u64>,
         fenced: Option<u64>,
     },
@@ -72,8 +72,8 @@
     participant: LeaseParticipant,
     /// Milliseconds of its clock in a tick.
     rate: u64,
-    asked: bool,
-    asks: u8,
+    is_waiting: bool,
+    calls: u8,
     /// An act for which it had leave, and which it has not sent yet.
     ready: Option<u64>,
     acted: bool,
@@ -88,7 +88,7 @@
     expiry: LeaseExpiry,
     /// In flight, each with how often it may still be delivered.
     messages: Vec<(Message, u8)>,
-    fence: FencingGuard,
+    guard: FencingGuard,
     /// Epochs of the acts that took effect, in their order.
     effects: Vec<u64>,
 }
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
-    Ask(usize),
+    Call(usize),
     /// Looks at its clock and gets leave to act; then sends, whenever that is.
     Check(usize),
     Send(usize),
@@ -116,18 +116,20 @@
 
 impl Fleet {
     fn terms(&self) -> LeaseTerms {
-        let drift = if self.without == Without::Margin { 0.0 } else { 0.1 };
+        let drift = if self.disabled == Disabled::DriftMargin { 0.0 } else { 0.1 };
         LeaseTerms { lease: Duration::from_millis(TICK), drift }
     }
 
     /// What the leading keeper does with a command.
     fn apply(&self, state: &mut State, mut command: Command) -> Reply {
-        let lease = state.record.lease(DUTY);
+        let lease = state.record.lease(ROLE);
         match &mut command {
-            Command::Acquire { epoch, renewals, .. } if self.without == Without::Comparison => {
+            Command::Acquire { epoch, renewals, .. } if self.disabled == Disabled::AcquireComparison => {
                 (*epoch, *renewals) = (lease.epoch, lease.renewals);
             }
-            Command::Write { epoch, .. } if self.without == Without::WriteComparison => *epoch = lease.epoch,
+            Command::Write { epoch, .. } if self.disabled == Disabled::WriteComparison => {
+                *epoch = lease.epoch
+            }
             _ => {}
         }
         let reply = state.record.apply(&command);
@@ -136,61 +138,61 @@
         reply
     }
 
-    fn answer(&self, state: &mut State, to: usize, sent: Duration, reply: &Reply) {
+    fn send_reply(&self, state: &mut State, to: usize, sent_at: Duration, reply: &Reply) {
         let (granted, fenced) = match reply {
             Reply::Granted { epoch } => (Some(*epoch), None),
             Reply::Fenced { epoch } => (None, Some(*epoch)),
             _ => return,
         };
-        state.send(Message::Answer { to, sent, granted, fenced });
+        state.send(Message::Reply { to, sent_at, granted, fenced });
     }
 
     /// What a candidate or an owner asks: a take is judged by the leading keeper's clock, and goes into the log.
-    fn asked(&self, state: &mut State, from: usize, sent: Duration, renews: Option<u64>) {
+    fn handle_request(&self, state: &mut State, from: usize, sent_at: Duration, renewed_epoch: Option<u64>) {
         let (now, owner) = (state.clock(state.keeper_rate), format!("p{from}"));
-        if let Some(epoch) = renews {
-            return state.send(Message::Renew { from, sent, epoch });
+        if let Some(epoch) = renewed_epoch {
+            return state.send(Message::Renew { from, sent_at, epoch });
         }
-        match state.expiry.acquire(&state.record, DUTY, &owner, now, &self.terms()) {
+        match state.expiry.acquire(&state.record, ROLE, &owner, now, &self.terms()) {
             Ok(Command::Acquire { epoch, renewals, .. }) => {
-                state.send(Message::Take { from, sent, epoch, renewals })
+                state.send(Message::Acquire { from, sent_at, epoch, renewals })
             }
             Ok(_) => {}
-            Err(reply) => self.answer(state, from, sent, &reply),
+            Err(reply) => self.send_reply(state, from, sent_at, &reply),
         }
     }
 
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
-            Message::Renew { from, sent, epoch } => {
+            Message::Renew { from, sent_at, epoch } => {
                 let owner = format!("p{from}");
-                let reply = self.apply(state, Command::Renew { role: DUTY.into(), owner, epoch });
-                self.answer(state, from, sent, &reply);
+                let reply = self.apply(state, Command::Renew { role: ROLE.into(), owner, epoch });
+                self.send_reply(state, from, sent_at, &reply);
             }
-            Message::Take { from, sent, epoch, renewals } => {
+            Message::Acquire { from, sent_at, epoch, renewals } => {
                 let owner = format!("p{from}");
-                let reply = self.apply(state, Command::Acquire { role: DUTY.into(), owner, epoch, renewals });
-                self.answer(state, from, sent, &reply);
+                let reply = self.apply(state, Command::Acquire { role: ROLE.into(), owner, epoch, renewals });
+                self.send_reply(state, from, sent_at, &reply);
             }
-            Message::Answer { to, sent, granted, fenced } => {
+            Message::Reply { to, sent_at, granted, fenced } => {
                 let now = state.clock(state.processes[to].rate);
                 let reply = match (granted, fenced) {
                     (Some(epoch), _) => Reply::Granted { epoch },
                     (_, epoch) => Reply::Fenced { epoch: epoch.unwrap_or_default() },
                 };
-                let sent = if self.without == Without::Question { now } else { sent };
-                state.processes[to].participant.reply_received(sent, &reply, now, &self.terms());
-                state.processes[to].asked = false;
+                let sent_at = if self.disabled == Disabled::SendTime { now } else { sent_at };
+                state.processes[to].participant.reply_received(sent_at, &reply, now, &self.terms());
+                state.processes[to].is_waiting = false;
             }
             Message::Act { epoch } if self.to_record => {
-                let write = Command::Write { role: DUTY.into(), epoch, text: String::new() };
+                let write = Command::Write { role: ROLE.into(), epoch, text: String::new() };
                 if matches!(self.apply(state, write), Reply::Written { .. }) {
                     state.effects.push(epoch);
                 }
             }
             Message::Act { epoch } => {
-                let lets = state.fence.admits(&FencingToken { role: DUTY.into(), epoch });
-                if lets || self.without == Without::FencingGuard {
+                let is_admitted = state.guard.admits(&FencingToken { role: ROLE.into(), epoch });
+                if is_admitted || self.disabled == Disabled::FencingGuard {
                     state.effects.push(epoch);
                 }
             }
@@ -205,13 +207,13 @@
     fn init_states(&self) -> Vec<State> {
         // Every clock at either end: nine or eleven for ten.
         (0..1_u32 << (self.candidates + 1))
-            .map(|ends| {
-                let rate = |bit: usize| if ends >> bit & 1 == 0 { 9 } else { 11 };
+            .map(|extremes| {
+                let rate = |bit: usize| if extremes >> bit & 1 == 0 { 9 } else { 11 };
                 let process = |i| Process {
                     participant: LeaseParticipant::default(),
                     rate: rate(i),
-                    asked: false,
-                    asks: 0,
+                    is_waiting: false,
+                    calls: 0,
                     ready: None,
                     acted: false,
                 };
@@ -222,7 +224,7 @@
                     record: LeaseRecord::default(),
                     expiry: LeaseExpiry::default(),
                     messages: Vec::new(),
-                    fence: FencingGuard::default(),
+                    guard: FencingGuard::default(),
                     effects: Vec::new(),
                 }
             })
@@ -234,8 +236,8 @@
             actions.push(Action::Tick);
         }
         for (i, p) in state.processes.iter().enumerate() {
-            if !p.asked && p.asks < self.asks {
-                actions.push(Action::Ask(i));
+            if !p.is_waiting && p.calls < self.max_calls {
+                actions.push(Action::Call(i));
             }
             if !p.acted && p.ready.is_none() && p.participant.epoch().is_some() {
                 actions.push(Action::Check(i));
@@ -254,19 +256,19 @@
         let mut state = last.clone();
         match action {
             Action::Tick => state.tick += 1,
-            Action::Ask(i) => {
+            Action::Call(i) => {
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
                 process.participant.tick(now, &self.terms());
-                (process.asked, process.asks) = (true, process.asks + 1);
-                let renews = process.participant.epoch();
-                self.asked(&mut state, i, now, renews);
+                (process.is_waiting, process.calls) = (true, process.calls + 1);
+                let renewed_epoch = process.participant.epoch();
+                self.handle_request(&mut state, i, now, renewed_epoch);
             }
             Action::Check(i) => {
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
-                let stamp = process.participant.permit::<Roster>(now).and_then(|permit| permit.token(now));
-                process.ready = Some(stamp?.epoch);
+                let token = process.participant.permit::<Roster>(now).and_then(|permit| permit.token(now));
+                process.ready = Some(token?.epoch);
             }
             Action::Send(i) => {
                 let epoch = state.processes[i].ready.take()?;
@@ -301,55 +303,59 @@
     }
 }
 
-/// Plays all that can happen; which properties the checker found broken, and how many states it saw. With a part of
+/// Plays all that can happen; which properties the checker found violated, and how many states it saw. With a part of
 /// the protection taken out it ends with the first.
-fn found(model: Fleet, depth: usize) -> (Vec<&'static str>, usize, bool) {
+fn run_checker(model: Fleet, depth: usize) -> (Vec<&'static str>, usize, bool) {
     let until =
-        if model.without == Without::Nothing { HasDiscoveries::All } else { HasDiscoveries::AnyFailures };
+        if model.disabled == Disabled::Nothing { HasDiscoveries::All } else { HasDiscoveries::AnyFailures };
     let checker = model.checker().threads(2).target_max_depth(depth).finish_when(until).spawn_bfs().join();
-    let broken = ["one owner at a time", "no act after one of a later epoch"];
-    let broken = broken.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
-    (broken, checker.unique_state_count(), checker.discovery("a second owner acts").is_some())
+    let violated = ["one owner at a time", "no act after one of a later epoch"];
+    let violated = violated.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+    (violated, checker.unique_state_count(), checker.discovery("a second owner acts").is_some())
 }
 
 /// Deeper than anything goes where each candidate asks once: all states are seen.
-const ALL: usize = 100;
+const UNBOUNDED_DEPTH: usize = 100;
 
-fn fleet(without: Without) -> Fleet {
-    Fleet { candidates: 2, asks: 1, ticks: 2, without, to_record: false }
+fn fleet(disabled: Disabled) -> Fleet {
+    Fleet { candidates: 2, max_calls: 1, ticks: 2, disabled, to_record: false }
 }
 
 #[test]
-fn two_candidates_never_act_at_once_nor_in_the_wrong_order_in_any_state() {
-    let (broken, states, second) = found(fleet(Without::Nothing), ALL);
-    assert!(broken.is_empty(), "{broken:?}");
-    assert!(second && states > 100_000, "{states} states, a second owner acts: {second}");
-    let (broken, _, second) = found(Fleet { to_record: true, ..fleet(Without::Nothing) }, ALL);
-    assert!(broken.is_empty() && second, "{broken:?}");
+fn two_candidates_never_own_at_once_or_act_out_of_epoch_order_in_any_state() {
+    let (violated, states, second_owner_acts) = run_checker(fleet(Disabled::Nothing), UNBOUNDED_DEPTH);
+    assert!(violated.is_empty(), "{violated:?}");
+    assert!(
+        second_owner_acts && states > 100_000,
+        "{states} states, a second owner acts: {second_owner_acts}"
+    );
+    let (violated, _, second_owner_acts) =
+        run_checker(Fleet { to_record: true, ..fleet(Disabled::Nothing) }, UNBOUNDED_DEPTH);
+    assert!(violated.is_empty() && second_owner_acts, "{violated:?}");
 }
 
 #[test]
-fn nor_with_renewals_nor_three_of_them_to_a_depth_of_11() {
-    let renews = Fleet { asks: 2, ..fleet(Without::Nothing) };
-    let three = Fleet { candidates: 3, ..fleet(Without::Nothing) };
-    for model in [renews, three] {
-        let (broken, states, _) = found(model, 11);
-        assert!(broken.is_empty() && states > 10_000, "{broken:?} in {states} states");
+fn renewals_and_three_candidates_keep_both_properties_to_a_depth_of_11() {
+    let with_renewals = Fleet { max_calls: 2, ..fleet(Disabled::Nothing) };
+    let three = Fleet { candidates: 3, ..fleet(Disabled::Nothing) };
+    for model in [with_renewals, three] {
+        let (violated, states, _) = run_checker(model, 11);
+        assert!(violated.is_empty() && states > 10_000, "{violated:?} in {states} states");
     }
 }
 
 /// Guards against a model that could not fail.
 #[test]
-fn without_each_part_of_the_protection_the_run_that_breaks_it_is_found() {
-    for (without, breaks) in [
-        (Without::FencingGuard, "no act after one of a later epoch"),
-        (Without::Margin, "one owner at a time"),
-        (Without::Comparison, "one owner at a time"),
-        (Without::Question, "one owner at a time"),
+fn the_checker_finds_a_violation_when_a_safeguard_is_disabled() {
+    for (disabled, property) in [
+        (Disabled::FencingGuard, "no act after one of a later epoch"),
+        (Disabled::DriftMargin, "one owner at a time"),
+        (Disabled::AcquireComparison, "one owner at a time"),
+        (Disabled::SendTime, "one owner at a time"),
     ] {
-        let (broken, states, _) = found(fleet(without), ALL);
-        assert!(broken.contains(&breaks), "{without:?} breaks {broken:?} in {states} states");
+        let (violated, states, _) = run_checker(fleet(disabled), UNBOUNDED_DEPTH);
+        assert!(violated.contains(&property), "{disabled:?} violates {violated:?} in {states} states");
     }
-    let to_record = Fleet { to_record: true, ..fleet(Without::WriteComparison) };
-    assert!(found(to_record, ALL).0.contains(&"no act after one of a later epoch"));
+    let to_record = Fleet { to_record: true, ..fleet(Disabled::WriteComparison) };
+    assert!(run_checker(to_record, UNBOUNDED_DEPTH).0.contains(&"no act after one of a later epoch"));
 }
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -5,10 +5,10 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
-struct Any(Command);
+struct AnyCommand(Command);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for AnyCommand {
+    fn arbitrary(g: &mut Gen) -> AnyCommand {
         let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("one")).to_owned();
         let role = if u8::arbitrary(g) == 0 {
             format!("d{}", u8::arbitrary(g))
@@ -17,7 +17,7 @@
         };
         let (owner, epoch, renewals) =
             (of(g, &["a", "b", "c", ""]), u64::from(u8::arbitrary(g) % 6), u64::from(u8::arbitrary(g) % 4));
-        Any(match u8::arbitrary(g) % 5 {
+        AnyCommand(match u8::arbitrary(g) % 5 {
             0 | 1 => Command::Acquire { role, owner, epoch, renewals },
             2 => Command::Renew { role, owner, epoch },
             3 => Command::Release { role, owner, epoch },
@@ -34,21 +34,22 @@
 }
 
 /// What must hold after each command, whatever came before.
-fn holds(commands: Vec<Any>) -> bool {
+fn keeps_invariants(commands: Vec<AnyCommand>) -> bool {
     let mut record = LeaseRecord::default();
-    for Any(command) in commands {
+    for AnyCommand(command) in commands {
         let (before, role) = (record.clone(), command.role().to_owned());
         let reply = record.apply(&command);
         let (old, new) = (before.lease(&role), record.lease(&role));
-        let grows = new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
+        let lease_is_monotonic =
+            new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
         let table = record.tables.get(&role);
         // A table is never of a later epoch than its role, and never goes back.
-        let tables = table.is_none_or(|t| t.epoch <= new.epoch)
+        let tables_are_monotonic = table.is_none_or(|t| t.epoch <= new.epoch)
             && before
                 .tables
                 .get(&role)
                 .is_none_or(|old| table.is_some_and(|t| (t.epoch, t.version) >= (old.epoch, old.version)));
-        let told = match (&reply, &command) {
+        let is_consistent_reply = match (&reply, &command) {
             (Reply::Granted { epoch }, Command::Acquire { owner, .. }) => {
                 *epoch == old.epoch + 1 && new.owner.as_ref() == Some(owner)
             }
@@ -64,10 +65,15 @@
             (Reply::Rejected { .. }, _) => record == before,
             _ => false,
         };
-        let bounded = record.leases.len() <= MAX_ROLES;
+        let is_bounded = record.leases.len() <= MAX_ROLES;
         let text = serde_json::to_string(&(&command, &reply, &record)).expect("text");
-        let back: (Command, Reply, LeaseRecord) = serde_json::from_str(&text).expect("it is read again");
-        if !(grows && tables && told && bounded && back == (command, reply, record.clone())) {
+        let decoded: (Command, Reply, LeaseRecord) = serde_json::from_str(&text).expect("it is read again");
+        if !(lease_is_monotonic
+            && tables_are_monotonic
+            && is_consistent_reply
+            && is_bounded
+            && decoded == (command, reply, record.clone()))
+        {
             return false;
         }
     }
@@ -75,6 +81,6 @@
 }
 
 #[test]
-fn epochs_and_tables_never_go_back_whatever_is_asked_and_what_is_written_down_reads_the_same() {
-    QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<Any>) -> bool);
+fn epochs_and_tables_never_go_back_and_serialization_round_trips_for_any_commands() {
+    QuickCheck::new().tests(2000).quickcheck(keeps_invariants as fn(Vec<AnyCommand>) -> bool);
 }
--- a/crates/keeper/src/keeper_network.rs
+++ b/crates/keeper/src/keeper_network.rs
@@ -110,7 +110,7 @@
 #[derive(Clone)]
 pub struct KeeperNetwork {
     /// The number of this keeper.
-    pub own: u64,
+    pub own_id: u64,
     /// For calls to the others.
     pub http: HttpClient,
     /// Where each keeper is from here; one that joined later is where it was said to be.
@@ -119,7 +119,7 @@
 
 /// The calls to one keeper.
 pub struct KeeperConnection {
-    own: u64,
+    own_id: u64,
     target: u64,
     address: Option<SocketAddr>,
     http: HttpClient,
@@ -130,7 +130,7 @@
 
     async fn new_client(&mut self, target: u64, node: &BasicNode) -> KeeperConnection {
         let address = self.peers.get(&target).copied().or_else(|| node.addr.parse().ok());
-        KeeperConnection { own: self.own, target, address, http: self.http.clone() }
+        KeeperConnection { own_id: self.own_id, target, address, http: self.http.clone() }
     }
 }
 
@@ -147,12 +147,12 @@
         let Some(address) = self.address else {
             return Err(RPCError::Unreachable(Unreachable::new(&AnyError::error("no address"))));
         };
-        let limit = option.hard_ttl();
-        let asking = post::<A, Result<B, RaftError<u64, E>>>(&self.http, address, path, body);
-        match timeout(limit, asking).await {
+        let time_limit = option.hard_ttl();
+        let call = post::<A, Result<B, RaftError<u64, E>>>(&self.http, address, path, body);
+        match timeout(time_limit, call).await {
             Err(_) => {
-                let (id, target) = (self.own, self.target);
-                Err(RPCError::Timeout(Timeout { action: kind, id, target, timeout: limit }))
+                let (id, target) = (self.own_id, self.target);
+                Err(RPCError::Timeout(Timeout { action: kind, id, target, timeout: time_limit }))
             }
             Ok(Err(reason)) => Err(RPCError::Network(NetworkError::new(&reason))),
             Ok(Ok(PostResponse { body: Ok(answer), .. })) => Ok(answer),
--- a/crates/keeper/src/keeper_store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -28,11 +28,11 @@
 const PURGED_KEY: &str = "purged";
 const SNAPSHOT_KEY: &str = "snapshot";
 /// Memory that the database may use for its pages, in bytes.
-const CACHE_SIZE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 
 type DatabaseError = Box<dyn std::error::Error + Send + Sync>;
-type Stored<T> = Result<T, StorageError<u64>>;
-type Meta = SnapshotMeta<u64, BasicNode>;
+type StorageResult<T> = Result<T, StorageError<u64>>;
+type KeeperSnapshotMeta = SnapshotMeta<u64, BasicNode>;
 
 /// Why a database cannot be opened.
 #[derive(Debug)]
@@ -57,7 +57,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AppliedState {
     /// The last entry that was applied.
-    pub last: Option<LogId<u64>>,
+    #[serde(rename = "last")]
+    pub last_applied: Option<LogId<u64>>,
     /// The keepers.
     pub membership: StoredMembership<u64, BasicNode>,
     /// The leases and tables.
@@ -67,7 +68,7 @@
 /// A snapshot as it stands on disk.
 #[derive(Serialize, Deserialize)]
 struct StoredSnapshot {
-    meta: Meta,
+    meta: KeeperSnapshotMeta,
     data: Vec<u8>,
 }
 
@@ -78,7 +79,7 @@
     pub applied: AppliedState,
     /// When leases expire by this keeper's clock.
     pub expiry: LeaseExpiry,
-    snapshots: u64,
+    snapshot_count: u64,
 }
 
 /// The disk of one keeper. Clones share it.
@@ -99,7 +100,7 @@
 }
 
 /// Runs what waits for the disk without holding up the other tasks of this thread.
-fn blocking<T>(work: impl FnOnce() -> Result<T, DatabaseError>) -> Result<T, DatabaseError> {
+fn run_blocking<T>(work: impl FnOnce() -> Result<T, DatabaseError>) -> Result<T, DatabaseError> {
     tokio::task::block_in_place(work)
 }
 
@@ -122,14 +123,14 @@
     }
 
     fn try_open(path: &Path, trace: Trace) -> Result<KeeperStore, DatabaseError> {
-        let database = Database::builder().set_cache_size(CACHE_SIZE).create(path)?;
+        let database = Database::builder().set_cache_size(CACHE_BYTES).create(path)?;
         let store = KeeperStore { database: Arc::new(database), state: Arc::default(), trace };
         let write = store.database.begin_write()?;
         write.open_table(LOG_TABLE)?;
         write.open_table(META_TABLE)?;
         write.commit()?;
-        if let Some(snapshot) = store.meta(SNAPSHOT_KEY)? {
-            store.adopt(&snapshot)?;
+        if let Some(snapshot) = store.read_meta(SNAPSHOT_KEY)? {
+            store.restore_snapshot(&snapshot)?;
         }
         Ok(store)
     }
@@ -139,7 +140,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn adopt(&self, snapshot: &StoredSnapshot) -> Result<(), DatabaseError> {
+    fn restore_snapshot(&self, snapshot: &StoredSnapshot) -> Result<(), DatabaseError> {
         let applied: AppliedState = serde_json::from_slice(&snapshot.data)?;
         let mut state = self.state();
         state.applied = applied;
@@ -148,19 +149,19 @@
         Ok(())
     }
 
-    fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, DatabaseError> {
+    fn read_meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, DatabaseError> {
         let table = self.database.begin_read()?.open_table(META_TABLE)?;
         let bytes = table.get(key)?;
         Ok(bytes.map(|bytes| serde_json::from_slice(bytes.value())).transpose()?)
     }
 
-    fn set_meta<T: Serialize>(&self, key: &str, value: &T) -> Result<(), DatabaseError> {
+    fn write_meta<T: Serialize>(&self, key: &str, value: &T) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         write.open_table(META_TABLE)?.insert(key, serde_json::to_vec(value)?.as_slice())?;
         Ok(write.commit()?)
     }
 
-    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, DatabaseError> {
+    fn read_entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Types>>, DatabaseError> {
         let table = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let entries = table.range((range.start_bound().cloned(), range.end_bound().cloned()))?;
         entries.map(|entry| Ok(serde_json::from_slice(entry?.1.value())?)).collect()
@@ -169,12 +170,12 @@
     fn log_state(&self) -> Result<LogState<Types>, DatabaseError> {
         let table = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let last = table.last()?.map(|(_, bytes)| serde_json::from_slice::<Entry<Types>>(bytes.value()));
-        let last_purged_log_id: Option<LogId<u64>> = self.meta(PURGED_KEY)?;
+        let last_purged_log_id: Option<LogId<u64>> = self.read_meta(PURGED_KEY)?;
         let last_log_id = last.transpose()?.map(|entry| entry.log_id).or(last_purged_log_id);
         Ok(LogState { last_purged_log_id, last_log_id })
     }
 
-    fn insert(&self, entries: Vec<Entry<Types>>) -> Result<(), DatabaseError> {
+    fn insert_entries(&self, entries: Vec<Entry<Types>>) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         {
             let mut table = write.open_table(LOG_TABLE)?;
@@ -185,7 +186,9 @@
         Ok(write.commit()?)
     }
 
-    fn remove(&self, range: impl RangeBounds<u64>, purged: Option<LogId<u64>>) -> Result<(), DatabaseError> {
+    fn remove_entries(
+        &self, range: impl RangeBounds<u64>, purged: Option<LogId<u64>>,
+    ) -> Result<(), DatabaseError> {
         let write = self.database.begin_write()?;
         {
             let bounds = (range.start_bound().cloned(), range.end_bound().cloned());
@@ -201,7 +204,7 @@
 impl KeeperStore {
     /// Applies one entry of the log. Entries that are no command have a reply that nobody reads.
     fn apply_entry(&self, applied: &mut AppliedState, entry: Entry<Types>) -> Reply {
-        applied.last = Some(entry.log_id);
+        applied.last_applied = Some(entry.log_id);
         match entry.payload {
             EntryPayload::Normal(command) => {
                 let reply = applied.record.apply(&command);
@@ -228,80 +231,80 @@
 impl RaftLogReader<Types> for KeeperStore {
     async fn try_get_log_entries<R: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self, range: R,
-    ) -> Stored<Vec<Entry<Types>>> {
-        blocking(|| self.entries(range)).map_err(read_error)
+    ) -> StorageResult<Vec<Entry<Types>>> {
+        run_blocking(|| self.read_entries(range)).map_err(read_error)
     }
 }
 
 impl RaftLogStorage<Types> for KeeperStore {
     type LogReader = KeeperStore;
 
-    async fn get_log_state(&mut self) -> Stored<LogState<Types>> {
-        blocking(|| self.log_state()).map_err(read_error)
+    async fn get_log_state(&mut self) -> StorageResult<LogState<Types>> {
+        run_blocking(|| self.log_state()).map_err(read_error)
     }
 
     async fn get_log_reader(&mut self) -> KeeperStore {
         self.clone()
     }
 
-    async fn save_vote(&mut self, vote: &Vote<u64>) -> Stored<()> {
-        blocking(|| self.set_meta(VOTE_KEY, vote)).map_err(write_error)
+    async fn save_vote(&mut self, vote: &Vote<u64>) -> StorageResult<()> {
+        run_blocking(|| self.write_meta(VOTE_KEY, vote)).map_err(write_error)
     }
 
-    async fn read_vote(&mut self) -> Stored<Option<Vote<u64>>> {
-        blocking(|| self.meta(VOTE_KEY)).map_err(read_error)
+    async fn read_vote(&mut self) -> StorageResult<Option<Vote<u64>>> {
+        run_blocking(|| self.read_meta(VOTE_KEY)).map_err(read_error)
     }
 
-    async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> Stored<()> {
-        blocking(|| self.set_meta(COMMITTED_KEY, &committed)).map_err(write_error)
+    async fn save_committed(&mut self, committed: Option<LogId<u64>>) -> StorageResult<()> {
+        run_blocking(|| self.write_meta(COMMITTED_KEY, &committed)).map_err(write_error)
     }
 
-    async fn read_committed(&mut self) -> Stored<Option<LogId<u64>>> {
+    async fn read_committed(&mut self) -> StorageResult<Option<LogId<u64>>> {
         let committed: Option<Option<LogId<u64>>> =
-            blocking(|| self.meta(COMMITTED_KEY)).map_err(read_error)?;
+            run_blocking(|| self.read_meta(COMMITTED_KEY)).map_err(read_error)?;
         Ok(committed.flatten())
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Stored<()>
+    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> StorageResult<()>
     where
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let entries = entries.into_iter().collect();
-        blocking(|| self.insert(entries)).map_err(write_error)?;
+        run_blocking(|| self.insert_entries(entries)).map_err(write_error)?;
         callback.log_io_completed(Ok(()));
         Ok(())
     }
 
-    async fn truncate(&mut self, from: LogId<u64>) -> Stored<()> {
-        blocking(|| self.remove(from.index.., None)).map_err(write_error)
+    async fn truncate(&mut self, from: LogId<u64>) -> StorageResult<()> {
+        run_blocking(|| self.remove_entries(from.index.., None)).map_err(write_error)
     }
 
-    async fn purge(&mut self, until: LogId<u64>) -> Stored<()> {
-        blocking(|| self.remove(..=until.index, Some(until))).map_err(write_error)
+    async fn purge(&mut self, until: LogId<u64>) -> StorageResult<()> {
+        run_blocking(|| self.remove_entries(..=until.index, Some(until))).map_err(write_error)
     }
 }
 
 impl RaftSnapshotBuilder<Types> for KeeperStore {
-    async fn build_snapshot(&mut self) -> Stored<Snapshot<Types>> {
+    async fn build_snapshot(&mut self) -> StorageResult<Snapshot<Types>> {
         let (applied, number) = {
             let mut state = self.state();
-            state.snapshots += 1;
-            (state.applied.clone(), state.snapshots)
+            state.snapshot_count += 1;
+            (state.applied.clone(), state.snapshot_count)
         };
         let build = || {
             let data = serde_json::to_vec(&applied)?;
-            let index = applied.last.map_or(0, |last| last.index);
+            let index = applied.last_applied.map_or(0, |last| last.index);
             let meta = SnapshotMeta {
-                last_log_id: applied.last,
+                last_log_id: applied.last_applied,
                 last_membership: applied.membership.clone(),
                 snapshot_id: format!("{index}-{number}"),
             };
             let snapshot = StoredSnapshot { meta, data };
-            self.set_meta(SNAPSHOT_KEY, &snapshot)?;
+            self.write_meta(SNAPSHOT_KEY, &snapshot)?;
             Ok(snapshot)
         };
-        let StoredSnapshot { meta, data } = blocking(build).map_err(write_error)?;
+        let StoredSnapshot { meta, data } = run_blocking(build).map_err(write_error)?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(data)) })
     }
 }
@@ -309,12 +312,14 @@
 impl RaftStateMachine<Types> for KeeperStore {
     type SnapshotBuilder = KeeperStore;
 
-    async fn applied_state(&mut self) -> Stored<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>)> {
+    async fn applied_state(
+        &mut self,
+    ) -> StorageResult<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>)> {
         let state = self.state();
-        Ok((state.applied.last, state.applied.membership.clone()))
+        Ok((state.applied.last_applied, state.applied.membership.clone()))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Stored<Vec<Reply>>
+    async fn apply<I>(&mut self, entries: I) -> StorageResult<Vec<Reply>>
     where
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
@@ -330,21 +335,24 @@
         self.clone()
     }
 
-    async fn begin_receiving_snapshot(&mut self) -> Stored<Box<Cursor<Vec<u8>>>> {
+    async fn begin_receiving_snapshot(&mut self) -> StorageResult<Box<Cursor<Vec<u8>>>> {
         Ok(Box::default())
     }
 
-    async fn install_snapshot(&mut self, meta: &Meta, snapshot: Box<Cursor<Vec<u8>>>) -> Stored<()> {
+    async fn install_snapshot(
+        &mut self, meta: &KeeperSnapshotMeta, snapshot: Box<Cursor<Vec<u8>>>,
+    ) -> StorageResult<()> {
         let snapshot = StoredSnapshot { meta: meta.clone(), data: snapshot.into_inner() };
         let install = || {
-            self.set_meta(SNAPSHOT_KEY, &snapshot)?;
-            self.adopt(&snapshot)
+            self.write_meta(SNAPSHOT_KEY, &snapshot)?;
+            self.restore_snapshot(&snapshot)
         };
-        blocking(install).map_err(write_error)
+        run_blocking(install).map_err(write_error)
     }
 
-    async fn get_current_snapshot(&mut self) -> Stored<Option<Snapshot<Types>>> {
-        let stored: Option<StoredSnapshot> = blocking(|| self.meta(SNAPSHOT_KEY)).map_err(read_error)?;
+    async fn get_current_snapshot(&mut self) -> StorageResult<Option<Snapshot<Types>>> {
+        let stored: Option<StoredSnapshot> =
+            run_blocking(|| self.read_meta(SNAPSHOT_KEY)).map_err(read_error)?;
         Ok(stored.map(|stored| Snapshot { meta: stored.meta, snapshot: Box::new(Cursor::new(stored.data)) }))
     }
 }
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -47,9 +47,9 @@
 /// How often leaders speak, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
 /// Log entries between two snapshots.
-const SNAPSHOT_INTERVAL: u64 = 5000;
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 5000;
 /// Log entries that are kept behind a snapshot, for keepers that lag.
-const KEPT_ENTRIES: u64 = 500;
+const RETAINED_LOG_ENTRIES: u64 = 500;
 /// The usual lease, in milliseconds.
 const DEFAULT_LEASE_MS: u64 = 3000;
 /// How far a clock's rate may be off usually, as a fraction.
@@ -57,17 +57,17 @@
 /// Time for an orderly end.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 /// The exit status of a keeper that cannot go on.
-const STATUS_FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// The exit status of a fault in what was asked for.
-const STATUS_USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 struct ServeOptions {
     id: u64,
     listen: SocketAddr,
-    data: PathBuf,
+    data_dir: PathBuf,
     keepers: BTreeMap<u64, SocketAddr>,
     terms: LeaseTerms,
-    joins: bool,
+    is_joining: bool,
     trace: Trace,
 }
 
@@ -83,7 +83,7 @@
 enum UsageError {
     Argument(pico_args::Error),
     Terms(TermsFault),
-    NotNamed(u64),
+    MissingOwnId(u64),
     UnknownCommand(String),
     UnknownArgument(std::ffi::OsString),
 }
@@ -93,7 +93,7 @@
         match self {
             UsageError::Argument(reason) => reason.fmt(f),
             UsageError::Terms(fault) => fault.fmt(f),
-            UsageError::NotNamed(id) => write!(f, "--keepers does not name keeper {id} itself"),
+            UsageError::MissingOwnId(id) => write!(f, "--keepers does not name keeper {id} itself"),
             UsageError::UnknownCommand(other) => {
                 write!(f, "unknown command {other:?}; see ashvane-keeper help")
             }
@@ -113,8 +113,8 @@
 /// What is wrong with `--keepers` or `--in`.
 #[derive(Debug)]
 enum KeepersArgumentError {
-    NoKeeper(String),
-    NumberTwice(Vec<KeepersFault>),
+    InvalidKeeper(String),
+    DuplicateNumber(Vec<KeepersFault>),
     Faults(Vec<KeepersFault>),
 }
 
@@ -122,10 +122,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let joined = |faults: &[KeepersFault]| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
         match self {
-            KeepersArgumentError::NoKeeper(text) => {
+            KeepersArgumentError::InvalidKeeper(text) => {
                 write!(f, "{text:?} is not a keeper as 1=127.0.0.1:9401")
             }
-            KeepersArgumentError::NumberTwice(faults) => {
+            KeepersArgumentError::DuplicateNumber(faults) => {
                 let mut words = joined(faults);
                 words.push("a number is given twice".to_owned());
                 write!(f, "--keepers: {}", words.join("; "))
@@ -138,7 +138,7 @@
 /// Why a keeper, or a call to one, cannot go on.
 #[derive(Debug)]
 enum RunError {
-    DataFolder {
+    DataDirectory {
         path: PathBuf,
         reason: io::Error,
     },
@@ -163,7 +163,7 @@
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunError::DataFolder { path, reason } => write!(f, "{}: {reason}", path.display()),
+            RunError::DataDirectory { path, reason } => write!(f, "{}: {reason}", path.display()),
             RunError::Signals(reason) => write!(f, "no signals: {reason}"),
             RunError::Listen { address, reason } => write!(f, "cannot listen on {address}: {reason}"),
             RunError::Store(reason) => reason.fmt(f),
@@ -172,7 +172,7 @@
             RunError::Initialize(reason) => reason.fmt(f),
             RunError::Raft(reason) => write!(f, "cannot go on: {reason}"),
             RunError::RaftStopped => f.write_str("cannot go on: the record's keeper has stopped"),
-            RunError::ServerStopped(ended) => write!(f, "does not listen any more: {ended:?}"),
+            RunError::ServerStopped(outcome) => write!(f, "does not listen any more: {outcome:?}"),
             RunError::Runtime(reason) => reason.fmt(f),
             RunError::Call(reason) => reason.fmt(f),
             RunError::Rejected(words) => f.write_str(words),
@@ -182,9 +182,9 @@
 
 /// A keeper's number and where it is.
 fn parse_keeper(text: &str) -> Result<(u64, SocketAddr), KeepersArgumentError> {
-    let wrong = || KeepersArgumentError::NoKeeper(text.to_owned());
-    let (id, address) = text.split_once('=').ok_or_else(wrong)?;
-    Ok((id.parse().map_err(|_| wrong())?, address.parse().map_err(|_| wrong())?))
+    let invalid = || KeepersArgumentError::InvalidKeeper(text.to_owned());
+    let (id, address) = text.split_once('=').ok_or_else(invalid)?;
+    Ok((id.parse().map_err(|_| invalid())?, address.parse().map_err(|_| invalid())?))
 }
 
 fn parse_keepers(text: &str) -> Result<BTreeMap<u64, SocketAddr>, KeepersArgumentError> {
@@ -193,7 +193,7 @@
     let faults = keepers_faults(named.iter().map(|(id, address)| (*id, address.as_str())));
     let keepers: BTreeMap<u64, SocketAddr> = all.iter().copied().collect();
     if keepers.len() < all.len() {
-        return Err(KeepersArgumentError::NumberTwice(faults));
+        return Err(KeepersArgumentError::DuplicateNumber(faults));
     }
     if faults.is_empty() { Ok(keepers) } else { Err(KeepersArgumentError::Faults(faults)) }
 }
@@ -232,14 +232,14 @@
     let options = ServeOptions {
         id: arguments.value_from_str("--id")?,
         listen: arguments.value_from_str("--listen")?,
-        data: arguments.value_from_str("--data")?,
+        data_dir: arguments.value_from_str("--data")?,
         keepers: arguments.value_from_fn("--keepers", parse_keepers)?,
         terms,
-        joins: arguments.contains("--join"),
+        is_joining: arguments.contains("--join"),
         trace: if arguments.contains("--trace") { Trace::On } else { Trace::Off },
     };
-    if !options.keepers.contains_key(&options.id) && !options.joins {
-        return Err(UsageError::NotNamed(options.id));
+    if !options.keepers.contains_key(&options.id) && !options.is_joining {
+        return Err(UsageError::MissingOwnId(options.id));
     }
     Ok(options)
 }
@@ -250,33 +250,33 @@
         heartbeat_interval: HEARTBEAT_MS,
         election_timeout_min: MIN_ELECTION_MS,
         election_timeout_max: MAX_ELECTION_MS,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL),
-        max_in_snapshot_log_to_keep: KEPT_ENTRIES,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL_ENTRIES),
+        max_in_snapshot_log_to_keep: RETAINED_LOG_ENTRIES,
         ..Config::default()
     };
     Ok(Arc::new(config.validate().map_err(|reason| RunError::Config(Box::new(reason)))?))
 }
 
 async fn serve(options: ServeOptions) -> Result<(), RunError> {
-    std::fs::create_dir_all(&options.data)
-        .map_err(|reason| RunError::DataFolder { path: options.data.clone(), reason })?;
+    std::fs::create_dir_all(&options.data_dir)
+        .map_err(|reason| RunError::DataDirectory { path: options.data_dir.clone(), reason })?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
     let address = options.listen;
     let listener = TcpListener::bind(address).await.map_err(|reason| RunError::Listen { address, reason })?;
     let store =
-        KeeperStore::open(&options.data.join("keeper.redb"), options.trace).map_err(RunError::Store)?;
+        KeeperStore::open(&options.data_dir.join("keeper.redb"), options.trace).map_err(RunError::Store)?;
     let raft = start_raft(&options, &store).await?;
     let keeper = Arc::new(KeeperServer::new(options.id, options.terms, raft.clone(), store));
     let serving = tokio::spawn(axum::serve(listener, keeper.router()).into_future());
-    if !options.joins {
+    if !options.is_joining {
         initialize(&raft, &options.keepers).await?;
     }
     let result = tokio::select! {
         reason = raft_failure(&raft) => Err(reason),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
-        ended = serving => Err(RunError::ServerStopped(ended.unwrap_or(Ok(())))),
+        outcome = serving => Err(RunError::ServerStopped(outcome.unwrap_or(Ok(())))),
     };
     // What is agreed is on disk already.
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
@@ -285,7 +285,7 @@
 
 async fn start_raft(options: &ServeOptions, store: &KeeperStore) -> Result<Raft, RunError> {
     let peers = Arc::new(options.keepers.clone());
-    let network = KeeperNetwork { own: options.id, http: http_client(), peers };
+    let network = KeeperNetwork { own_id: options.id, http: http_client(), peers };
     Raft::new(options.id, raft_config()?, network, store.clone(), store.clone())
         .await
         .map_err(|reason| RunError::Start(Box::new(reason)))
@@ -341,7 +341,7 @@
         Ok(command) => command,
         Err(reason) => {
             eprintln!("ashvane-keeper: {reason}");
-            return ExitCode::from(STATUS_USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
@@ -349,7 +349,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             eprintln!("ashvane-keeper: {reason}");
-            ExitCode::from(STATUS_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/keeper/src/messages.rs
+++ b/crates/keeper/src/messages.rs
@@ -90,7 +90,7 @@
     Reply(Reply),
     /// This keeper does not lead, or the request was not agreed in time: then it may take effect all the same.
     #[serde(rename = "elsewhere")]
-    NotAgreed {
+    NotCommitted {
         /// The keeper that leads, as far as is known.
         leader: Option<u64>,
     },
--- a/crates/keeper/tests/golden.rs
+++ b/crates/keeper/tests/golden.rs
@@ -32,20 +32,20 @@
     }
 }
 
-fn roster() -> String {
+fn role() -> String {
     "roster".to_owned()
 }
 
-fn who() -> String {
+fn owner() -> String {
     "n1".to_owned()
 }
 
 fn commands() -> Vec<Command> {
     vec![
-        Command::Acquire { role: roster(), owner: who(), epoch: 3, renewals: 7 },
-        Command::Renew { role: roster(), owner: who(), epoch: 4 },
-        Command::Release { role: roster(), owner: who(), epoch: 4 },
-        Command::Write { role: roster(), epoch: 4, text: "{}".to_owned() },
+        Command::Acquire { role: role(), owner: owner(), epoch: 3, renewals: 7 },
+        Command::Renew { role: role(), owner: owner(), epoch: 4 },
+        Command::Release { role: role(), owner: owner(), epoch: 4 },
+        Command::Write { role: role(), epoch: 4, text: "{}".to_owned() },
     ]
 }
 
@@ -60,61 +60,64 @@
 }
 
 fn record() -> LeaseRecord {
-    let owned = Lease { owner: Some(who()), epoch: 4, renewals: 12 };
+    let owned = Lease { owner: Some(owner()), epoch: 4, renewals: 12 };
     let table = Table { epoch: 4, version: 2, text: "{\"names\":[]}".to_owned() };
     LeaseRecord {
-        leases: [(roster(), owned), ("list".to_owned(), Lease::default())].into(),
-        tables: [(roster(), table)].into(),
+        leases: [(role(), owned), ("list".to_owned(), Lease::default())].into(),
+        tables: [(role(), table)].into(),
     }
 }
 
 #[test]
-fn the_record_and_its_commands_keep_their_form() {
+fn the_record_and_its_commands_keep_their_serialized_form() {
     assert_golden("commands", &commands());
     assert_golden("replies", &replies());
     assert_golden("record", &[LeaseRecord::default(), record()]);
-    assert_golden("stamp", &[FencingToken { role: roster(), epoch: 4 }]);
-    assert_golden("heard", &[LastHeard([(who(), 120)].into())]);
-    assert_golden("alive", &[AliveGatherers { names: [who(), "n2".to_owned()].into() }]);
+    assert_golden("stamp", &[FencingToken { role: role(), epoch: 4 }]);
+    assert_golden("heard", &[LastHeard([(owner(), 120)].into())]);
+    assert_golden("alive", &[AliveGatherers { names: [owner(), "n2".to_owned()].into() }]);
 }
 
 #[test]
-fn the_messages_between_gatherers_and_keepers_keep_their_form() {
+fn messages_between_gatherers_and_keepers_keep_their_serialized_form() {
     assert_golden(
         "call",
         &[
-            CallRequest { name: who(), sought_role: None },
-            CallRequest { name: who(), sought_role: Some(roster()) },
+            CallRequest { name: owner(), sought_role: None },
+            CallRequest { name: owner(), sought_role: Some(role()) },
         ],
     );
     let LeaseRecord { leases, tables } = record();
-    let told = CallResponse { keeper: 1, leader: Some(2), is_offered: true, leases, tables };
-    assert_golden("told", &[told]);
-    let asked = vec![
-        LeaseRequest::Acquire { role: roster(), owner: who() },
-        LeaseRequest::Renew { role: roster(), owner: who(), epoch: 4 },
-        LeaseRequest::Release { role: roster(), owner: who(), epoch: 4 },
-        LeaseRequest::Write { role: roster(), epoch: 4, text: "{}".to_owned() },
+    let response = CallResponse { keeper: 1, leader: Some(2), is_offered: true, leases, tables };
+    assert_golden("told", &[response]);
+    let requests = vec![
+        LeaseRequest::Acquire { role: role(), owner: owner() },
+        LeaseRequest::Renew { role: role(), owner: owner(), epoch: 4 },
+        LeaseRequest::Release { role: role(), owner: owner(), epoch: 4 },
+        LeaseRequest::Write { role: role(), epoch: 4, text: "{}".to_owned() },
     ];
-    assert_golden("asked", &asked);
-    let answered: Vec<LeaseResponse> = replies()
+    assert_golden("asked", &requests);
+    let responses: Vec<LeaseResponse> = replies()
         .into_iter()
         .map(LeaseResponse::Reply)
-        .chain([LeaseResponse::NotAgreed { leader: Some(3) }, LeaseResponse::NotAgreed { leader: None }])
+        .chain([
+            LeaseResponse::NotCommitted { leader: Some(3) },
+            LeaseResponse::NotCommitted { leader: None },
+        ])
         .collect();
-    assert_golden("answered", &answered);
+    assert_golden("answered", &responses);
     let address = "127.0.0.1:9404".parse().expect("an address");
     assert_golden("replace", &[ReplaceRequest { removed: 1, added: 4, address }]);
 }
 
 #[test]
-fn log_entries_and_snapshots_on_disk_keep_their_form() {
+fn log_entries_and_snapshots_on_disk_keep_their_serialized_form() {
     let log_id = |index| LogId::new(CommittedLeaderId::new(2, 1), index);
     let entry =
         |(command, index)| Entry::<Types> { log_id: log_id(index), payload: EntryPayload::Normal(command) };
     let mut entries: Vec<Entry<Types>> = commands().into_iter().zip(1..).map(entry).collect();
     entries.push(Entry { log_id: log_id(9), payload: EntryPayload::Blank });
     assert_golden("entries", &entries);
-    let applied = AppliedState { last: Some(log_id(9)), record: record(), ..AppliedState::default() };
+    let applied = AppliedState { last_applied: Some(log_id(9)), record: record(), ..AppliedState::default() };
     assert_golden("snapshot", &[AppliedState::default(), applied]);
 }
--- a/crates/keeper/tests/store.rs
+++ b/crates/keeper/tests/store.rs
@@ -7,12 +7,12 @@
 use openraft::StorageError;
 use openraft::testing::{StoreBuilder, Suite};
 
-static STORES: AtomicU32 = AtomicU32::new(0);
+static STORE_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// A folder that goes with its store.
-struct Folder(std::path::PathBuf);
+struct TempFolder(std::path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -20,17 +20,17 @@
 
 struct Builder;
 
-impl StoreBuilder<Types, KeeperStore, KeeperStore, Folder> for Builder {
-    async fn build(&self) -> Result<(Folder, KeeperStore, KeeperStore), StorageError<u64>> {
-        let number = STORES.fetch_add(1, Ordering::SeqCst);
+impl StoreBuilder<Types, KeeperStore, KeeperStore, TempFolder> for Builder {
+    async fn build(&self) -> Result<(TempFolder, KeeperStore, KeeperStore), StorageError<u64>> {
+        let number = STORE_COUNT.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("ashvane-store-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let store = KeeperStore::open(&folder.join("keeper.redb"), Trace::Off).expect("a store");
-        Ok((Folder(folder), store.clone(), store))
+        Ok((TempFolder(folder), store.clone(), store))
     }
 }
 
 #[test]
-fn the_store_does_what_openraft_demands() {
+fn the_store_passes_the_openraft_test_suite() {
     Suite::test_all(Builder).expect("all of it");
 }
