--- a/crates/fleet/src/call_schedule.rs
+++ b/crates/fleet/src/call_schedule.rs
@@ -1,23 +1,25 @@
-//! When a gatherer calls which keeper: at a bounded rate, whatever happens.
+//! Decides when a gatherer calls which keeper, at a rate that stays bounded even if keepers fail.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// A call comes this much sooner or later than its usual time, as a fraction: none is in step with another's.
+/// Random deviation from the interval between calls, as a fraction, which keeps the calls of gatherers from
+/// synchronizing.
 const JITTER_FRACTION: f64 = 0.25;
 
 /// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextCall {
-    /// When it is due.
+    /// Time at which the call is due.
     pub at: Duration,
-    /// The keeper that is called, as an index into the list.
+    /// Index of the called keeper in the list of keepers.
     pub keeper: usize,
 }
 
-/// The calls of one gatherer to keepers: one at a time, each at its own time, to one keeper until that one fails.
+/// Schedule of one gatherer's calls: one call at a time, with a jittered interval, to the same keeper until
+/// that fails.
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
     interval: Duration,
@@ -27,8 +29,8 @@
 }
 
 impl CallSchedule {
-    /// The first call comes within one interval, drawn by the gatherer's own seed: a fleet that starts at once does not
-    /// call at once.
+    /// Creates a schedule whose first call is due at a random time within one interval. The seed differs
+    /// between gatherers, so that a fleet whose processes start together does not call all at once.
     #[must_use]
     pub fn new(interval: Duration, keepers: usize, seed: u64, now: Duration) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -38,24 +40,24 @@
         CallSchedule { interval, rng, keepers, next }
     }
 
-    /// The next call.
+    /// Returns the next call.
     #[must_use]
     pub fn next(&self) -> NextCall {
         self.next
     }
 
-    /// A call is made now. Whether it is answered or not, the next one comes no sooner than this says.
+    /// Schedules the next call after one was sent at `now`. Neither a reply nor a failure moves it forward.
     pub fn call_made(&mut self, now: Duration) {
         self.next.at =
             now + self.interval.mul_f64(1.0 - JITTER_FRACTION + 2.0 * JITTER_FRACTION * self.rng.f64());
     }
 
-    /// The keeper did not answer: the next call goes to another one, at its usual time.
+    /// Directs the next call to another keeper after a failure, without changing its time.
     pub fn keeper_failed(&mut self) {
         self.next.keeper = (self.next.keeper + 1) % self.keepers;
     }
 
-    /// The most calls a second of so many gatherers, were all of them to call one keeper.
+    /// Returns the maximum number of calls a second that one keeper receives if all gatherers call it.
     #[must_use]
     pub fn max_rate(interval: Duration, gatherers: u32) -> f64 {
         f64::from(gatherers) / (interval.as_secs_f64() * (1.0 - JITTER_FRACTION))
--- a/crates/fleet/src/call_schedule/tests.rs
+++ b/crates/fleet/src/call_schedule/tests.rs
@@ -12,7 +12,7 @@
         let now = Duration::from_millis(ms);
         for schedule in schedules.iter_mut().filter(|schedule| schedule.next().at <= now) {
             schedule.call_made(now);
-            // A minute in which no keeper answers.
+            // No keeper answers during the second minute.
             if (60_000..120_000).contains(&ms) {
                 schedule.keeper_failed();
             }
--- a/crates/fleet/src/command.rs
+++ b/crates/fleet/src/command.rs
@@ -1,64 +1,65 @@
-//! What is asked of the record.
+//! Commands that change the lease record.
 
 use serde::{Deserialize, Serialize};
 
-/// A command that keepers replicate. What depends on time is judged before a command is made, and its grounds are compared
-/// again when it is applied.
+/// A command that keepers replicate. Applying a command uses no clock: whether a lease has expired is decided
+/// before the command is created, and the command carries the state on which that decision was based for
+/// comparison when it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
-    /// To become the owner after the lease that was judged to be expired: this epoch, after so many renewals.
+    /// Acquires a role whose lease was found free or expired at the given epoch and number of renewals.
     #[serde(rename = "take")]
     Acquire {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the process that becomes the owner.
         #[serde(rename = "who")]
         owner: String,
-        /// The epoch of the expired lease.
+        /// Epoch of the free or expired lease.
         epoch: u64,
-        /// Its renewals.
+        /// Number of renewals of the free or expired lease.
         #[serde(rename = "beat")]
         renewals: u64,
     },
-    /// To go on as the owner.
+    /// Renews the owner's lease.
     Renew {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the owner.
         #[serde(rename = "who")]
         owner: String,
-        /// The epoch of its lease.
+        /// Epoch of the owner's lease.
         epoch: u64,
     },
-    /// To hand over.
+    /// Releases the owner's lease, so that another process can acquire the role at once.
     #[serde(rename = "give")]
     Release {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the owner.
         #[serde(rename = "who")]
         owner: String,
-        /// The epoch of its lease.
+        /// Epoch of the owner's lease.
         epoch: u64,
     },
-    /// To write the role's table.
+    /// Replaces the role's table.
     Write {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// The epoch of the writer's lease.
+        /// Epoch of the writer's lease.
         epoch: u64,
-        /// The table.
+        /// New content of the table.
         text: String,
     },
 }
 
 impl Command {
-    /// The role that it is about.
+    /// Returns the name of the role that the command refers to.
     #[must_use]
     pub fn role(&self) -> &str {
         match self {
--- a/crates/fleet/src/fencing_guard.rs
+++ b/crates/fleet/src/fencing_guard.rs
@@ -1,4 +1,4 @@
-//! The guard at those that receive acts: nothing of an epoch takes effect after something of a later one.
+//! Check by which a receiver rejects actions of superseded epochs.
 
 #[cfg(test)]
 mod tests;
@@ -7,16 +7,17 @@
 
 use crate::{FencingToken, MAX_ROLES};
 
-/// The highest epoch seen of each role.
+/// Highest epoch that a receiver has admitted for each role. Actions of an earlier epoch are
+/// rejected, and so are actions of further roles once [`MAX_ROLES`] roles are recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     highest_epochs: BTreeMap<String, u64>,
-    /// How many acts were rejected.
+    /// Number of rejected actions.
     pub rejected: u64,
 }
 
 impl FencingGuard {
-    /// Whether an act may take effect; its epoch is remembered if so.
+    /// Returns whether the action with this token may take effect, and records its epoch if so.
     pub fn admits(&mut self, token: &FencingToken) -> bool {
         let is_admitted = match self.highest_epochs.get(&token.role) {
             Some(highest) => token.epoch >= *highest,
@@ -30,7 +31,7 @@
         is_admitted
     }
 
-    /// The highest epoch seen of a role; 0 before the first.
+    /// Returns the highest epoch admitted for a role, or 0 if there is none.
     #[must_use]
     pub fn highest(&self, role: &str) -> u64 {
         self.highest_epochs.get(role).copied().unwrap_or_default()
--- a/crates/fleet/src/fencing_guard/tests.rs
+++ b/crates/fleet/src/fencing_guard/tests.rs
@@ -10,5 +10,5 @@
     assert!(guard.admits(&token("list", 1)) && guard.rejected == 3);
     let admitted = (0..100).filter(|i| guard.admits(&token(&format!("d{i}"), 1))).count();
     assert_eq!(admitted, MAX_ROLES - 2);
-    assert_eq!(guard.highest_epochs.len(), MAX_ROLES, "bounded");
+    assert_eq!(guard.highest_epochs.len(), MAX_ROLES, "the number of roles is bounded");
 }
--- a/crates/fleet/src/lease_expiry.rs
+++ b/crates/fleet/src/lease_expiry.rs
@@ -1,11 +1,11 @@
-//! When a keeper takes a lease for expired.
+//! Decides on a keeper's own clock when a lease has expired.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{Command, Lease, LeaseRecord, LeaseTerms, Reply};
 
-/// A lease as it was when a keeper received its last change.
+/// Epoch and renewals of a lease, with the time at which this keeper received its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObservedLease {
     epoch: u64,
@@ -19,15 +19,17 @@
     }
 }
 
-/// When a keeper received each lease's last change, by its own clock: it judges by that alone whether the lease is expired.
-/// A keeper that receives late, or starts again and receives anew, judges later than it might, never sooner.
+/// Times, on a keeper's own clock, at which the keeper received the last change of each lease. Expiry is
+/// decided by these times alone. A keeper that receives a change late, or receives it again after a restart,
+/// finds the lease expired later than necessary but never too early.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseExpiry {
     observed: BTreeMap<String, ObservedLease>,
 }
 
 impl LeaseExpiry {
-    /// The record has changed, or was read from a disk or another keeper.
+    /// Records the time of changed leases after the record was changed, read from disk or received from
+    /// another keeper.
     pub fn observe(&mut self, record: &LeaseRecord, now: Duration) {
         for (role, lease) in &record.leases {
             if !self.observed.get(role).is_some_and(|observed| observed.matches(lease)) {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Whether a role may have another owner.
+    /// Returns whether a role's lease is free or has expired, so that another process may acquire it.
     #[must_use]
     pub fn is_expired(&self, record: &LeaseRecord, role: &str, now: Duration, terms: &LeaseTerms) -> bool {
         let lease = record.lease(role);
@@ -48,11 +50,12 @@
         lease.owner.is_none() || self.observed.get(role).is_some_and(has_expired)
     }
 
-    /// The command by which somebody acquires a role, if that is free by this keeper's clock.
+    /// Creates the command by which `owner` acquires a role, if its lease is free or has expired on this
+    /// keeper's clock.
     ///
     /// # Errors
     ///
-    /// The reply to who asks, if the role is not free.
+    /// Returns the reply for the caller if the role has an unexpired lease.
     pub fn acquire(
         &self, record: &LeaseRecord, role: &str, owner: &str, now: Duration, terms: &LeaseTerms,
     ) -> Result<Command, Reply> {
--- a/crates/fleet/src/lease_participant.rs
+++ b/crates/fleet/src/lease_participant.rs
@@ -1,4 +1,4 @@
-//! One process's way to a lease and out of it.
+//! State of one process that seeks, holds and releases a lease.
 
 #[cfg(test)]
 mod tests;
@@ -7,57 +7,57 @@
 
 use crate::{LeaseTerms, Permit, Reply, SingletonRole};
 
-/// A process that has lost a lease because its calls took too long leaves the role to others for so many leases: one that is
-/// as badly off as that would only lose it again.
+/// Number of lease durations for which a process does not seek the role after its lease ended without being
+/// released. A process whose calls are too slow to renew a lease would soon lose it again.
 const BACKOFF_LEASES: u32 = 20;
 
-/// Where a process stands with a role.
+/// Relation of a process to a role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ParticipantState {
-    /// It is not the owner.
+    /// The process is not the owner.
     #[default]
     Candidate,
-    /// It is the owner.
+    /// The process is the owner.
     Owner {
-        /// The epoch of its lease.
+        /// Epoch of its lease.
         epoch: u64,
-        /// When the lease may be over, on its own clock.
+        /// Time on its own clock from which the lease may have expired.
         expires_at: Duration,
     },
 }
 
-/// What has changed for the role.
+/// Change of ownership of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// The process is the owner from now on.
+    /// The process has become the owner.
     Acquired {
-        /// The epoch of its lease.
+        /// Epoch of its lease.
         epoch: u64,
     },
-    /// It is not any more.
+    /// The process is no longer the owner.
     Lost,
 }
 
-/// One process's part in a role. Time is what has passed on its own clock.
+/// Participation of one process in a role. All times are on the process's own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseParticipant {
     state: ParticipantState,
-    /// The latest epoch that it owned or was fenced by.
+    /// Highest epoch that the process has owned or was fenced by.
     latest_epoch: u64,
-    /// It does not seek the role before.
+    /// Time before which the process does not seek the role.
     backoff_until: Duration,
-    /// Something that it sent since the last answer may have been received.
+    /// Whether a call sent since the last grant went unanswered and may still have been received.
     has_unanswered_call: bool,
 }
 
 impl LeaseParticipant {
-    /// Where it stands.
+    /// Returns whether the process is a candidate or the owner.
     #[must_use]
     pub fn state(&self) -> &ParticipantState {
         &self.state
     }
 
-    /// The epoch in which it owns the role.
+    /// Returns the epoch in which the process owns the role, if it does.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         match self.state {
@@ -66,28 +66,29 @@
         }
     }
 
-    /// Whether it would take the role, if that is free, when its last call to a keeper took so long: one that could not
-    /// renew its lease in time does not.
+    /// Returns whether the process seeks the role. It does not if its last call to a keeper took so long that
+    /// it could not renew a lease in time.
     #[must_use]
     pub fn is_seeking(&self, last_call_duration: Duration, now: Duration, terms: &LeaseTerms) -> bool {
         let is_candidate = self.state == ParticipantState::Candidate;
         is_candidate && now >= self.backoff_until && last_call_duration < terms.renewal_interval()
     }
 
-    /// What it sent was not answered, and may have been received all the same.
+    /// Records that a call was not answered although it may have been received.
     pub fn call_unanswered(&mut self) {
         self.has_unanswered_call = true;
     }
 
-    /// Whether an owner still renews its lease. One that is heard and does not hear would hold up its successor with every
-    /// renewal.
+    /// Returns whether the owner may send a renewal. If keepers receive its calls but their replies are lost,
+    /// each renewal extends the lease at the keepers and delays the next owner; so the owner stops renewing
+    /// before its lease ends.
     #[must_use]
     pub fn may_renew(&self, now: Duration, terms: &LeaseTerms) -> bool {
         let ParticipantState::Owner { expires_at, .. } = self.state else { return false };
         !self.has_unanswered_call || now + terms.renewal_cutoff() < expires_at
     }
 
-    /// Time goes on: an owner whose lease may be over stops.
+    /// Ends the ownership if the lease may have expired at `now`.
     pub fn tick(&mut self, now: Duration, terms: &LeaseTerms) -> Option<Transition> {
         let ParticipantState::Owner { expires_at, .. } = self.state else { return None };
         (now >= expires_at).then(|| self.lose_lease(now, terms))
@@ -98,7 +99,7 @@
         self.release()
     }
 
-    /// A call that was sent at `sent_at`, to acquire or renew, is answered.
+    /// Processes the reply to a call that was sent at `sent_at` to acquire or renew the lease.
     pub fn reply_received(
         &mut self, sent_at: Duration, reply: &Reply, now: Duration, terms: &LeaseTerms,
     ) -> Option<Transition> {
@@ -106,7 +107,7 @@
             (Reply::Granted { epoch }, ParticipantState::Owner { epoch: own_epoch, expires_at })
                 if epoch == own_epoch =>
             {
-                // Answers may come in another order than they were asked for.
+                // Replies may arrive in a different order than their calls were sent.
                 *expires_at = (*expires_at).max(sent_at + terms.holder_duration());
                 self.has_unanswered_call = false;
                 self.tick(now, terms)
@@ -124,7 +125,8 @@
         }
     }
 
-    /// A grant that comes after the lease is over, or of an epoch that is over, grants nothing.
+    /// Becomes the owner, unless the granted lease has already expired or its epoch is not later than the
+    /// latest known.
     fn accept_grant(&mut self, epoch: u64, expires_at: Duration, now: Duration) -> Option<Transition> {
         if now >= expires_at || epoch <= self.latest_epoch {
             return None;
@@ -135,13 +137,13 @@
         Some(Transition::Acquired { epoch })
     }
 
-    /// It stops being the owner at once, whatever the keepers know of that.
+    /// Ends the ownership at once, without waiting for the keepers.
     pub fn release(&mut self) -> Transition {
         self.state = ParticipantState::Candidate;
         Transition::Lost
     }
 
-    /// Leave for one act.
+    /// Returns a permit for one action if the process owns the role at `now`.
     #[must_use]
     pub fn permit<R: SingletonRole>(&self, now: Duration) -> Option<Permit<R>> {
         let ParticipantState::Owner { epoch, expires_at } = self.state else { return None };
--- a/crates/fleet/src/lease_record.rs
+++ b/crates/fleet/src/lease_record.rs
@@ -1,5 +1,5 @@
-//! The record that keepers replicate: who owns each role, in which epoch, and the small tables that owners write. Every
-//! keeper applies the same commands in the same order.
+//! The record that keepers replicate: the owner and epoch of each role, and the small tables that owners
+//! write. Every keeper applies the same commands in the same order.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 
 use crate::{Command, Reply};
 
-/// Roles, and tables, at the most.
+/// Maximum number of roles, and therefore of tables.
 pub const MAX_ROLES: usize = 16;
-/// The longest name of a role or an owner, in bytes.
+/// Maximum length of the name of a role or an owner, in bytes.
 pub const MAX_NAME_LENGTH: usize = 64;
-/// The longest table, in bytes.
+/// Maximum length of a table's text, in bytes.
 pub const MAX_TABLE_LENGTH: usize = 64 * 1024;
 
-/// Who owns a role.
+/// Lease of a role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// None: the role is free.
+    /// Name of the owner, or `None` if the role is free.
     pub owner: Option<String>,
-    /// Rises with each owner.
+    /// Number of times the role was acquired; each acquisition starts a new epoch.
     pub epoch: u64,
-    /// Rises with each renewal within the epoch, and with the release.
+    /// Number of renewals within the epoch; a release counts as one more.
     #[serde(rename = "beat")]
     pub renewals: u64,
 }
@@ -32,35 +32,35 @@
     }
 }
 
-/// What an owner wrote.
+/// Small table that the owner of a role writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    /// The epoch of the owner that wrote it.
+    /// Epoch of the owner that last wrote the table.
     pub epoch: u64,
-    /// How often it was written in all.
+    /// Number of writes in all epochs.
     pub version: u64,
-    /// The content.
+    /// Content of the table.
     pub text: String,
 }
 
 /// The leases and tables of all roles.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// By role.
+    /// Leases by role name.
     #[serde(rename = "duties")]
     pub leases: BTreeMap<String, Lease>,
-    /// By role.
+    /// Tables by role name.
     pub tables: BTreeMap<String, Table>,
 }
 
 impl LeaseRecord {
-    /// The lease of a role; a free one of epoch 0 before its first owner.
+    /// Returns the lease of a role, or a free lease of epoch 0 if the role has never had an owner.
     #[must_use]
     pub fn lease(&self, role: &str) -> Lease {
         self.leases.get(role).cloned().unwrap_or_default()
     }
 
-    /// Why a command can never be applied.
+    /// Returns the reason why a command is invalid, if it is.
     fn rejection_reason(&self, command: &Command) -> Option<&'static str> {
         let role = command.role();
         let is_invalid = |name: &str| name.is_empty() || name.len() > MAX_NAME_LENGTH;
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Applies a command: the same on every keeper, whatever its clock.
+    /// Applies a command. The result depends only on the record and the command, so it is the same on every
+    /// keeper.
     pub fn apply(&mut self, command: &Command) -> Reply {
         if let Some(reason) = self.rejection_reason(command) {
             return Reply::Rejected { reason: reason.to_owned() };
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Granted only if the lease is still the one that was judged to be expired.
+    /// Grants the role only if its lease is unchanged since it was found free or expired.
     fn acquire(&mut self, role: &str, owner: &str, epoch: u64, renewals: u64) -> Reply {
         let expired = self.lease(role);
         if expired.epoch != epoch || expired.renewals != renewals {
@@ -114,7 +115,7 @@
         if !lease.is_held_by(owner, epoch) {
             return Reply::Fenced { epoch: lease.epoch };
         }
-        // The renewals rise as well: what was judged before is not what holds now.
+        // The count of renewals changes too, so that an acquisition decided on before the release is fenced.
         let renewals = lease.renewals + 1;
         self.set_lease(role, Lease { owner: None, epoch, renewals });
         Reply::Released
--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -1,4 +1,4 @@
-//! What a lease is worth, by whose clock.
+//! Duration of a lease, and how owners and keepers measure it on clocks that drift.
 
 #[cfg(test)]
 mod tests;
@@ -9,41 +9,45 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The shortest lease: some elections of the keepers must fit into it, or each of them would cost an owner.
+/// Minimum lease. Several leader elections of the keepers must fit into it; otherwise each election would
+/// cost the owner its lease.
 pub const MIN_LEASE: Duration = Duration::from_millis(1500);
-/// The longest lease: so long a fleet may be without an owner.
+/// Maximum lease. A fleet may be without an owner for about this long.
 pub const MAX_LEASE: Duration = Duration::from_secs(60);
-/// The most by which two clocks' rates may be taken to differ from true time. Quartz is off by 0.0001 at worst, a
-/// virtual machine's clock that is slewed by 0.0005.
+/// Maximum configurable drift of a clock's rate from true time, as a fraction. Quartz clocks drift by at most
+/// 0.0001, the slewed clock of a virtual machine by 0.0005.
 pub const MAX_DRIFT: f64 = 0.1;
-/// A renewal is sent after this fraction of an owner's time.
+/// Fraction of the holder duration after which the owner renews its lease.
 const RENEWAL_FRACTION: f64 = 0.25;
-/// A call may take this fraction of the time until then: retries fit in before an owner falls silent.
+/// Maximum duration of a call, as a fraction of the renewal interval. It leaves time for retries before an
+/// owner whose calls go unanswered stops renewing.
 const CALL_TIMEOUT_FRACTION: f64 = 0.5;
-/// After this fraction of its time without an answer an owner renews no more: a renewal may be received although no answer
-/// comes back, and each time it is keepers wait a complete lease anew.
+/// Fraction of the holder duration after which an owner without a reply stops renewing. Keepers may receive a
+/// renewal whose reply is lost, and wait for another complete lease after each one they receive.
 const RENEWAL_CUTOFF_FRACTION: f64 = 0.5;
-/// The fewest and the most keepers of a fleet.
+/// Minimum number of keepers.
 const MIN_KEEPERS: usize = 3;
+/// Maximum number of keepers.
 const MAX_KEEPERS: usize = 5;
 
-/// A lease, and how far any clock's rate may be from the true one, as a fraction. With d for that, an owner acts for
-/// lease x (1 - d) of its own clock from when it *sent* the call that was granted, and keepers wait lease x (1 + d) of
-/// theirs from when they *received* it. Whatever two clocks do within the bound, the first is over before the second.
+/// Duration of a lease and the drift bound of the clocks that measure it. With drift d, an owner acts for
+/// lease x (1 - d) on its own clock from the time it *sent* the granted call, and keepers wait for lease x (1
+/// + d) on theirs from the time they *received* it. With any two clocks within the bound, the owner's time
+/// ends first.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTerms {
-    /// The lease, in true time.
+    /// Duration of the lease in true time.
     pub lease: Duration,
-    /// How far any clock's rate may be from the true one, as a fraction.
+    /// Maximum deviation of any clock's rate from the true rate, as a fraction.
     pub drift: f64,
 }
 
-/// What is wrong with a lease's terms.
+/// Invalid value in the terms of a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TermsFault {
-    /// The lease is too short or too long.
+    /// The lease is shorter than [`MIN_LEASE`] or longer than [`MAX_LEASE`].
     Lease(Duration),
-    /// The drift is out of bounds.
+    /// The drift is not between 0 and [`MAX_DRIFT`].
     Drift(f64),
 }
 
@@ -52,47 +56,51 @@
         match self {
             TermsFault::Lease(lease) => {
                 let (ms, min, max) = (lease.as_millis(), MIN_LEASE.as_millis(), MAX_LEASE.as_millis());
-                let reason = "keepers cannot hold a shorter one through an election";
-                write!(f, "a lease of {ms} ms is not from {min} to {max}: {reason}")
+                let reason = "a shorter lease would not survive an election of the keepers";
+                write!(f, "lease of {ms} ms is outside the range of {min} to {max} ms: {reason}")
+            }
+            TermsFault::Drift(drift) => {
+                write!(f, "drift of {drift} is outside the range of 0 to {MAX_DRIFT}")
             }
-            TermsFault::Drift(drift) => write!(f, "a drift of {drift} is not from 0 to {MAX_DRIFT}"),
         }
     }
 }
 
 impl LeaseTerms {
-    /// How long an owner acts, by its own clock, from when it sent the call that was granted.
+    /// Returns how long an owner may act, on its own clock, from the time it sent the granted call.
     #[must_use]
     pub fn holder_duration(&self) -> Duration {
         self.lease.mul_f64(1.0 - self.drift)
     }
 
-    /// How long a keeper waits, by its own clock, from when it received a lease's last renewal.
+    /// Returns how long a keeper waits, on its own clock, from the time it received the last change of a
+    /// lease.
     #[must_use]
     pub fn expiry_delay(&self) -> Duration {
         self.lease.mul_f64(1.0 + self.drift)
     }
 
-    /// Time after which an owner renews its lease, and after each renewal that was not answered.
+    /// Returns the time between a granted call and the next renewal.
     #[must_use]
     pub fn renewal_interval(&self) -> Duration {
         self.holder_duration().mul_f64(RENEWAL_FRACTION)
     }
 
-    /// The longest that a call may take.
+    /// Returns the maximum duration of a call to a keeper.
     #[must_use]
     pub fn max_call_duration(&self) -> Duration {
         self.renewal_interval().mul_f64(CALL_TIMEOUT_FRACTION)
     }
 
-    /// How long before the end of its time an owner whose renewals may have been received and are not answered sends no
-    /// more: another one is in at most a lease and a half after the last answer.
+    /// Returns how long before the end of its lease an owner stops renewing if a call went unanswered but may
+    /// have been received. With this cutoff the role has a new owner at most one and a half leases after the
+    /// last reply.
     #[must_use]
     pub fn renewal_cutoff(&self) -> Duration {
         self.holder_duration().mul_f64(1.0 - RENEWAL_CUTOFF_FRACTION)
     }
 
-    /// What is wrong with the terms.
+    /// Returns all invalid values of the terms.
     #[must_use]
     pub fn faults(&self) -> Vec<TermsFault> {
         let mut faults = Vec::new();
@@ -106,18 +114,18 @@
     }
 }
 
-/// What is wrong with a set of keepers.
+/// Invalid set of keepers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeepersFault {
-    /// There are too few, too many, or an even number.
+    /// The number of keepers is too small, too large or even.
     Count(usize),
-    /// Two have one address.
+    /// Two keepers have the same address.
     SameAddress {
-        /// The number of the first.
+        /// Number of the first keeper.
         first: u64,
-        /// The number of the second.
+        /// Number of the second keeper.
         second: u64,
-        /// Their address.
+        /// The common address.
         address: String,
     },
 }
@@ -135,7 +143,7 @@
     }
 }
 
-/// What is wrong with a set of keepers, each with its number and address.
+/// Returns all faults of a set of keepers, given as pairs of number and address.
 pub fn keepers_faults<'a>(keepers: impl Iterator<Item = (u64, &'a str)> + Clone) -> Vec<KeepersFault> {
     let mut faults = Vec::new();
     let count = keepers.clone().count();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,19 @@
 //! Leases for work that one process at a time does on behalf of a fleet.
 //!
-//! | module | what it holds |
+//! | item | purpose |
 //! | --- | --- |
-//! | [`LeaseTerms`] | what a lease is worth, by whose clock |
-//! | [`LeaseRecord`], [`Command`], [`Reply`] | the record that keepers replicate |
-//! | [`LeaseExpiry`] | when a keeper takes a lease for expired, by its own clock |
-//! | [`LeaseParticipant`] | one process's way to a lease and out of it |
-//! | [`SingletonRole`], [`Permit`], [`FencingToken`] | the work, leave for one act of it, and what the act carries |
-//! | [`FencingGuard`] | at receivers: nothing of an epoch takes effect after something of a later one |
-//! | [`CallSchedule`] | when whom to call |
-//! | [`roster`] | the first role: who is alive |
+//! | [`LeaseTerms`] | duration of a lease and the drift bound of the clocks that measure it |
+//! | [`LeaseRecord`], [`Command`], [`Reply`] | the record that keepers replicate, its commands and their replies |
+//! | [`LeaseExpiry`] | decides on a keeper's own clock when a lease has expired |
+//! | [`LeaseParticipant`] | state of one process that seeks, holds and releases a lease |
+//! | [`SingletonRole`], [`Permit`], [`FencingToken`] | the work, the permission for one action of it, and the token that the action carries |
+//! | [`FencingGuard`] | lets receivers reject actions of superseded epochs |
+//! | [`CallSchedule`] | when a gatherer calls which keeper |
+//! | [`roster`] | the role that maintains the table of live gatherers |
 //!
-//! Time is what has passed on a clock that is handed in. Nothing here knows clocks, sockets, files, how the record is
-//! replicated, or what gatherers do. Leases with a bound on clocks' rates: Gray and Cheriton, "Leases", 1989.
+//! Callers pass in the time as a `Duration` on a monotonic clock. This crate uses no clocks, sockets or files
+//! and is independent of how the record is replicated and of what gatherers do. Leases with bounded clock
+//! drift are described in Gray and Cheriton, "Leases", 1989.
 
 pub mod roster;
 
--- a/crates/fleet/src/permit.rs
+++ b/crates/fleet/src/permit.rs
@@ -1,4 +1,5 @@
-//! Work that one process at a time does, leave for one act of it, and what the act carries.
+//! Work that one process at a time does, the permission for one action of it, and the token that the action
+//! carries.
 
 use std::marker::PhantomData;
 use std::time::Duration;
@@ -7,35 +8,36 @@
 
 /// Work that one process at a time does for the fleet.
 pub trait SingletonRole: Sized {
-    /// Its name in the record.
+    /// Name of the role in the record.
     const NAME: &'static str;
-    /// What a round goes by.
+    /// Input of a round.
     type Observation;
-    /// What an act of it is; it goes out with the permit's token.
+    /// Action of the owner, which is sent with the permit's token.
     type Action;
-    /// This process is the owner from now on.
+    /// Called when this process becomes the owner.
     fn acquired(&mut self, epoch: u64);
-    /// One round, as the owner: the act that the permit is used for, if there is one.
+    /// Runs one round as the owner and returns the action to perform with a permit, if there is one.
     fn round(&mut self, observation: &Self::Observation) -> Option<Self::Action>;
-    /// This process is not the owner any more.
+    /// Called when this process is no longer the owner.
     fn lost(&mut self);
 }
 
-/// What an act carries to those that receive it: they drop it if they have seen a later epoch (a fencing token).
+/// Fencing token that an action carries. A receiver rejects the action if it has seen a token of a later
+/// epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// The role.
+    /// Name of the role.
     #[serde(rename = "duty")]
     pub role: String,
-    /// The epoch of the owner's lease.
+    /// Epoch of the owner's lease.
     pub epoch: u64,
 }
 
-/// Leave to do one act. It is given by a [`LeaseParticipant`](crate::LeaseParticipant) that owns the role, cannot be copied
-/// or made otherwise, and is worth nothing once the lease may be over.
+/// Permission to perform one action. Only a [`LeaseParticipant`](crate::LeaseParticipant) that owns the role
+/// creates permits. A permit cannot be copied and yields no token once the lease may have expired.
 ///
 /// ```compile_fail
-/// // Nobody but a participant can make one: its fields are its own.
+/// // Only a participant can create a permit: the fields are private.
 /// let permit = ashvane_fleet::Permit::<ashvane_fleet::roster::Roster> {
 ///     epoch: 7, expires_at: std::time::Duration::MAX, role: std::marker::PhantomData,
 /// };
@@ -43,7 +45,7 @@
 ///
 /// ```compile_fail
 /// fn twice(permit: ashvane_fleet::Permit<ashvane_fleet::roster::Roster>, now: std::time::Duration) {
-///     // One permit is one act.
+///     // A permit allows one action only.
 ///     let _ = permit.token(now);
 ///     let _ = permit.token(now);
 /// }
@@ -60,7 +62,7 @@
         Permit { epoch, expires_at, role: PhantomData }
     }
 
-    /// The token for the act, unless the lease may be over by now.
+    /// Returns the token for the action, or `None` if the lease may have expired at `now`.
     #[must_use]
     pub fn token(self, now: Duration) -> Option<FencingToken> {
         (now < self.expires_at).then(|| FencingToken { role: R::NAME.to_owned(), epoch: self.epoch })
--- a/crates/fleet/src/reply.rs
+++ b/crates/fleet/src/reply.rs
@@ -1,33 +1,34 @@
-//! What the record answers to a command.
+//! Replies of the lease record.
 
 use serde::{Deserialize, Serialize};
 
-/// What the record answers to a command.
+/// Reply of the record to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The lease is granted or renewed, in this epoch.
+    /// The lease was granted or renewed.
     Granted {
-        /// The epoch.
+        /// Epoch of the lease.
         epoch: u64,
     },
-    /// The lease is released.
+    /// The lease was released.
     #[serde(rename = "given")]
     Released,
-    /// The table is written.
+    /// The table was written.
     Written {
-        /// How often it was written in all.
+        /// Number of writes of the table in all epochs.
         version: u64,
     },
-    /// The command comes from an epoch that is over, or was judged on what has changed since. Nothing has changed.
+    /// The command belongs to a superseded epoch, comes from a process that is not the owner, or was decided
+    /// on a lease that has changed since. The record is unchanged.
     Fenced {
-        /// The epoch that is in force.
+        /// Current epoch of the role.
         epoch: u64,
     },
-    /// The command can never be applied. Nothing has changed.
+    /// The command is invalid. The record is unchanged.
     #[serde(rename = "refused")]
     Rejected {
-        /// Why.
+        /// Reason for the rejection.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,5 +1,5 @@
-//! The first role, the roster: who is alive, as one table. Its owner collects from the keepers whom each has heard of
-//! late; gatherers read from it how many they are.
+//! The roster role, which maintains a table of live gatherers. Its owner collects from the keepers which
+//! gatherers have called them recently; gatherers read from the table how many of them are alive.
 
 #[cfg(test)]
 mod tests;
@@ -11,34 +11,35 @@
 
 use crate::{MAX_TABLE_LENGTH, SingletonRole, Table};
 
-/// A gatherer that no keeper has heard for so many of its call intervals is not counted.
+/// Number of call intervals without a call to any keeper after which a gatherer is no longer listed.
 const MAX_MISSED_CALLS: f64 = 4.0;
-/// A roster is fresh while its owner has written within so many rounds.
+/// Number of call intervals without a new version after which a reader considers the table stale.
 const FRESHNESS_ROUNDS: f64 = 4.0;
-/// Names at the most: what a table holds of the longest ones.
+/// Maximum number of listed gatherers: as many of the longest names as fit into a table.
 pub const MAX_NAMES: usize = MAX_TABLE_LENGTH / 72;
 
-/// How long ago a keeper heard each gatherer, by name, in milliseconds. Ages are durations: no two clocks are compared.
+/// Milliseconds since each gatherer last called a keeper, by gatherer name. Being durations, the values of
+/// different keepers can be used without comparing their clocks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LastHeard(pub BTreeMap<String, u64>);
 
-/// What the table holds.
+/// Content of the roster's table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AliveGatherers {
-    /// Their names.
+    /// Names of the live gatherers.
     pub names: BTreeSet<String>,
 }
 
-/// The owner's part.
+/// The roster role as run by its owner.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    /// How often gatherers call.
+    /// Interval between the calls of a gatherer.
     pub interval: Duration,
     epoch: Option<u64>,
 }
 
 impl Roster {
-    /// A process that does not own the role.
+    /// Creates the state of a process that does not own the role.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Roster { interval, epoch: None }
@@ -47,9 +48,9 @@
 
 impl SingletonRole for Roster {
     const NAME: &'static str = "roster";
-    /// What most of the keepers have heard, a table from each that answered.
+    /// Ages of the gatherers' last calls from each keeper that answered, which must be a majority.
     type Observation = Vec<LastHeard>;
-    /// The table's text.
+    /// New text of the table.
     type Action = String;
 
     fn acquired(&mut self, epoch: u64) {
@@ -70,30 +71,32 @@
     }
 }
 
-/// Which write of a table was seen.
+/// Epoch and version of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TableVersion {
     epoch: u64,
     version: u64,
 }
 
+/// Number of live gatherers, with the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct AliveCount {
     received_at: Duration,
     alive: u32,
 }
 
-/// A reader's view: how many are alive, as long as that is fresh. A table counts as new when its version grows before the
-/// reader's eyes, by the reader's own clock: one that is only old, however late it is read, is never fresh.
+/// Reader of the roster's table, which reports the number of live gatherers while it is fresh. Freshness is
+/// measured on the reader's own clock from the time it received a version newer than one it had received
+/// before. The first table received is never fresh, because its age is unknown.
 #[derive(Clone, Debug, Default)]
 pub struct RosterReader {
     latest: Option<TableVersion>,
-    /// When the table last grew, and what it then said.
+    /// Count and receive time of the last table that replaced an older one.
     last_update: Option<AliveCount>,
 }
 
 impl RosterReader {
-    /// A keeper sent this table. What is older than what was seen is dropped.
+    /// Processes a table received from a keeper. A table that is not newer than the latest one is ignored.
     pub fn table_received(&mut self, table: &Table, now: Duration) {
         let seen = TableVersion { epoch: table.epoch, version: table.version };
         if self.latest.is_some_and(|latest| seen <= latest) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /// How many are alive, or none where nobody can tell any more.
+    /// Returns the number of live gatherers, or `None` if the table is stale or lists no gatherer.
     #[must_use]
     pub fn alive(&self, interval: Duration, now: Duration) -> Option<u32> {
         let is_fresh = |count: &AliveCount| now < count.received_at + interval.mul_f64(FRESHNESS_ROUNDS);
--- a/crates/fleet/src/roster/tests.rs
+++ b/crates/fleet/src/roster/tests.rs
@@ -16,10 +16,10 @@
     let observation =
         vec![heard(&[("a", 100), ("b", 9000)]), heard(&[("a", 8000), ("c", 3999), ("d", 4001)])];
     let mut roster = Roster::new(INTERVAL);
-    assert_eq!(roster.round(&observation), None, "not its owner");
+    assert_eq!(roster.round(&observation), None, "it is not the owner");
     roster.acquired(4);
     let alive: AliveGatherers =
-        serde_json::from_str(&roster.round(&observation).expect("a table")).expect("JSON");
+        serde_json::from_str(&roster.round(&observation).expect("the owner writes a table")).expect("JSON");
     assert_eq!(alive.names.into_iter().collect::<Vec<_>>(), ["a", "c"]);
     roster.lost();
     assert_eq!(roster.round(&observation), None);
@@ -30,17 +30,17 @@
     let s = Duration::from_secs;
     let mut reader = RosterReader::default();
     reader.table_received(&table(3, 70, 20), s(0));
-    assert_eq!(reader.alive(INTERVAL, s(0)), None, "it may have stood there for a year");
+    assert_eq!(reader.alive(INTERVAL, s(0)), None, "the first table may be of any age");
     reader.table_received(&table(3, 70, 20), s(1));
     assert_eq!(reader.alive(INTERVAL, s(1)), None);
     reader.table_received(&table(3, 71, 20), s(2));
     assert_eq!(reader.alive(INTERVAL, s(5)), Some(20));
     reader.table_received(&table(4, 72, 3), s(5));
-    // An old owner's table, and an older version, come late.
+    // A former owner's table and an older version arrive late.
     reader.table_received(&table(3, 99, 300), s(5));
     reader.table_received(&table(4, 71, 300), s(5));
     assert_eq!(reader.alive(INTERVAL, s(8)), Some(3));
-    assert_eq!(reader.alive(INTERVAL, s(9)), None, "its owner is gone");
+    assert_eq!(reader.alive(INTERVAL, s(9)), None, "no new version for four intervals");
     reader.table_received(&table(5, 73, 0), s(10));
-    assert_eq!(reader.alive(INTERVAL, s(10)), None, "nobody is no number to go by");
+    assert_eq!(reader.alive(INTERVAL, s(10)), None, "an empty table gives no count");
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,6 +1,7 @@
-//! All that can happen to some candidates, the keepers' record and a receiver, to a stated depth: messages late, lost,
-//! doubled and in any order, processes that stand still anywhere, clocks at both ends of their bound. The functions
-//! checked are those that run. With a part of the protection taken out, the checker must find the run that breaks it.
+//! Model check of candidates, the keepers' record and a receiver, over all states up to a given depth.
+//! Messages may be delayed, lost, duplicated and reordered, processes may pause at any point, and clocks run
+//! at both ends of the drift bound. The model calls the production code. With one safeguard disabled the
+//! checker must find a violation.
 
 use std::time::Duration;
 
@@ -11,71 +12,59 @@
 
 const ROLE: &str = Roster::NAME;
 
-/// What is taken out of the protection.
+/// Safeguard that the model leaves out, if any.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Disabled {
     Nothing,
-    /// The receiver's fence.
+    /// The receiver's check of the epoch.
     FencingGuard,
-    /// The margin for clocks that differ.
+    /// The margin for clock drift.
     DriftMargin,
-    /// The comparison, as a take is applied, with what it was judged on.
+    /// The comparison, when an acquisition is applied, with the lease on which it was decided.
     AcquireComparison,
-    /// The comparison of a write with the epoch that holds.
+    /// The comparison of a write's epoch with the current one.
     WriteComparison,
-    /// The owner's look at its own clock: it counts its lease from the answer, not from its question.
+    /// Counting the lease from the time the call was sent: the owner counts it from the arrival of the reply.
     SendTime,
 }
 
 struct Fleet {
     candidates: usize,
-    /// How often each candidate may ask.
+    /// Maximum number of calls of each candidate.
     max_calls: u8,
-    /// Ticks of true time.
-    ticks: u64,
+    /// Maximum number of ticks of true time.
+    max_ticks: u64,
     disabled: Disabled,
-    /// Whether acts go to the record, as writes, or to a receiver with a fence.
+    /// Whether actions go to the record as writes, or to a receiver with a fencing guard.
     to_record: bool,
 }
 
-/// A tick, and the lease, in milliseconds of true time; a slow clock says one less and a fast one one more.
-const TICK: u64 = 10;
+/// Length of a tick, and of the lease, in milliseconds of true time. A slow clock advances by one less, a
+/// fast one by one more.
+const TICK_MS: u64 = 10;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// On its way through the keepers' log, with when it was asked for by the candidate's own clock: a take, which
-    /// was judged on this epoch and renewals, or a renewal.
-    Acquire {
-        from: usize,
-        sent_at: Duration,
-        epoch: u64,
-        renewals: u64,
-    },
-    Renew {
-        from: usize,
-        sent_at: Duration,
-        epoch: u64,
-    },
-    Reply {
-        to: usize,
-        sent_at: Duration,
-        granted: Option<u64>,
-        fenced: Option<u64>,
-    },
-    Act {
-        epoch: u64,
-    },
+    /// Acquisition in the keepers' log, decided on this epoch and number of renewals, with the send time on
+    /// the candidate's clock.
+    Acquire { from: usize, sent_at: Duration, epoch: u64, renewals: u64 },
+    /// Renewal in the keepers' log, with the send time on the owner's clock.
+    Renew { from: usize, sent_at: Duration, epoch: u64 },
+    /// Reply to a call that was sent at the given time on the receiver's clock.
+    Reply { to: usize, sent_at: Duration, granted: Option<u64>, fenced: Option<u64> },
+    /// Action of an owner on its way to the receiver.
+    Action { epoch: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     participant: LeaseParticipant,
-    /// Milliseconds of its clock in a tick.
+    /// Milliseconds by which its clock advances in a tick.
     rate: u64,
     is_waiting: bool,
     calls: u8,
-    /// An act for which it had leave, and which it has not sent yet.
-    ready: Option<u64>,
+    /// Epoch of an action that was permitted and is not sent yet.
+    pending_epoch: Option<u64>,
     acted: bool,
 }
 
@@ -86,10 +75,10 @@
     processes: Vec<Process>,
     record: LeaseRecord,
     expiry: LeaseExpiry,
-    /// In flight, each with how often it may still be delivered.
+    /// Messages in flight, each with the number of times that it may still be delivered.
     messages: Vec<(Message, u8)>,
     guard: FencingGuard,
-    /// Epochs of the acts that took effect, in their order.
+    /// Epochs of the actions that took effect, in order.
     effects: Vec<u64>,
 }
 
@@ -97,8 +86,9 @@
 enum Action {
     Tick,
     Call(usize),
-    /// Looks at its clock and gets leave to act; then sends, whenever that is.
+    /// Reads the clock and obtains a permit.
     Check(usize),
+    /// Sends the permitted action, any time later.
     Send(usize),
     Deliver(usize),
 }
@@ -117,10 +107,10 @@
 impl Fleet {
     fn terms(&self) -> LeaseTerms {
         let drift = if self.disabled == Disabled::DriftMargin { 0.0 } else { 0.1 };
-        LeaseTerms { lease: Duration::from_millis(TICK), drift }
+        LeaseTerms { lease: Duration::from_millis(TICK_MS), drift }
     }
 
-    /// What the leading keeper does with a command.
+    /// Applies a command at the leading keeper.
     fn apply(&self, state: &mut State, mut command: Command) -> Reply {
         let lease = state.record.lease(ROLE);
         match &mut command {
@@ -147,7 +137,8 @@
         state.send(Message::Reply { to, sent_at, granted, fenced });
     }
 
-    /// What a candidate or an owner asks: a take is judged by the leading keeper's clock, and goes into the log.
+    /// Handles a call at the leading keeper: an acquisition is decided on the keeper's clock before it enters
+    /// the log.
     fn handle_request(&self, state: &mut State, from: usize, sent_at: Duration, renewed_epoch: Option<u64>) {
         let (now, owner) = (state.clock(state.keeper_rate), format!("p{from}"));
         if let Some(epoch) = renewed_epoch {
@@ -184,13 +175,13 @@
                 state.processes[to].participant.reply_received(sent_at, &reply, now, &self.terms());
                 state.processes[to].is_waiting = false;
             }
-            Message::Act { epoch } if self.to_record => {
+            Message::Action { epoch } if self.to_record => {
                 let write = Command::Write { role: ROLE.into(), epoch, text: String::new() };
                 if matches!(self.apply(state, write), Reply::Written { .. }) {
                     state.effects.push(epoch);
                 }
             }
-            Message::Act { epoch } => {
+            Message::Action { epoch } => {
                 let is_admitted = state.guard.admits(&FencingToken { role: ROLE.into(), epoch });
                 if is_admitted || self.disabled == Disabled::FencingGuard {
                     state.effects.push(epoch);
@@ -205,7 +196,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // Every clock at either end: nine or eleven for ten.
+        // Each clock runs at either end of the drift bound: 9 or 11 ms for 10 ms of true time.
         (0..1_u32 << (self.candidates + 1))
             .map(|extremes| {
                 let rate = |bit: usize| if extremes >> bit & 1 == 0 { 9 } else { 11 };
@@ -214,7 +205,7 @@
                     rate: rate(i),
                     is_waiting: false,
                     calls: 0,
-                    ready: None,
+                    pending_epoch: None,
                     acted: false,
                 };
                 State {
@@ -232,22 +223,22 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.tick < self.ticks {
+        if state.tick < self.max_ticks {
             actions.push(Action::Tick);
         }
         for (i, p) in state.processes.iter().enumerate() {
             if !p.is_waiting && p.calls < self.max_calls {
                 actions.push(Action::Call(i));
             }
-            if !p.acted && p.ready.is_none() && p.participant.epoch().is_some() {
+            if !p.acted && p.pending_epoch.is_none() && p.participant.epoch().is_some() {
                 actions.push(Action::Check(i));
             }
-            if p.ready.is_some() {
+            if p.pending_epoch.is_some() {
                 actions.push(Action::Send(i));
             }
         }
         for at in 0..state.messages.len() {
-            // Lost is what is never delivered.
+            // A message that is never delivered is a lost one.
             actions.push(Action::Deliver(at));
         }
     }
@@ -268,12 +259,12 @@
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
                 let token = process.participant.permit::<Roster>(now).and_then(|permit| permit.token(now));
-                process.ready = Some(token?.epoch);
+                process.pending_epoch = Some(token?.epoch);
             }
             Action::Send(i) => {
-                let epoch = state.processes[i].ready.take()?;
+                let epoch = state.processes[i].pending_epoch.take()?;
                 state.processes[i].acted = true;
-                state.send(Message::Act { epoch });
+                state.send(Message::Action { epoch });
             }
             Action::Deliver(at) => {
                 let (message, times) = state.messages.remove(at);
@@ -293,7 +284,7 @@
                 let owns = |p: &&Process| p.participant.permit::<Roster>(state.clock(p.rate)).is_some();
                 state.processes.iter().filter(owns).count() <= 1
             }),
-            Property::<Self>::always("no act after one of a later epoch", |_, state| {
+            Property::<Self>::always("no action after one of a later epoch", |_, state| {
                 state.effects.is_sorted()
             }),
             Property::<Self>::sometimes("a second owner acts", |_, state| {
@@ -303,22 +294,22 @@
     }
 }
 
-/// Plays all that can happen; which properties the checker found violated, and how many states it saw. With a part of
-/// the protection taken out it ends with the first.
+/// Checks the model to a depth. Returns the violated properties, the number of states, and whether a second
+/// owner acted in some run. With a safeguard disabled the check ends at the first violation.
 fn run_checker(model: Fleet, depth: usize) -> (Vec<&'static str>, usize, bool) {
     let until =
         if model.disabled == Disabled::Nothing { HasDiscoveries::All } else { HasDiscoveries::AnyFailures };
     let checker = model.checker().threads(2).target_max_depth(depth).finish_when(until).spawn_bfs().join();
-    let violated = ["one owner at a time", "no act after one of a later epoch"];
+    let violated = ["one owner at a time", "no action after one of a later epoch"];
     let violated = violated.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
     (violated, checker.unique_state_count(), checker.discovery("a second owner acts").is_some())
 }
 
-/// Deeper than anything goes where each candidate asks once: all states are seen.
+/// Greater than the depth of any run in which each candidate calls once, so that all states are checked.
 const UNBOUNDED_DEPTH: usize = 100;
 
 fn fleet(disabled: Disabled) -> Fleet {
-    Fleet { candidates: 2, max_calls: 1, ticks: 2, disabled, to_record: false }
+    Fleet { candidates: 2, max_calls: 1, max_ticks: 2, disabled, to_record: false }
 }
 
 #[test]
@@ -344,11 +335,11 @@
     }
 }
 
-/// Guards against a model that could not fail.
+/// Guards against a model whose properties cannot fail.
 #[test]
 fn the_checker_finds_a_violation_when_a_safeguard_is_disabled() {
     for (disabled, property) in [
-        (Disabled::FencingGuard, "no act after one of a later epoch"),
+        (Disabled::FencingGuard, "no action after one of a later epoch"),
         (Disabled::DriftMargin, "one owner at a time"),
         (Disabled::AcquireComparison, "one owner at a time"),
         (Disabled::SendTime, "one owner at a time"),
@@ -357,5 +348,5 @@
         assert!(violated.contains(&property), "{disabled:?} violates {violated:?} in {states} states");
     }
     let to_record = Fleet { to_record: true, ..fleet(Disabled::WriteComparison) };
-    assert!(run_checker(to_record, UNBOUNDED_DEPTH).0.contains(&"no act after one of a later epoch"));
+    assert!(run_checker(to_record, UNBOUNDED_DEPTH).0.contains(&"no action after one of a later epoch"));
 }
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record under any commands in any order, and its form on the wire and on a disk.
+//! Invariants of the lease record under arbitrary sequences of commands, and its serialization.
 
 use ashvane_fleet::{Command, LeaseRecord, Reply};
 use ashvane_fleet::{MAX_NAME_LENGTH, MAX_ROLES, MAX_TABLE_LENGTH};
@@ -9,7 +9,7 @@
 
 impl Arbitrary for AnyCommand {
     fn arbitrary(g: &mut Gen) -> AnyCommand {
-        let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("one")).to_owned();
+        let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("the slice is not empty")).to_owned();
         let role = if u8::arbitrary(g) == 0 {
             format!("d{}", u8::arbitrary(g))
         } else {
@@ -33,7 +33,7 @@
     }
 }
 
-/// What must hold after each command, whatever came before.
+/// Applies the commands in order and returns whether all invariants hold after each of them.
 fn keeps_invariants(commands: Vec<AnyCommand>) -> bool {
     let mut record = LeaseRecord::default();
     for AnyCommand(command) in commands {
@@ -43,7 +43,7 @@
         let lease_is_monotonic =
             new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
         let table = record.tables.get(&role);
-        // A table is never of a later epoch than its role, and never goes back.
+        // A table's epoch is never later than its role's, and its epoch and version never decrease.
         let tables_are_monotonic = table.is_none_or(|t| t.epoch <= new.epoch)
             && before
                 .tables
@@ -60,14 +60,15 @@
             (Reply::Written { version }, Command::Write { epoch, .. }) => {
                 *epoch == old.epoch && old.owner.is_some() && table.is_some_and(|t| t.version == *version)
             }
-            // What is not granted changes nothing.
+            // A fenced or rejected command changes nothing.
             (Reply::Fenced { epoch }, _) => *epoch == old.epoch && record == before,
             (Reply::Rejected { .. }, _) => record == before,
             _ => false,
         };
         let is_bounded = record.leases.len() <= MAX_ROLES;
-        let text = serde_json::to_string(&(&command, &reply, &record)).expect("text");
-        let decoded: (Command, Reply, LeaseRecord) = serde_json::from_str(&text).expect("it is read again");
+        let text = serde_json::to_string(&(&command, &reply, &record)).expect("the values can be serialized");
+        let decoded: (Command, Reply, LeaseRecord) =
+            serde_json::from_str(&text).expect("the serialized text can be parsed");
         if !(lease_is_monotonic
             && tables_are_monotonic
             && is_consistent_reply
--- a/crates/keeper/src/keeper_network.rs
+++ b/crates/keeper/src/keeper_network.rs
@@ -1,4 +1,4 @@
-//! The messages of Raft between keepers: openraft's messages as JSON over HTTP/1.1.
+//! Client side of the Raft network between keepers: openraft's messages as JSON over HTTP/1.1.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -26,13 +26,13 @@
 
 use crate::Types;
 
-/// A client for calls to keepers.
+/// HTTP client for calls to keepers.
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Connections to one keeper that are kept while idle.
+/// Maximum number of idle connections to one keeper.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// A client that keeps its connections.
+/// Creates a client that pools its connections.
 #[must_use]
 pub fn http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
@@ -40,18 +40,19 @@
     Client::builder(TokioExecutor::new()).pool_max_idle_per_host(MAX_IDLE_CONNECTIONS).build(connector)
 }
 
-/// Why a call brought no answer. But for [`PostError::Encode`] and [`PostError::Request`] it may have taken effect.
+/// Failure of a call. Except after [`PostError::Encode`] and [`PostError::Request`], the call may have taken
+/// effect.
 #[derive(Debug)]
 pub enum PostError {
-    /// The body has no form in JSON. Nothing was sent.
+    /// The body cannot be serialized to JSON. Nothing was sent.
     Encode(serde_json::Error),
-    /// The request could not be formed. Nothing was sent.
+    /// The request could not be built. Nothing was sent.
     Request(hyper::http::Error),
-    /// No connection, or no answer.
+    /// The connection failed or no response arrived.
     Call(hyper_util::client::legacy::Error),
-    /// The answer broke off.
+    /// The response body was truncated.
     Body(hyper::Error),
-    /// The answer is no JSON of this kind.
+    /// The response body is not JSON of the expected type.
     Decode(serde_json::Error),
 }
 
@@ -77,20 +78,20 @@
     }
 }
 
-/// What a keeper answers to a call.
+/// Response of a keeper.
 #[derive(Debug)]
 pub struct PostResponse<T> {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The body, from JSON.
+    /// Body, parsed from JSON.
     pub body: T,
 }
 
-/// Posts JSON and reads JSON.
+/// Sends a POST request with a JSON body and parses the JSON response.
 ///
 /// # Errors
 ///
-/// Where no answer of this kind comes.
+/// Returns an error if the request fails or the response cannot be parsed.
 pub async fn post<A: Serialize, B: DeserializeOwned>(
     http: &HttpClient, address: SocketAddr, path: &str, body: &A,
 ) -> Result<PostResponse<B>, PostError> {
@@ -106,18 +107,19 @@
     Ok(PostResponse { status, body })
 }
 
-/// The network between keepers, as openraft asks for it.
+/// Factory that creates openraft's connections to other keepers.
 #[derive(Clone)]
 pub struct KeeperNetwork {
-    /// The number of this keeper.
+    /// Number of this keeper.
     pub own_id: u64,
-    /// For calls to the others.
+    /// Client for calls to the other keepers.
     pub http: HttpClient,
-    /// Where each keeper is from here; one that joined later is where it was said to be.
+    /// Addresses of the keepers as reachable from this one. For a keeper that joined later, the address in
+    /// Raft's membership is used.
     pub peers: Arc<BTreeMap<u64, SocketAddr>>,
 }
 
-/// The calls to one keeper.
+/// Connection to one other keeper.
 pub struct KeeperConnection {
     own_id: u64,
     target: u64,
@@ -134,7 +136,7 @@
     }
 }
 
-/// Why a message of Raft brought no answer.
+/// Failure of a Raft message.
 type SendError<E> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
 impl KeeperConnection {
@@ -145,7 +147,9 @@
         E: std::error::Error + DeserializeOwned,
     {
         let Some(address) = self.address else {
-            return Err(RPCError::Unreachable(Unreachable::new(&AnyError::error("no address"))));
+            return Err(RPCError::Unreachable(Unreachable::new(&AnyError::error(
+                "keeper has no valid address",
+            ))));
         };
         let time_limit = option.hard_ttl();
         let call = post::<A, Result<B, RaftError<u64, E>>>(&self.http, address, path, body);
--- a/crates/keeper/src/keeper_server.rs
+++ b/crates/keeper/src/keeper_server.rs
@@ -1,4 +1,4 @@
-//! What a keeper answers: gatherers' calls, what an owner asks, and the other keepers' messages.
+//! HTTP server of a keeper, for gatherers' calls, lease requests of owners and candidates, and Raft messages.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,31 +23,34 @@
 use crate::messages::{CallRequest, CallResponse, LeaseRequest, LeaseResponse, ReplaceRequest};
 use crate::{Raft, Types, clock};
 
-/// The most gatherers that a keeper remembers.
+/// Maximum number of gatherers whose calls a keeper records.
 const MAX_CALLERS: usize = 4096;
-/// How long a keeper remembers a gatherer that does not call.
+/// Time for which the last call of a gatherer is recorded.
 const CALLER_RETENTION: Duration = Duration::from_secs(60);
-/// A free role is offered to one caller at a time, for so long: not all are to rush for it.
+/// Time for which a free role is offered to one caller only, so that not all callers try to acquire it at
+/// once.
 const OFFER_DURATION: Duration = Duration::from_millis(300);
-/// Time in which what an owner asks is agreed, or is answered as not.
+/// Time-out for committing a lease request, after which the reply is [`LeaseResponse::NotCommitted`].
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time in which a keeper must have caught up to take another's place.
+/// Time-out for a new keeper to catch up with the log before it replaces another.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest message that is read, in bytes: a snapshot with every table at its longest, as JSON.
+/// Maximum length of a request body. It allows for a snapshot in JSON in which every table has its maximum
+/// length.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What a keeper remembers of its callers, in memory only.
+/// Recent calls and offers of a keeper. It is kept in memory only.
 #[derive(Default)]
 struct CallerRegistry {
-    /// When each gatherer called last.
+    /// Time of the last call of each gatherer.
     last_heard: BTreeMap<String, Duration>,
-    /// When each role was offered last.
+    /// Time of the last offer of each role.
     offered_at: BTreeMap<String, Duration>,
+    /// Number of calls since the keeper started.
     calls: u64,
 }
 
 impl CallerRegistry {
-    /// A gatherer has called. New ones are remembered while there is room.
+    /// Records a gatherer's call. Gatherers beyond [`MAX_CALLERS`] are not recorded.
     fn record_call(&mut self, name: &str, now: Duration) {
         self.last_heard.retain(|_, at| now < *at + CALLER_RETENTION);
         let has_room = self.last_heard.contains_key(name) || self.last_heard.len() < MAX_CALLERS;
@@ -56,7 +59,8 @@
         }
     }
 
-    /// Whether a free role is offered to this caller: not to another one a moment ago.
+    /// Returns whether to offer a free role to this caller, and records the offer. A role is not offered
+    /// again within [`OFFER_DURATION`].
     fn try_offer(&mut self, role: &str, now: Duration) -> bool {
         if self.offered_at.get(role).is_some_and(|at| now < *at + OFFER_DURATION) {
             return false;
@@ -67,12 +71,12 @@
     }
 }
 
-/// Why a keeper was not replaced. Until the last step the old set of keepers decides.
+/// Reason why a keeper was not replaced.
 #[derive(Debug)]
 pub enum ReplaceError {
-    /// The new keeper does not catch up in time.
+    /// The new keeper did not catch up within the time-out.
     CatchUpTimeout,
-    /// The keepers do not agree.
+    /// Raft did not commit the change of membership.
     Raft(Box<RaftError<u64, ClientWriteError<u64, BasicNode>>>),
 }
 
@@ -100,9 +104,9 @@
     }
 }
 
-/// One keeper: what it answers gatherers and the other keepers.
+/// State of one keeper's HTTP server.
 pub struct KeeperServer {
-    /// Its number.
+    /// Number of the keeper.
     id: u64,
     terms: LeaseTerms,
     raft: Raft,
@@ -113,7 +117,7 @@
 type SharedServer = State<Arc<KeeperServer>>;
 
 impl KeeperServer {
-    /// A keeper of this number.
+    /// Creates the server of the keeper with number `id`.
     #[must_use]
     pub fn new(id: u64, terms: LeaseTerms, raft: Raft, store: KeeperStore) -> Self {
         KeeperServer { id, terms, raft, store, callers: Mutex::default() }
@@ -127,7 +131,7 @@
         self.raft.metrics().borrow().current_leader
     }
 
-    /// A gatherer has called.
+    /// Records a gatherer's call and returns the state of the record.
     fn handle_call(&self, call: &CallRequest) -> CallResponse {
         let (now, mut callers) = (clock::now(), self.callers());
         callers.calls += 1;
@@ -141,7 +145,8 @@
         CallResponse { keeper: self.id, leader: self.leader(), is_offered, leases, tables }
     }
 
-    /// What an owner asks, or who would be one: judged by this keeper's clock, agreed with the others.
+    /// Handles a lease request if this keeper leads: expiry is decided on this keeper's clock, and the
+    /// resulting command is committed through Raft.
     async fn handle_lease_request(&self, request: LeaseRequest) -> LeaseResponse {
         if self.leader() != Some(self.id) {
             return LeaseResponse::NotCommitted { leader: self.leader() };
@@ -164,7 +169,8 @@
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
                 LeaseResponse::NotCommitted { leader: to.leader_id }
             }
-            // Perhaps it is agreed later: whoever asked counts from when it asked, and asks again.
+            // The command may still be committed later. That is safe: the caller counts its lease from the
+            // time it sent the request, and retries.
             _ => LeaseResponse::NotCommitted { leader: None },
         }
     }
@@ -176,7 +182,7 @@
         LastHeard(callers.last_heard.iter().map(|(name, at)| (name.clone(), age_ms(at))).collect())
     }
 
-    /// Takes a new keeper in and an old one out, once the new one has all that is agreed.
+    /// Adds a new keeper and removes an old one, after the new one has caught up with the log.
     async fn replace(&self, request: &ReplaceRequest) -> Result<(), ReplaceError> {
         let node = BasicNode { addr: request.address.to_string() };
         let joined = timeout(JOIN_TIMEOUT, self.raft.add_learner(request.added, node, true)).await;
@@ -188,7 +194,7 @@
         Ok(())
     }
 
-    /// The calls, each beside its handler.
+    /// Creates the router with all routes of the keeper.
     pub fn router(self: Arc<Self>) -> Router {
         type Appended = Result<AppendEntriesResponse<u64>, RaftError<u64>>;
         type Voted = Result<VoteResponse<u64>, RaftError<u64>>;
--- a/crates/keeper/src/keeper_store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -1,5 +1,5 @@
-//! The disk: the log, the vote and the latest snapshot in one redb file, each write durable before it counts; and
-//! the record that the log makes, in memory.
+//! Storage of a keeper: the Raft log, the vote and the latest snapshot in one redb file, and the record in
+//! memory. Each write is durable before it is acknowledged to Raft.
 
 use std::fmt::{self, Debug};
 use std::io::Cursor;
@@ -19,22 +19,22 @@
 
 use crate::{Types, clock};
 
-/// Entries of the log, by index.
+/// Log entries by index.
 const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-/// Everything else, by the keys below.
+/// All other stored values, by the keys below.
 const META_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const VOTE_KEY: &str = "vote";
 const COMMITTED_KEY: &str = "committed";
 const PURGED_KEY: &str = "purged";
 const SNAPSHOT_KEY: &str = "snapshot";
-/// Memory that the database may use for its pages, in bytes.
+/// Maximum size of the database's page cache.
 const CACHE_BYTES: usize = 4 << 20;
 
 type DatabaseError = Box<dyn std::error::Error + Send + Sync>;
 type StorageResult<T> = Result<T, StorageError<u64>>;
 type KeeperSnapshotMeta = SnapshotMeta<u64, BasicNode>;
 
-/// Why a database cannot be opened.
+/// Failure to open a keeper's database.
 #[derive(Debug)]
 pub struct OpenStoreError {
     path: PathBuf,
@@ -43,7 +43,7 @@
 
 impl fmt::Display for OpenStoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path.display(), self.reason)
+        write!(f, "cannot open keeper database {}: {}", self.path.display(), self.reason)
     }
 }
 
@@ -53,36 +53,37 @@
     }
 }
 
-/// What the log has made so far.
+/// Result of applying the log up to an entry.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// The last entry that was applied.
+    /// Id of the last applied entry.
     #[serde(rename = "last")]
     pub last_applied: Option<LogId<u64>>,
-    /// The keepers.
+    /// Members of the Raft cluster, which are the keepers.
     pub membership: StoredMembership<u64, BasicNode>,
-    /// The leases and tables.
+    /// Leases and tables.
     pub record: LeaseRecord,
 }
 
-/// A snapshot as it stands on disk.
+/// Snapshot as stored on disk.
 #[derive(Serialize, Deserialize)]
 struct StoredSnapshot {
     meta: KeeperSnapshotMeta,
     data: Vec<u8>,
 }
 
-/// What a keeper has in memory of the record.
+/// In-memory state of a keeper.
 #[derive(Default)]
 pub struct StoreState {
-    /// What the log has made so far.
+    /// Result of the applied log entries.
     pub applied: AppliedState,
-    /// When leases expire by this keeper's clock.
+    /// Expiry of the leases on this keeper's clock.
     pub expiry: LeaseExpiry,
+    /// Number of snapshots built since the keeper started; part of their ids.
     snapshot_count: u64,
 }
 
-/// The disk of one keeper. Clones share it.
+/// Storage of one keeper. Clones share the database and the state.
 #[derive(Clone)]
 pub struct KeeperStore {
     database: Arc<Database>,
@@ -90,16 +91,16 @@
     trace: Trace,
 }
 
-/// Whether what is agreed is printed on standard error, one JSON object a line.
+/// Whether applied commands are printed on standard error, one JSON object a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trace {
-    /// Each command, with the lease from then on and the reply.
+    /// Prints the lease after each command, and the reply.
     On,
-    /// Nothing.
+    /// Prints nothing.
     Off,
 }
 
-/// Runs what waits for the disk without holding up the other tasks of this thread.
+/// Runs a disk operation without blocking the other tasks of this thread.
 fn run_blocking<T>(work: impl FnOnce() -> Result<T, DatabaseError>) -> Result<T, DatabaseError> {
     tokio::task::block_in_place(work)
 }
@@ -113,11 +114,12 @@
 }
 
 impl KeeperStore {
-    /// Opens the file, or makes it. One with a torn last write is as it was before that write.
+    /// Opens the database file, or creates it. After a crash during a write the file has its state before
+    /// that write.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be opened or read.
+    /// Returns an error if the file cannot be opened or read.
     pub fn open(path: &Path, trace: Trace) -> Result<KeeperStore, OpenStoreError> {
         KeeperStore::try_open(path, trace).map_err(|reason| OpenStoreError { path: path.to_owned(), reason })
     }
@@ -135,11 +137,12 @@
         Ok(store)
     }
 
-    /// What the log has made so far.
+    /// Locks and returns the in-memory state.
     pub fn state(&self) -> MutexGuard<'_, StoreState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Replaces the applied state by that of a snapshot.
     fn restore_snapshot(&self, snapshot: &StoredSnapshot) -> Result<(), DatabaseError> {
         let applied: AppliedState = serde_json::from_slice(&snapshot.data)?;
         let mut state = self.state();
@@ -202,7 +205,8 @@
 }
 
 impl KeeperStore {
-    /// Applies one entry of the log. Entries that are no command have a reply that nobody reads.
+    /// Applies one log entry. openraft requires a reply to every entry; the reply to one that is not a
+    /// command is not used.
     fn apply_entry(&self, applied: &mut AppliedState, entry: Entry<Types>) -> Reply {
         applied.last_applied = Some(entry.log_id);
         match entry.payload {
@@ -222,7 +226,7 @@
     }
 }
 
-/// Prints what is agreed: the entry's index, the role, its lease from then on, and the reply.
+/// Prints one trace line: the entry's index, the role, its lease after the command, and the reply.
 fn print_trace(index: u64, role: &str, record: &LeaseRecord, reply: &Reply) {
     let line = serde_json::json!({"at": index, "duty": role, "holds": record.lease(role), "reply": reply});
     eprintln!("{line}");
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -1,14 +1,14 @@
-//! A keeper: one of three or five processes that keep, together, who owns which role of a fleet.
+//! A keeper: one of three or five processes that replicate the leases of a fleet's roles.
 //!
-//! | module | its one job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`messages`] | what gatherers and keepers exchange |
-//! | [`keeper_server`] | answers gatherers and the other keepers, over HTTP/1.1 with JSON |
-//! | [`keeper_network`] | the messages of Raft (openraft) between keepers |
-//! | [`keeper_store`] | the log, the vote and the latest snapshot on disk (redb), and the record that the log makes |
-//! | [`clock`] | the machine's clock that also runs while it sleeps |
+//! | [`messages`] | the messages between gatherers and keepers |
+//! | [`keeper_server`] | serves gatherers and the other keepers, over HTTP/1.1 with JSON |
+//! | [`keeper_network`] | sends Raft messages (openraft) to other keepers |
+//! | [`keeper_store`] | stores the Raft log, the vote and the latest snapshot on disk (redb), and applies the log to the record |
+//! | [`clock`] | the monotonic clock that includes suspended time |
 //!
-//! The record and its rules are `ashvane-fleet`'s. Nothing here knows what a role is for.
+//! The record and its rules are defined in `ashvane-fleet`. This crate is independent of what a role is for.
 
 pub mod clock;
 pub mod keeper_network;
@@ -19,7 +19,7 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// What openraft is used with: the record's commands and replies.
+    /// Types for openraft: its log entries are the record's commands.
     pub Types:
         D = ashvane_fleet::Command,
         R = ashvane_fleet::Reply,
@@ -30,5 +30,5 @@
         AsyncRuntime = openraft::TokioRuntime,
 );
 
-/// The Raft of one keeper.
+/// Raft instance of one keeper.
 pub type Raft = openraft::Raft<Types>;
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,4 +1,4 @@
-//! ashvane-keeper: one of the three or five that keep who owns which role of a fleet.
+//! ashvane-keeper: one of the three or five processes that replicate the leases of a fleet's roles.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -40,25 +40,25 @@
 Status 0 when told to end, 1 when it cannot go on (the reason is the last line), 2 for a fault in what was asked for.
 ";
 
-/// An election begins after a silence of at least this many milliseconds, ...
+/// Minimum time without a heartbeat of the leader before an election starts.
 const MIN_ELECTION_MS: u64 = 400;
-/// ... and of at most this many.
+/// Maximum time without a heartbeat of the leader before an election starts.
 const MAX_ELECTION_MS: u64 = 800;
-/// How often leaders speak, in milliseconds.
+/// Interval of the leader's heartbeats.
 const HEARTBEAT_MS: u64 = 100;
-/// Log entries between two snapshots.
+/// Number of log entries between two snapshots.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 5000;
-/// Log entries that are kept behind a snapshot, for keepers that lag.
+/// Number of log entries covered by a snapshot that are still retained, for keepers that lag.
 const RETAINED_LOG_ENTRIES: u64 = 500;
-/// The usual lease, in milliseconds.
+/// Default lease.
 const DEFAULT_LEASE_MS: u64 = 3000;
-/// How far a clock's rate may be off usually, as a fraction.
+/// Default bound on the drift of a clock's rate, as a fraction.
 const DEFAULT_DRIFT: f64 = 0.01;
-/// Time for an orderly end.
+/// Time-out for the graceful shutdown of Raft.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// The exit status of a keeper that cannot go on.
+/// Exit status after a failure to start or to continue.
 const EXIT_FAILURE: u8 = 1;
-/// The exit status of a fault in what was asked for.
+/// Exit status after invalid command-line arguments.
 const EXIT_USAGE: u8 = 2;
 
 struct ServeOptions {
@@ -78,7 +78,7 @@
     Help,
 }
 
-/// What is wrong with what was asked for.
+/// Invalid command line.
 #[derive(Debug)]
 enum UsageError {
     Argument(pico_args::Error),
@@ -110,7 +110,7 @@
     }
 }
 
-/// What is wrong with `--keepers` or `--in`.
+/// Invalid value of `--keepers` or `--in`.
 #[derive(Debug)]
 enum KeepersArgumentError {
     InvalidKeeper(String),
@@ -123,19 +123,19 @@
         let joined = |faults: &[KeepersFault]| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
         match self {
             KeepersArgumentError::InvalidKeeper(text) => {
-                write!(f, "{text:?} is not a keeper as 1=127.0.0.1:9401")
+                write!(f, "{text:?} is not a keeper in the form 1=127.0.0.1:9401")
             }
             KeepersArgumentError::DuplicateNumber(faults) => {
-                let mut words = joined(faults);
-                words.push("a number is given twice".to_owned());
-                write!(f, "--keepers: {}", words.join("; "))
+                let mut messages = joined(faults);
+                messages.push("two keepers have the same number".to_owned());
+                write!(f, "--keepers: {}", messages.join("; "))
             }
             KeepersArgumentError::Faults(faults) => write!(f, "--keepers: {}", joined(faults).join("; ")),
         }
     }
 }
 
-/// Why a keeper, or a call to one, cannot go on.
+/// Failure of a command.
 #[derive(Debug)]
 enum RunError {
     DataDirectory {
@@ -156,37 +156,40 @@
     ServerStopped(io::Result<()>),
     Runtime(io::Error),
     Call(PostError),
-    /// The keeper has rejected the call, with these words.
+    /// The keeper rejected the request with this message.
     Rejected(String),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunError::DataDirectory { path, reason } => write!(f, "{}: {reason}", path.display()),
-            RunError::Signals(reason) => write!(f, "no signals: {reason}"),
+            RunError::DataDirectory { path, reason } => {
+                write!(f, "cannot create data directory {}: {reason}", path.display())
+            }
+            RunError::Signals(reason) => write!(f, "cannot install signal handlers: {reason}"),
             RunError::Listen { address, reason } => write!(f, "cannot listen on {address}: {reason}"),
             RunError::Store(reason) => reason.fmt(f),
             RunError::Config(reason) => reason.fmt(f),
-            RunError::Start(reason) => write!(f, "cannot start: {reason}"),
+            RunError::Start(reason) => write!(f, "cannot start Raft: {reason}"),
             RunError::Initialize(reason) => reason.fmt(f),
             RunError::Raft(reason) => write!(f, "cannot go on: {reason}"),
-            RunError::RaftStopped => f.write_str("cannot go on: the record's keeper has stopped"),
-            RunError::ServerStopped(outcome) => write!(f, "does not listen any more: {outcome:?}"),
+            RunError::RaftStopped => f.write_str("cannot go on: the Raft task has stopped"),
+            RunError::ServerStopped(outcome) => write!(f, "HTTP server stopped unexpectedly: {outcome:?}"),
             RunError::Runtime(reason) => reason.fmt(f),
             RunError::Call(reason) => reason.fmt(f),
-            RunError::Rejected(words) => f.write_str(words),
+            RunError::Rejected(message) => f.write_str(message),
         }
     }
 }
 
-/// A keeper's number and where it is.
+/// Parses a keeper's number and address.
 fn parse_keeper(text: &str) -> Result<(u64, SocketAddr), KeepersArgumentError> {
     let invalid = || KeepersArgumentError::InvalidKeeper(text.to_owned());
     let (id, address) = text.split_once('=').ok_or_else(invalid)?;
     Ok((id.parse().map_err(|_| invalid())?, address.parse().map_err(|_| invalid())?))
 }
 
+/// Parses the list of all keepers.
 fn parse_keepers(text: &str) -> Result<BTreeMap<u64, SocketAddr>, KeepersArgumentError> {
     let all: Vec<(u64, SocketAddr)> = text.split(',').map(parse_keeper).collect::<Result<_, _>>()?;
     let named: Vec<(u64, String)> = all.iter().map(|(id, address)| (*id, address.to_string())).collect();
@@ -278,7 +281,7 @@
         _ = terminate.recv() => Ok(()),
         outcome = serving => Err(RunError::ServerStopped(outcome.unwrap_or(Ok(())))),
     };
-    // What is agreed is on disk already.
+    // A shutdown that times out loses nothing: committed entries are already on disk.
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
     result
 }
@@ -291,19 +294,20 @@
         .map_err(|reason| RunError::Start(Box::new(reason)))
 }
 
-/// Gives Raft its first members, unless its log has members already.
+/// Initializes Raft's membership, unless the log already contains one.
 async fn initialize(raft: &Raft, keepers: &BTreeMap<u64, SocketAddr>) -> Result<(), RunError> {
     if raft.is_initialized().await.map_err(|reason| RunError::Initialize(Box::new(reason)))? {
         return Ok(());
     }
     let node = |(id, address): (&u64, &SocketAddr)| (*id, BasicNode { addr: address.to_string() });
     let members: BTreeMap<u64, BasicNode> = keepers.iter().map(node).collect();
-    // All of them begin with the same members; which one is first makes no difference.
+    // All keepers initialize the same members, so it does not matter which of them is first. The error of a
+    // keeper that is already initialized is ignored.
     let _ = raft.initialize(members).await;
     Ok(())
 }
 
-/// Waits until Raft cannot go on.
+/// Waits until Raft fails, and returns the reason.
 async fn raft_failure(raft: &Raft) -> RunError {
     let mut metrics = raft.metrics();
     loop {
@@ -316,6 +320,7 @@
     }
 }
 
+/// Requests the replacement of a keeper from the leading keeper at `at`.
 async fn replace(at: SocketAddr, request: &ReplaceRequest) -> Result<(), RunError> {
     let response = post::<_, String>(&http_client(), at, "/v1/replace", request).await;
     let PostResponse { status, body } = response.map_err(RunError::Call)?;
--- a/crates/keeper/src/messages.rs
+++ b/crates/keeper/src/messages.rs
@@ -1,4 +1,5 @@
-//! What gatherers and keepers exchange. The serialized names are those of the first release.
+//! Messages between gatherers and keepers. Their serialized names stay the same in all releases, so that
+//! different releases can run together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,105 +7,106 @@
 use ashvane_fleet::{Lease, Reply, Table};
 use serde::{Deserialize, Serialize};
 
-/// A gatherer's call: that it is alive, and what it wants to know of.
+/// Periodic call of a gatherer, which also serves as its heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallRequest {
-    /// Its name.
+    /// Name of the gatherer.
     pub name: String,
-    /// The role that it would take, if that is free.
+    /// Role that the gatherer would acquire if it is free.
     #[serde(rename = "seeks", default)]
     pub sought_role: Option<String>,
 }
 
-/// What a keeper tells of itself and of the record.
+/// Reply to a [`CallRequest`]: state of the keeper and of the record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallResponse {
-    /// The keeper's number.
+    /// Number of the keeper.
     pub keeper: u64,
-    /// The number of the keeper that leads, as far as is known.
+    /// Number of the leading keeper, if known.
     pub leader: Option<u64>,
-    /// The role that was sought is free, and is offered to this caller.
+    /// Whether the sought role is free and offered to this caller.
     #[serde(rename = "free")]
     pub is_offered: bool,
-    /// By role.
+    /// Leases by role name.
     #[serde(rename = "duties")]
     pub leases: BTreeMap<String, Lease>,
-    /// By role.
+    /// Tables by role name.
     pub tables: BTreeMap<String, Table>,
 }
 
-/// What somebody asks for as an owner, or to be one.
+/// Request of an owner or a candidate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseRequest {
-    /// To become the owner, if the role is free.
+    /// Acquires the role if it is free or its lease has expired.
     #[serde(rename = "take")]
     Acquire {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the process that becomes the owner.
         #[serde(rename = "who")]
         owner: String,
     },
-    /// To go on as the owner.
+    /// Renews the owner's lease.
     Renew {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the owner.
         #[serde(rename = "who")]
         owner: String,
-        /// The epoch of its lease.
+        /// Epoch of the owner's lease.
         epoch: u64,
     },
-    /// To hand over.
+    /// Releases the owner's lease, so that another process can acquire the role at once.
     #[serde(rename = "give")]
     Release {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// Who asks.
+        /// Name of the owner.
         #[serde(rename = "who")]
         owner: String,
-        /// The epoch of its lease.
+        /// Epoch of the owner's lease.
         epoch: u64,
     },
-    /// To write the role's table.
+    /// Replaces the role's table.
     Write {
-        /// The role.
+        /// Name of the role.
         #[serde(rename = "duty")]
         role: String,
-        /// The epoch of the writer's lease.
+        /// Epoch of the writer's lease.
         epoch: u64,
-        /// The table.
+        /// New content of the table.
         text: String,
     },
 }
 
-/// The answer to a [`LeaseRequest`].
+/// Reply to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseResponse {
-    /// What the record answers.
+    /// The record's reply.
     Reply(Reply),
-    /// This keeper does not lead, or the request was not agreed in time: then it may take effect all the same.
+    /// This keeper does not lead, or the request was not committed in time. In the second case it may still
+    /// take effect later.
     #[serde(rename = "elsewhere")]
     NotCommitted {
-        /// The keeper that leads, as far as is known.
+        /// Number of the leading keeper, if known.
         leader: Option<u64>,
     },
 }
 
-/// One keeper in another's place.
+/// Request to replace one keeper by another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplaceRequest {
-    /// The number of the keeper that goes.
+    /// Number of the removed keeper.
     #[serde(rename = "out")]
     pub removed: u64,
-    /// The number of the keeper that comes.
+    /// Number of the added keeper.
     #[serde(rename = "new")]
     pub added: u64,
-    /// Where it is reached.
+    /// Address of the added keeper.
     pub address: SocketAddr,
 }
--- a/crates/keeper/tests/golden.rs
+++ b/crates/keeper/tests/golden.rs
@@ -1,6 +1,7 @@
-//! Golden files: what earlier releases send each other and keep on disk, to the byte. Everything in a keeper's database is
-//! the JSON of an entry, of a vote or of a snapshot; gatherers and keepers exchange JSON. `GOLDEN_WRITE=1` writes the files
-//! of new cases; to write one anew that is there is to change an interface.
+//! Golden tests of the serialized form of messages and stored data, which must stay the same for
+//! compatibility with earlier releases. A keeper's database contains entries, votes and snapshots as JSON;
+//! gatherers and keepers exchange JSON. `GOLDEN_WRITE=1` creates the files of new cases. Changing an existing
+//! file changes an interface.
 
 use std::path::PathBuf;
 
@@ -17,14 +18,15 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.json"))
 }
 
-/// Asserts that these values are written as they stand in a golden file, a line each, and are read from it again.
+/// Asserts that the values serialize to the lines of a golden file, and that its lines parse and serialize
+/// back.
 fn assert_golden<T: Serialize + DeserializeOwned>(name: &str, values: &[T]) {
-    let line = |value: &T| serde_json::to_string(value).expect("JSON") + "\n";
+    let line = |value: &T| serde_json::to_string(value).expect("the value can be serialized") + "\n";
     let text: String = values.iter().map(line).collect();
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path(name).exists() {
-        std::fs::write(path(name), &text).expect("written");
+        std::fs::write(path(name), &text).expect("the golden file can be written");
     }
-    let golden = std::fs::read_to_string(path(name)).expect("the golden file");
+    let golden = std::fs::read_to_string(path(name)).expect("the golden file can be read");
     assert_eq!(golden, text, "{name}");
     for golden in golden.lines() {
         let read: T = serde_json::from_str(golden).unwrap_or_else(|e| panic!("{name}: {golden}: {e}"));
@@ -106,7 +108,7 @@
         ])
         .collect();
     assert_golden("answered", &responses);
-    let address = "127.0.0.1:9404".parse().expect("an address");
+    let address = "127.0.0.1:9404".parse().expect("a valid address");
     assert_golden("replace", &[ReplaceRequest { removed: 1, added: 4, address }]);
 }
 
--- a/crates/keeper/tests/keepers.rs
+++ b/crates/keeper/tests/keepers.rs
@@ -1,4 +1,5 @@
-//! Keepers as processes: three that agree, one that is killed at any write, one whose disk is full, one replaced.
+//! Tests of keepers as processes: leases, crashes during writes, a full disk, replacement, and command-line
+//! errors.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,8 +12,9 @@
 use ashvane_keeper::messages::{CallRequest, CallResponse, LeaseRequest, LeaseResponse};
 use tokio::time::{sleep, timeout};
 
-/// How long a test waits for what must come, and for one call.
+/// Time-out for an expected state.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time-out for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const ROLE: &str = "roster";
 
@@ -33,18 +35,22 @@
     }
 }
 
-/// An address of a keeper of a test's own: its process's, and a port that is free.
+/// Returns a free address. The IP address depends on the test and the process, so that tests do not share
+/// addresses.
 fn free_address(name: &str) -> SocketAddr {
     let sum = name.bytes().map(u32::from).sum::<u32>() as u8;
     let ip = [127, 60, (std::process::id() % 250) as u8, 1 + sum % 250];
-    std::net::TcpListener::bind((std::net::Ipv4Addr::from(ip), 0)).expect("a port").local_addr().expect("it")
+    std::net::TcpListener::bind((std::net::Ipv4Addr::from(ip), 0))
+        .expect("a free port")
+        .local_addr()
+        .expect("the bound address")
 }
 
 impl Keepers {
     fn new(name: &str, count: u64) -> Keepers {
         let folder = std::env::temp_dir().join(format!("ashvane-keeper-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         let addresses = (1..=count).map(|id| (id, free_address(name))).collect();
         let mut keepers = Keepers { folder, addresses, children: BTreeMap::new(), http: http_client() };
         (1..=count).for_each(|id| keepers.start(id, &[]));
@@ -62,7 +68,7 @@
     }
 
     fn start(&mut self, id: u64, more: &[&str]) {
-        let child = self.command(id).args(more).spawn().expect("the program");
+        let child = self.command(id).args(more).spawn().expect("the keeper starts");
         self.children.insert(id, child);
     }
 
@@ -82,7 +88,7 @@
             .map(|response| response.body)
     }
 
-    /// Asks whoever leads, again and again until there is a reply.
+    /// Sends a request to the leading keeper and retries until there is a reply.
     async fn ask_leader(&self, request: LeaseRequest) -> Reply {
         let end = Instant::now() + WAIT_TIMEOUT;
         let mut at = 1;
@@ -112,7 +118,7 @@
                     return leader;
                 }
             }
-            assert!(Instant::now() < end, "nobody leads");
+            assert!(Instant::now() < end, "no keeper leads");
             sleep(Duration::from_millis(30)).await;
         }
     }
@@ -145,11 +151,11 @@
         }
     };
     assert_eq!(reply, Reply::Granted { epoch: 2 });
-    assert!(began.elapsed() >= Duration::from_millis(1400), "not before the lease is over");
+    assert!(began.elapsed() >= Duration::from_millis(1400), "the role was granted before the lease expired");
     assert_eq!(keepers.ask_leader(write(1, "by a, late")).await, Reply::Fenced { epoch: 2 });
     assert_eq!(keepers.ask_leader(renew("a", 1)).await, Reply::Fenced { epoch: 2 });
     assert_eq!(keepers.ask_leader(write(2, "by b")).await, Reply::Written { version: 2 });
-    // Handed over, the next one has it at once.
+    // A released role can be acquired at once.
     let release = LeaseRequest::Release { role: ROLE.into(), owner: "b".into(), epoch: 2 };
     assert_eq!(keepers.ask_leader(release).await, Reply::Released);
     assert_eq!(keepers.ask_leader(write(2, "by b, late")).await, Reply::Fenced { epoch: 2 });
@@ -160,7 +166,8 @@
     assert!(matches!(keepers.ask_leader(nameless).await, Reply::Rejected { .. }));
 }
 
-/// Guards against a record that goes back when a keeper dies in the middle of a write. KILLS=500 by hand.
+/// Guards against the loss of committed commands when a keeper is killed during a write. The environment
+/// variable KILLS sets the number of kills; longer manual runs use KILLS=500.
 #[tokio::test(flavor = "multi_thread")]
 async fn keepers_killed_during_writes_lose_no_committed_command() {
     let kills: u64 = std::env::var("KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(8);
@@ -178,7 +185,7 @@
                     assert!(newer > version, "{newer} after {version}");
                     (version, written) = (newer, written + 1);
                 }
-                // The lease was over while keepers were away.
+                // The lease expired while keepers were down.
                 Reply::Fenced { .. } => {
                     if let Reply::Granted { epoch: newer } = keepers.ask_leader(acquire("owner")).await {
                         assert!(newer > epoch);
@@ -189,20 +196,21 @@
             }
         }
         let id = 1 + random_below(3);
-        // In the middle of whatever it does.
+        // Kills the keeper at a random time during a renewal.
         let busy = keepers.ask_leader(renew("owner", epoch));
         let _ = timeout(Duration::from_millis(random_below(12)), busy).await;
         keepers.kill(id);
         sleep(Duration::from_millis(random_below(30))).await;
         keepers.start(id, &[]);
-        // Whoever leads has all that was agreed; a keeper that has just started may be behind, never ahead.
+        // The leader has all committed commands. A keeper that has just started may be behind, but never
+        // ahead.
         for id in 1..=3 {
             let response = keepers.call(id).await;
             let table = response.and_then(|response| response.tables.get(ROLE).cloned()).unwrap_or_default();
             assert!(table.version <= version && table.epoch <= epoch, "keeper {id} has {table:?}");
         }
     }
-    // All of them have in the end what was agreed last.
+    // All keepers catch up with the last committed command.
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut same = 0;
@@ -218,9 +226,9 @@
     }
 }
 
-/// What a keeper takes after so many renewals: RENEWALS=1000000, by hand.
+/// Prints the memory and disk usage of keepers after a number of renewals. Manual runs use RENEWALS=1000000.
 #[tokio::test(flavor = "multi_thread")]
-#[ignore = "minutes long: for figures"]
+#[ignore = "takes minutes; for measurements"]
 async fn memory_and_disk_after_many_renewals() {
     let renewals: u64 = std::env::var("RENEWALS").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000);
     let keepers = std::sync::Arc::new(Keepers::new("renewals", 3));
@@ -254,14 +262,17 @@
     while tasks.join_next().await.is_some() {}
     let took = began.elapsed();
     for (id, child) in &keepers.children {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("its status");
-        let memory = status.lines().find(|line| line.starts_with("VmRSS")).expect("its memory");
-        let file = std::fs::metadata(keepers.folder.join(format!("{id}/keeper.redb"))).expect("its file");
+        let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()))
+            .expect("the process status can be read");
+        let memory =
+            status.lines().find(|line| line.starts_with("VmRSS")).expect("the process status contains VmRSS");
+        let file = std::fs::metadata(keepers.folder.join(format!("{id}/keeper.redb")))
+            .expect("the database file exists");
         println!("keeper {id}: {memory}, {} KB on disk, {renewals} renewals in {took:?}", file.len() / 1024);
     }
 }
 
-/// Numbers below a bound, always the same ones.
+/// Returns a generator of reproducible pseudo-random numbers below a bound.
 fn pseudo_random(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed;
     move |below| {
@@ -270,7 +281,7 @@
     }
 }
 
-/// Guards against a keeper that goes on although it can keep nothing any more.
+/// Guards against a keeper that continues although its writes fail.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keeper_with_a_full_disk_exits_with_the_reason_and_the_others_continue() {
     let mut keepers = Keepers::new("full", 3);
@@ -279,8 +290,9 @@
         other => panic!("{other:?}"),
     };
     keepers.kill(3);
-    let size = std::fs::metadata(keepers.folder.join("3/keeper.redb")).expect("its file").len();
-    // Files of that process may not grow any more: writes fail as on a full disk.
+    let size =
+        std::fs::metadata(keepers.folder.join("3/keeper.redb")).expect("the database file exists").len();
+    // A file size limit makes writes of this process fail as on a full disk.
     let command = keepers.command(3);
     let words =
         command.get_args().map(|a| format!("'{}'", a.to_string_lossy())).collect::<Vec<_>>().join(" ");
@@ -289,13 +301,13 @@
         size / 512,
         env!("CARGO_BIN_EXE_ashvane-keeper")
     );
-    let full = Command::new("sh").args(["-c", &line]).stderr(Stdio::piped()).spawn().expect("sh");
-    let ended = tokio::task::spawn_blocking(move || full.wait_with_output().expect("its end"));
+    let full = Command::new("sh").args(["-c", &line]).stderr(Stdio::piped()).spawn().expect("sh starts");
+    let ended = tokio::task::spawn_blocking(move || full.wait_with_output().expect("the keeper exits"));
     let text = "x".repeat(60_000);
     let mut version = 0;
     let end = Instant::now() + WAIT_TIMEOUT;
     while !ended.is_finished() {
-        assert!(Instant::now() < end, "it goes on with a full disk");
+        assert!(Instant::now() < end, "the keeper continues with a full disk");
         match keepers.ask_leader(write(epoch, &text)).await {
             Reply::Written { version: newer } => version = newer,
             Reply::Fenced { .. } => drop(keepers.ask_leader(acquire("owner")).await),
@@ -303,13 +315,13 @@
         }
         let _ = keepers.ask_leader(renew("owner", epoch)).await;
     }
-    let output = ended.await.expect("its output");
+    let output = ended.await.expect("the task completes");
     let words = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{words}");
     assert!(words.lines().last().is_some_and(|line| line.starts_with("ashvane-keeper: ")), "{words}");
     assert!(version > 0);
     let again = keepers.ask_leader(renew("owner", epoch)).await;
-    assert!(matches!(again, Reply::Granted { .. } | Reply::Fenced { .. }), "the others go on");
+    assert!(matches!(again, Reply::Granted { .. } | Reply::Fenced { .. }), "the other keepers continue");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -328,26 +340,26 @@
     let at = keepers.addresses[&leader].to_string();
     let replace = tokio::task::spawn_blocking(move || {
         let arguments = ["replace", "--at", &at, "--out", &out.to_string(), "--in", &format!("4={address}")];
-        Command::new(env!("CARGO_BIN_EXE_ashvane-keeper")).args(arguments).output().expect("it runs")
+        Command::new(env!("CARGO_BIN_EXE_ashvane-keeper")).args(arguments).output().expect("the program runs")
     });
     let mut longest = Duration::ZERO;
     while !replace.is_finished() {
         let began = Instant::now();
         assert!(
             matches!(keepers.ask_leader(renew("owner", epoch)).await, Reply::Granted { .. }),
-            "it keeps its lease"
+            "the owner keeps its lease"
         );
         longest = longest.max(began.elapsed());
         sleep(Duration::from_millis(20)).await;
     }
-    let output = replace.await.expect("its output");
+    let output = replace.await.expect("the task completes");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    // An election takes less than a second; the rest is for a machine that is busy.
-    assert!(longest < Duration::from_secs(4), "a pause of {longest:?}");
+    // An election takes less than a second; the bound allows for a busy machine.
+    assert!(longest < Duration::from_secs(4), "the longest renewal took {longest:?}");
     assert!(matches!(keepers.ask_leader(write(epoch, "after")).await, Reply::Written { .. }));
     let end = Instant::now() + WAIT_TIMEOUT;
     while keepers.call(4).await.is_none_or(|response| !response.tables.contains_key(ROLE)) {
-        assert!(Instant::now() < end, "the new one has the record");
+        assert!(Instant::now() < end, "the new keeper does not have the record");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -356,7 +368,7 @@
 fn usage_errors_exit_with_status_2_and_startup_failures_with_status_1() {
     let run = |words: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ashvane-keeper"));
-        let output = command.args(words.split(' ')).output().expect("it runs");
+        let output = command.args(words.split(' ')).output().expect("the program runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     let three = "1=127.0.0.1:1,2=127.0.0.1:2,3=127.0.0.1:3";
--- a/crates/keeper/tests/store.rs
+++ b/crates/keeper/tests/store.rs
@@ -1,4 +1,4 @@
-//! What openraft demands of a store, by its own suite.
+//! Runs openraft's test suite for storage implementations.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
@@ -9,7 +9,7 @@
 
 static STORE_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that goes with its store.
+/// Folder that is removed when its store is dropped.
 struct TempFolder(std::path::PathBuf);
 
 impl Drop for TempFolder {
@@ -24,13 +24,14 @@
     async fn build(&self) -> Result<(TempFolder, KeeperStore, KeeperStore), StorageError<u64>> {
         let number = STORE_COUNT.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("ashvane-store-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let store = KeeperStore::open(&folder.join("keeper.redb"), Trace::Off).expect("a store");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
+        let store =
+            KeeperStore::open(&folder.join("keeper.redb"), Trace::Off).expect("the store can be opened");
         Ok((TempFolder(folder), store.clone(), store))
     }
 }
 
 #[test]
 fn the_store_passes_the_openraft_test_suite() {
-    Suite::test_all(Builder).expect("all of it");
+    Suite::test_all(Builder).expect("the test suite passes");
 }
