--- a/crates/fleet/src/fencing_guard.rs
+++ b/crates/fleet/src/fencing_guard.rs
@@ -7,8 +7,8 @@
 
 use crate::{FencingToken, MAX_ROLES};
 
-/// Highest epoch that a receiver has admitted for each role. Actions of an earlier epoch are
-/// rejected, and so are actions of further roles once [`MAX_ROLES`] roles are recorded.
+/// Highest epoch that a receiver has admitted for each role. Actions of an earlier epoch are rejected, and
+/// so are actions of further roles once [`MAX_ROLES`] roles are recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     highest_epochs: BTreeMap<String, u64>,
--- a/crates/fleet/src/lease_participant.rs
+++ b/crates/fleet/src/lease_participant.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Returns whether the process seeks the role. It does not if its last call to a keeper took so long that
-    /// it could not renew a lease in time.
+    /// Returns whether the process seeks the role. It does not during the backoff after losing a lease, nor
+    /// if its last call to a keeper took so long that it could not renew a lease in time.
     #[must_use]
     pub fn is_seeking(&self, last_call_duration: Duration, now: Duration, terms: &LeaseTerms) -> bool {
         let is_candidate = self.state == ParticipantState::Candidate;
@@ -94,6 +94,7 @@
         (now >= expires_at).then(|| self.lose_lease(now, terms))
     }
 
+    /// Ends the ownership and starts the backoff.
     fn lose_lease(&mut self, now: Duration, terms: &LeaseTerms) -> Transition {
         self.backoff_until = now + terms.lease * BACKOFF_LEASES;
         self.release()
--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -30,10 +30,11 @@
 /// Maximum number of keepers.
 const MAX_KEEPERS: usize = 5;
 
-/// Duration of a lease and the drift bound of the clocks that measure it. With drift d, an owner acts for
-/// lease x (1 - d) on its own clock from the time it *sent* the granted call, and keepers wait for lease x (1
-/// + d) on theirs from the time they *received* it. With any two clocks within the bound, the owner's time
-/// ends first.
+/// Duration of a lease and the drift bound of the clocks that measure it.
+///
+/// With drift d, an owner acts for `lease * (1 - d)` on its own clock from the time it *sent* the granted
+/// call, and keepers wait for `lease * (1 + d)` on theirs from the time they *received* it. With any two
+/// clocks within the bound, the owner's time ends first.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTerms {
     /// Duration of the lease in true time.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,10 +3,10 @@
 //! | item | purpose |
 //! | --- | --- |
 //! | [`LeaseTerms`] | duration of a lease and the drift bound of the clocks that measure it |
-//! | [`LeaseRecord`], [`Command`], [`Reply`] | the record that keepers replicate, its commands and their replies |
+//! | [`LeaseRecord`], [`Command`], [`Reply`] | the replicated record, its commands and their replies |
 //! | [`LeaseExpiry`] | decides on a keeper's own clock when a lease has expired |
 //! | [`LeaseParticipant`] | state of one process that seeks, holds and releases a lease |
-//! | [`SingletonRole`], [`Permit`], [`FencingToken`] | the work, the permission for one action of it, and the token that the action carries |
+//! | [`SingletonRole`], [`Permit`], [`FencingToken`] | the work, the permission for one action, and the action's token |
 //! | [`FencingGuard`] | lets receivers reject actions of superseded epochs |
 //! | [`CallSchedule`] | when a gatherer calls which keeper |
 //! | [`roster`] | the role that maintains the table of live gatherers |
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -13,13 +13,14 @@
 
 /// Number of call intervals without a call to any keeper after which a gatherer is no longer listed.
 const MAX_MISSED_CALLS: f64 = 4.0;
-/// Number of call intervals without a new version after which a reader considers the table stale.
+/// Number of rounds, one per call interval, without a new version after which a reader considers the table
+/// stale.
 const FRESHNESS_ROUNDS: f64 = 4.0;
 /// Maximum number of listed gatherers: as many of the longest names as fit into a table.
 pub const MAX_NAMES: usize = MAX_TABLE_LENGTH / 72;
 
-/// Milliseconds since each gatherer last called a keeper, by gatherer name. Being durations, the values of
-/// different keepers can be used without comparing their clocks.
+/// Milliseconds since each gatherer last called a keeper, by gatherer name. They are durations, so
+/// that the clocks of different machines need not be compared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LastHeard(pub BTreeMap<String, u64>);
 
@@ -98,11 +99,11 @@
 impl RosterReader {
     /// Processes a table received from a keeper. A table that is not newer than the latest one is ignored.
     pub fn table_received(&mut self, table: &Table, now: Duration) {
-        let seen = TableVersion { epoch: table.epoch, version: table.version };
-        if self.latest.is_some_and(|latest| seen <= latest) {
+        let received = TableVersion { epoch: table.epoch, version: table.version };
+        if self.latest.is_some_and(|latest| received <= latest) {
             return;
         }
-        let has_previous = self.latest.replace(seen).is_some();
+        let has_previous = self.latest.replace(received).is_some();
         let Ok(gatherers) = serde_json::from_str::<AliveGatherers>(&table.text) else { return };
         if has_previous {
             self.last_update = Some(AliveCount { received_at: now, alive: gatherers.names.len() as u32 });
--- a/crates/fleet/src/roster/tests.rs
+++ b/crates/fleet/src/roster/tests.rs
@@ -7,7 +7,11 @@
 
 fn table(epoch: u64, version: u64, names: usize) -> Table {
     let names = (0..names).map(|i| format!("n{i}")).collect();
-    Table { epoch, version, text: serde_json::to_string(&AliveGatherers { names }).expect("text") }
+    Table {
+        epoch,
+        version,
+        text: serde_json::to_string(&AliveGatherers { names }).expect("the table can be serialized"),
+    }
 }
 
 #[test]
@@ -19,7 +23,8 @@
     assert_eq!(roster.round(&observation), None, "it is not the owner");
     roster.acquired(4);
     let alive: AliveGatherers =
-        serde_json::from_str(&roster.round(&observation).expect("the owner writes a table")).expect("JSON");
+        serde_json::from_str(&roster.round(&observation).expect("the owner writes a table"))
+            .expect("the table is JSON");
     assert_eq!(alive.names.into_iter().collect::<Vec<_>>(), ["a", "c"]);
     roster.lost();
     assert_eq!(roster.round(&observation), None);
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -24,7 +24,8 @@
     AcquireComparison,
     /// The comparison of a write's epoch with the current one.
     WriteComparison,
-    /// Counting the lease from the time the call was sent: the owner counts it from the arrival of the reply.
+    /// Counting the lease from the send time of the call. If disabled, the owner counts from the arrival of
+    /// the reply.
     SendTime,
 }
 
@@ -87,7 +88,7 @@
     Tick,
     Call(usize),
     /// Reads the clock and obtains a permit.
-    Check(usize),
+    ObtainPermit(usize),
     /// Sends the permitted action, any time later.
     Send(usize),
     Deliver(usize),
@@ -231,14 +232,14 @@
                 actions.push(Action::Call(i));
             }
             if !p.acted && p.pending_epoch.is_none() && p.participant.epoch().is_some() {
-                actions.push(Action::Check(i));
+                actions.push(Action::ObtainPermit(i));
             }
             if p.pending_epoch.is_some() {
                 actions.push(Action::Send(i));
             }
         }
         for at in 0..state.messages.len() {
-            // A message that is never delivered is a lost one.
+            // A lost message is one for which this action is never taken.
             actions.push(Action::Deliver(at));
         }
     }
@@ -255,7 +256,7 @@
                 let renewed_epoch = process.participant.epoch();
                 self.handle_request(&mut state, i, now, renewed_epoch);
             }
-            Action::Check(i) => {
+            Action::ObtainPermit(i) => {
                 let now = state.clock(state.processes[i].rate);
                 let process = &mut state.processes[i];
                 let token = process.participant.permit::<Roster>(now).and_then(|permit| permit.token(now));
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -9,14 +9,18 @@
 
 impl Arbitrary for AnyCommand {
     fn arbitrary(g: &mut Gen) -> AnyCommand {
-        let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("the slice is not empty")).to_owned();
+        let choose =
+            |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("the slice is not empty")).to_owned();
         let role = if u8::arbitrary(g) == 0 {
             format!("d{}", u8::arbitrary(g))
         } else {
-            of(g, &["roster", "list", "", &"x".repeat(MAX_NAME_LENGTH + 1)])
+            choose(g, &["roster", "list", "", &"x".repeat(MAX_NAME_LENGTH + 1)])
         };
-        let (owner, epoch, renewals) =
-            (of(g, &["a", "b", "c", ""]), u64::from(u8::arbitrary(g) % 6), u64::from(u8::arbitrary(g) % 4));
+        let (owner, epoch, renewals) = (
+            choose(g, &["a", "b", "c", ""]),
+            u64::from(u8::arbitrary(g) % 6),
+            u64::from(u8::arbitrary(g) % 4),
+        );
         AnyCommand(match u8::arbitrary(g) % 5 {
             0 | 1 => Command::Acquire { role, owner, epoch, renewals },
             2 => Command::Renew { role, owner, epoch },
@@ -25,7 +29,7 @@
                 let text = if u8::arbitrary(g) == 0 {
                     "x".repeat(MAX_TABLE_LENGTH + 1)
                 } else {
-                    of(g, &["", "é\n\"", "{}"])
+                    choose(g, &["", "é\n\"", "{}"])
                 };
                 Command::Write { role, epoch, text }
             }
--- a/crates/keeper/src/keeper_server.rs
+++ b/crates/keeper/src/keeper_server.rs
@@ -33,7 +33,7 @@
 /// Time-out for committing a lease request, after which the reply is [`LeaseResponse::NotCommitted`].
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time-out for a new keeper to catch up with the log before it replaces another.
-const JOIN_TIMEOUT: Duration = Duration::from_secs(20);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(20);
 /// Maximum length of a request body. It allows for a snapshot in JSON in which every table has its maximum
 /// length.
 const MAX_BODY_BYTES: usize = 16 << 20;
@@ -71,7 +71,8 @@
     }
 }
 
-/// Reason why a keeper was not replaced.
+/// Reason why a keeper was not replaced. The old keepers keep their votes until the last step of a
+/// replacement.
 #[derive(Debug)]
 pub enum ReplaceError {
     /// The new keeper did not catch up within the time-out.
@@ -139,8 +140,8 @@
         let state = self.store.state();
         let record = &state.applied.record;
         let is_free = |role: &&String| state.expiry.is_expired(record, role, now, &self.terms);
-        let sought = call.sought_role.as_ref().filter(|role| role.len() <= MAX_NAME_LENGTH);
-        let is_offered = sought.filter(is_free).is_some_and(|role| callers.try_offer(role, now));
+        let sought_role = call.sought_role.as_ref().filter(|role| role.len() <= MAX_NAME_LENGTH);
+        let is_offered = sought_role.filter(is_free).is_some_and(|role| callers.try_offer(role, now));
         let (leases, tables) = (record.leases.clone(), record.tables.clone());
         CallResponse { keeper: self.id, leader: self.leader(), is_offered, leases, tables }
     }
@@ -166,8 +167,8 @@
         };
         match timeout(COMMIT_TIMEOUT, self.raft.client_write(command)).await {
             Ok(Ok(committed)) => LeaseResponse::Reply(committed.data),
-            Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
-                LeaseResponse::NotCommitted { leader: to.leader_id }
+            Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(forward)))) => {
+                LeaseResponse::NotCommitted { leader: forward.leader_id }
             }
             // The command may still be committed later. That is safe: the caller counts its lease from the
             // time it sent the request, and retries.
@@ -185,8 +186,8 @@
     /// Adds a new keeper and removes an old one, after the new one has caught up with the log.
     async fn replace(&self, request: &ReplaceRequest) -> Result<(), ReplaceError> {
         let node = BasicNode { addr: request.address.to_string() };
-        let joined = timeout(JOIN_TIMEOUT, self.raft.add_learner(request.added, node, true)).await;
-        joined.map_err(|_| ReplaceError::CatchUpTimeout)??;
+        let learner_added = timeout(CATCH_UP_TIMEOUT, self.raft.add_learner(request.added, node, true)).await;
+        learner_added.map_err(|_| ReplaceError::CatchUpTimeout)??;
         let add = ChangeMembers::AddVoterIds([request.added].into());
         self.raft.change_membership(add, false).await?;
         let remove = ChangeMembers::RemoveVoters([request.removed].into());
@@ -196,18 +197,19 @@
 
     /// Creates the router with all routes of the keeper.
     pub fn router(self: Arc<Self>) -> Router {
-        type Appended = Result<AppendEntriesResponse<u64>, RaftError<u64>>;
-        type Voted = Result<VoteResponse<u64>, RaftError<u64>>;
-        type Installed = Result<InstallSnapshotResponse<u64>, RaftError<u64, InstallSnapshotError>>;
+        type AppendResult = Result<AppendEntriesResponse<u64>, RaftError<u64>>;
+        type VoteResult = Result<VoteResponse<u64>, RaftError<u64>>;
+        type InstallResult = Result<InstallSnapshotResponse<u64>, RaftError<u64, InstallSnapshotError>>;
         let append = async |keeper: SharedServer,
                             Json(rpc): Json<AppendEntriesRequest<Types>>|
-               -> Json<Appended> { Json(keeper.raft.append_entries(rpc).await) };
-        let vote = async |keeper: SharedServer, Json(rpc): Json<VoteRequest<u64>>| -> Json<Voted> {
+               -> Json<AppendResult> { Json(keeper.raft.append_entries(rpc).await) };
+        let vote = async |keeper: SharedServer, Json(rpc): Json<VoteRequest<u64>>| -> Json<VoteResult> {
             Json(keeper.raft.vote(rpc).await)
         };
-        let snapshot = async |keeper: SharedServer,
-                              Json(rpc): Json<InstallSnapshotRequest<Types>>|
-               -> Json<Installed> { Json(keeper.raft.install_snapshot(rpc).await) };
+        let snapshot =
+            async |keeper: SharedServer,
+                   Json(rpc): Json<InstallSnapshotRequest<Types>>|
+                   -> Json<InstallResult> { Json(keeper.raft.install_snapshot(rpc).await) };
         let call =
             async |keeper: SharedServer, Json(call): Json<CallRequest>| Json(keeper.handle_call(&call));
         let ask = async |keeper: SharedServer, Json(request): Json<LeaseRequest>| {
--- a/crates/keeper/src/keeper_store.rs
+++ b/crates/keeper/src/keeper_store.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Result of applying the log up to an entry.
+/// State after applying the log up to an entry.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AppliedState {
     /// Id of the last applied entry.
@@ -75,7 +75,7 @@
 /// In-memory state of a keeper.
 #[derive(Default)]
 pub struct StoreState {
-    /// Result of the applied log entries.
+    /// State after the applied log entries.
     pub applied: AppliedState,
     /// Expiry of the leases on this keeper's clock.
     pub expiry: LeaseExpiry,
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -5,7 +5,7 @@
 //! | [`messages`] | the messages between gatherers and keepers |
 //! | [`keeper_server`] | serves gatherers and the other keepers, over HTTP/1.1 with JSON |
 //! | [`keeper_network`] | sends Raft messages (openraft) to other keepers |
-//! | [`keeper_store`] | stores the Raft log, the vote and the latest snapshot on disk (redb), and applies the log to the record |
+//! | [`keeper_store`] | stores the Raft log, vote and latest snapshot on disk (redb), and applies the log |
 //! | [`clock`] | the monotonic clock that includes suspended time |
 //!
 //! The record and its rules are defined in `ashvane-fleet`. This crate is independent of what a role is for.
@@ -19,7 +19,7 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// Types for openraft: its log entries are the record's commands.
+    /// Type configuration of openraft, with the record's commands and replies.
     pub Types:
         D = ashvane_fleet::Command,
         R = ashvane_fleet::Reply,
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -40,12 +40,12 @@
 Status 0 when told to end, 1 when it cannot go on (the reason is the last line), 2 for a fault in what was asked for.
 ";
 
-/// Minimum time without a heartbeat of the leader before an election starts.
-const MIN_ELECTION_MS: u64 = 400;
-/// Maximum time without a heartbeat of the leader before an election starts.
-const MAX_ELECTION_MS: u64 = 800;
+/// Minimum of the random time without the leader's heartbeat after which a keeper starts an election.
+const MIN_ELECTION_TIMEOUT_MS: u64 = 400;
+/// Maximum of the random time without the leader's heartbeat after which a keeper starts an election.
+const MAX_ELECTION_TIMEOUT_MS: u64 = 800;
 /// Interval of the leader's heartbeats.
-const HEARTBEAT_MS: u64 = 100;
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
 /// Number of log entries between two snapshots.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 5000;
 /// Number of log entries covered by a snapshot that are still retained, for keepers that lag.
@@ -135,7 +135,7 @@
     }
 }
 
-/// Failure of a command.
+/// Reason why a command failed.
 #[derive(Debug)]
 enum RunError {
     DataDirectory {
@@ -250,9 +250,9 @@
 fn raft_config() -> Result<Arc<Config>, RunError> {
     let config = Config {
         cluster_name: "ashvane".into(),
-        heartbeat_interval: HEARTBEAT_MS,
-        election_timeout_min: MIN_ELECTION_MS,
-        election_timeout_max: MAX_ELECTION_MS,
+        heartbeat_interval: HEARTBEAT_INTERVAL_MS,
+        election_timeout_min: MIN_ELECTION_TIMEOUT_MS,
+        election_timeout_max: MAX_ELECTION_TIMEOUT_MS,
         snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL_ENTRIES),
         max_in_snapshot_log_to_keep: RETAINED_LOG_ENTRIES,
         ..Config::default()
--- a/crates/keeper/src/messages.rs
+++ b/crates/keeper/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between gatherers and keepers. Their serialized names stay the same in all releases, so that
-//! different releases can run together.
+//! Messages between gatherers and keepers. Their serialized names are those of the first release, for
+//! compatibility.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/keeper/tests/keepers.rs
+++ b/crates/keeper/tests/keepers.rs
@@ -67,8 +67,8 @@
         command
     }
 
-    fn start(&mut self, id: u64, more: &[&str]) {
-        let child = self.command(id).args(more).spawn().expect("the keeper starts");
+    fn start(&mut self, id: u64, extra_arguments: &[&str]) {
+        let child = self.command(id).args(extra_arguments).spawn().expect("the keeper starts");
         self.children.insert(id, child);
     }
 
@@ -90,10 +90,10 @@
 
     /// Sends a request to the leading keeper and retries until there is a reply.
     async fn ask_leader(&self, request: LeaseRequest) -> Reply {
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut at = 1;
         loop {
-            assert!(Instant::now() < end, "no reply to {request:?}");
+            assert!(Instant::now() < deadline, "no reply to {request:?}");
             let call = post::<_, LeaseResponse>(&self.http, self.addresses[&at], "/v1/ask", &request);
             match timeout(CALL_TIMEOUT, call).await {
                 Ok(Ok(PostResponse { body: LeaseResponse::Reply(reply), .. })) => return reply,
@@ -109,7 +109,7 @@
     }
 
     async fn leader(&self) -> u64 {
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             for id in self.children.keys() {
                 if let Some(leader) = self.call(*id).await.and_then(|response| response.leader)
@@ -118,7 +118,7 @@
                     return leader;
                 }
             }
-            assert!(Instant::now() < end, "no keeper leads");
+            assert!(Instant::now() < deadline, "no keeper leads");
             sleep(Duration::from_millis(30)).await;
         }
     }
@@ -196,7 +196,7 @@
             }
         }
         let id = 1 + random_below(3);
-        // Kills the keeper at a random time during a renewal.
+        // Kills the keeper at a random time during or shortly after a renewal.
         let busy = keepers.ask_leader(renew("owner", epoch));
         let _ = timeout(Duration::from_millis(random_below(12)), busy).await;
         keepers.kill(id);
@@ -211,17 +211,17 @@
         }
     }
     // All keepers catch up with the last committed command.
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let mut same = 0;
+        let mut caught_up = 0;
         for id in 1..=3 {
             let table = keepers.call(id).await.and_then(|response| response.tables.get(ROLE).cloned());
-            same += u32::from(table.is_some_and(|table| table.version >= version));
+            caught_up += u32::from(table.is_some_and(|table| table.version >= version));
         }
-        if same == 3 {
+        if caught_up == 3 {
             break;
         }
-        assert!(Instant::now() < end, "{same} of 3 have version {version}, {written} written");
+        assert!(Instant::now() < deadline, "{caught_up} of 3 have version {version}, {written} written");
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -234,7 +234,7 @@
     let keepers = std::sync::Arc::new(Keepers::new("renewals", 3));
     let leader = keepers.leader().await;
     let began = Instant::now();
-    let each = renewals / 16;
+    let renewals_per_task = renewals / 16;
     let mut tasks = tokio::task::JoinSet::new();
     for task in 0..16 {
         let keepers = keepers.clone();
@@ -243,15 +243,15 @@
             let acquire = LeaseRequest::Acquire { role: role.clone(), owner: owner.clone() };
             let mut reply = keepers.ask_leader(acquire.clone()).await;
             let mut done = 0;
-            while done < each {
+            while done < renewals_per_task {
                 let Reply::Granted { epoch } = reply else {
                     reply = keepers.ask_leader(acquire.clone()).await;
                     continue;
                 };
                 let renew = LeaseRequest::Renew { role: role.clone(), owner: owner.clone(), epoch };
-                let asking =
+                let call =
                     post::<_, LeaseResponse>(&keepers.http, keepers.addresses[&leader], "/v1/ask", &renew);
-                reply = match asking.await {
+                reply = match call.await {
                     Ok(PostResponse { body: LeaseResponse::Reply(reply), .. }) => reply,
                     _ => keepers.ask_leader(renew).await,
                 };
@@ -301,13 +301,13 @@
         size / 512,
         env!("CARGO_BIN_EXE_ashvane-keeper")
     );
-    let full = Command::new("sh").args(["-c", &line]).stderr(Stdio::piped()).spawn().expect("sh starts");
-    let ended = tokio::task::spawn_blocking(move || full.wait_with_output().expect("the keeper exits"));
+    let child = Command::new("sh").args(["-c", &line]).stderr(Stdio::piped()).spawn().expect("sh starts");
+    let exit = tokio::task::spawn_blocking(move || child.wait_with_output().expect("the keeper exits"));
     let text = "x".repeat(60_000);
     let mut version = 0;
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !ended.is_finished() {
-        assert!(Instant::now() < end, "the keeper continues with a full disk");
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !exit.is_finished() {
+        assert!(Instant::now() < deadline, "the keeper continues with a full disk");
         match keepers.ask_leader(write(epoch, &text)).await {
             Reply::Written { version: newer } => version = newer,
             Reply::Fenced { .. } => drop(keepers.ask_leader(acquire("owner")).await),
@@ -315,13 +315,13 @@
         }
         let _ = keepers.ask_leader(renew("owner", epoch)).await;
     }
-    let output = ended.await.expect("the task completes");
+    let output = exit.await.expect("the task completes");
     let words = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{words}");
     assert!(words.lines().last().is_some_and(|line| line.starts_with("ashvane-keeper: ")), "{words}");
     assert!(version > 0);
-    let again = keepers.ask_leader(renew("owner", epoch)).await;
-    assert!(matches!(again, Reply::Granted { .. } | Reply::Fenced { .. }), "the other keepers continue");
+    let reply = keepers.ask_leader(renew("owner", epoch)).await;
+    assert!(matches!(reply, Reply::Granted { .. } | Reply::Fenced { .. }), "the other keepers continue");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -332,14 +332,15 @@
         other => panic!("{other:?}"),
     };
     let leader = keepers.leader().await;
-    let out = if leader == 2 { 3 } else { 2 };
+    let removed = if leader == 2 { 3 } else { 2 };
     let address = free_address("replaced");
     keepers.addresses.insert(4, address);
     keepers.start(4, &["--join"]);
-    keepers.kill(out);
+    keepers.kill(removed);
     let at = keepers.addresses[&leader].to_string();
     let replace = tokio::task::spawn_blocking(move || {
-        let arguments = ["replace", "--at", &at, "--out", &out.to_string(), "--in", &format!("4={address}")];
+        let arguments =
+            ["replace", "--at", &at, "--out", &removed.to_string(), "--in", &format!("4={address}")];
         Command::new(env!("CARGO_BIN_EXE_ashvane-keeper")).args(arguments).output().expect("the program runs")
     });
     let mut longest = Duration::ZERO;
@@ -357,9 +358,9 @@
     // An election takes less than a second; the bound allows for a busy machine.
     assert!(longest < Duration::from_secs(4), "the longest renewal took {longest:?}");
     assert!(matches!(keepers.ask_leader(write(epoch, "after")).await, Reply::Written { .. }));
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while keepers.call(4).await.is_none_or(|response| !response.tables.contains_key(ROLE)) {
-        assert!(Instant::now() < end, "the new keeper does not have the record");
+        assert!(Instant::now() < deadline, "the new keeper does not have the record");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -371,27 +372,31 @@
         let output = command.args(words.split(' ')).output().expect("the program runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let three = "1=127.0.0.1:1,2=127.0.0.1:2,3=127.0.0.1:3";
+    let three_keepers = "1=127.0.0.1:1,2=127.0.0.1:2,3=127.0.0.1:3";
     for (words, expected) in [
         ("frobnicate".to_owned(), "unknown command"),
         ("serve --id 1".to_owned(), "--listen"),
-        (format!("serve --id 1 --listen 127.0.0.1:0 --data x --keepers {three},4=127.0.0.1:4"), "odd number"),
+        (
+            format!("serve --id 1 --listen 127.0.0.1:0 --data x --keepers {three_keepers},4=127.0.0.1:4"),
+            "odd number",
+        ),
         (
             "serve --id 1 --listen 127.0.0.1:0 --data x --keepers 1=127.0.0.1:1,2=127.0.0.1:1,3=127.0.0.1:3"
                 .into(),
             "address",
         ),
         (
-            format!("serve --id 1 --lease-ms 100 --listen 127.0.0.1:0 --data x --keepers {three}"),
+            format!("serve --id 1 --lease-ms 100 --listen 127.0.0.1:0 --data x --keepers {three_keepers}"),
             "lease of 100 ms",
         ),
-        (format!("serve --id 9 --listen 127.0.0.1:0 --data x --keepers {three}"), "keeper 9 itself"),
+        (format!("serve --id 9 --listen 127.0.0.1:0 --data x --keepers {three_keepers}"), "keeper 9 itself"),
     ] {
         let (status, error_text) = run(&words);
         assert_eq!(status, Some(2), "{words}: {error_text}");
         assert!(error_text.contains(expected), "{error_text}");
     }
-    let invalid_path = format!("serve --id 1 --listen 127.0.0.1:0 --data /dev/null/x --keepers {three}");
+    let invalid_path =
+        format!("serve --id 1 --listen 127.0.0.1:0 --data /dev/null/x --keepers {three_keepers}");
     let (status, words) = run(&invalid_path);
     assert!(status == Some(1) && words.contains("/dev/null/x"), "{words}");
 }
