--- a/crates/fleet/src/fencing_guard.rs
+++ b/crates/fleet/src/fencing_guard.rs
@@ -1,4 +1,4 @@
-//! The guard at those that receive acts: nothing of an epoch takes effect after something of a later one.
+//! Check by which a receiver rejects actions of superseded epochs.
 
 #[cfg(test)]
 mod tests;
@@ -7,32 +7,33 @@
 
 use crate::{FencingToken, MAX_ROLES};
 
-/// The highest epoch seen of each role.
+/// Highest epoch that a receiver has admitted for each role. Actions of an earlier epoch are rejected, and
+/// so are actions of further roles once [`MAX_ROLES`] roles are recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
-    highest: BTreeMap<String, u64>,
-    /// How many acts were rejected.
+    highest_epochs: BTreeMap<String, u64>,
+    /// Number of rejected actions.
     pub rejected: u64,
 }
 
 impl FencingGuard {
-    /// Whether an act may take effect; its epoch is remembered if so.
+    /// Returns whether the action with this token may take effect, and records its epoch if so.
     pub fn admits(&mut self, token: &FencingToken) -> bool {
-        let is_admitted = match self.highest.get(&token.role) {
+        let is_admitted = match self.highest_epochs.get(&token.role) {
             Some(highest) => token.epoch >= *highest,
-            None => self.highest.len() < MAX_ROLES,
+            None => self.highest_epochs.len() < MAX_ROLES,
         };
         if is_admitted {
-            self.highest.insert(token.role.clone(), token.epoch);
+            self.highest_epochs.insert(token.role.clone(), token.epoch);
         } else {
             self.rejected += 1;
         }
         is_admitted
     }
 
-    /// The highest epoch seen of a role; 0 before the first.
+    /// Returns the highest epoch admitted for a role, or 0 if there is none.
     #[must_use]
     pub fn highest(&self, role: &str) -> u64 {
-        self.highest.get(role).copied().unwrap_or_default()
+        self.highest_epochs.get(role).copied().unwrap_or_default()
     }
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,5 +1,5 @@
-//! The first role, the roster: who is alive, as one table. Its owner collects from the keepers whom each has heard of
-//! late; gatherers read from it how many they are.
+//! The roster role, which maintains a table of live gatherers. Its owner collects from the keepers which
+//! gatherers have called them recently; gatherers read from the table how many of them are alive.
 
 #[cfg(test)]
 mod tests;
@@ -11,34 +11,36 @@
 
 use crate::{MAX_TABLE_LENGTH, SingletonRole, Table};
 
-/// A gatherer that no keeper has heard for so many of its call intervals is not counted.
+/// Number of call intervals without a call to any keeper after which a gatherer is no longer listed.
 const MAX_MISSED_CALLS: f64 = 4.0;
-/// A roster is fresh while its owner has written within so many rounds.
-const FRESH_ROUNDS: f64 = 4.0;
-/// Names at the most: what a table holds of the longest ones.
+/// Number of rounds, one per call interval, without a new version after which a reader considers the table
+/// stale.
+const FRESHNESS_ROUNDS: f64 = 4.0;
+/// Maximum number of listed gatherers: as many of the longest names as fit into a table.
 pub const MAX_NAMES: usize = MAX_TABLE_LENGTH / 72;
 
-/// How long ago a keeper heard each gatherer, by name, in milliseconds. Ages are durations: no two clocks are compared.
+/// Milliseconds since each gatherer last called a keeper, by gatherer name. They are durations, so
+/// that the clocks of different machines need not be compared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LastHeard(pub BTreeMap<String, u64>);
 
-/// What the table holds.
+/// Content of the roster's table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AliveGatherers {
-    /// Their names.
+    /// Names of the live gatherers.
     pub names: BTreeSet<String>,
 }
 
-/// The owner's part.
+/// The roster role as run by its owner.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    /// How often gatherers call.
+    /// Interval between the calls of a gatherer.
     pub interval: Duration,
     epoch: Option<u64>,
 }
 
 impl Roster {
-    /// A process that does not own the role.
+    /// Creates the state of a process that does not own the role.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Roster { interval, epoch: None }
@@ -47,10 +49,10 @@
 
 impl SingletonRole for Roster {
     const NAME: &'static str = "roster";
-    /// What most of the keepers have heard, a table from each that answered.
+    /// Ages of the gatherers' last calls from each keeper that answered, which must be a majority.
     type Observation = Vec<LastHeard>;
-    /// The table's text.
-    type Act = String;
+    /// New text of the table.
+    type Action = String;
 
     fn acquired(&mut self, epoch: u64) {
         self.epoch = Some(epoch);
@@ -70,46 +72,48 @@
     }
 }
 
-/// Which write of a table was seen.
+/// Epoch and version of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct SeenTable {
+struct TableVersion {
     epoch: u64,
     version: u64,
 }
 
+/// Number of live gatherers, with the time at which it was received.
 #[derive(Clone, Copy, Debug)]
-struct FreshCount {
-    at: Duration,
+struct AliveCount {
+    received_at: Duration,
     alive: u32,
 }
 
-/// A reader's view: how many are alive, as long as that is fresh. A table counts as new when its version grows before the
-/// reader's eyes, by the reader's own clock: one that is only old, however late it is read, is never fresh.
+/// Reader of the roster's table, which reports the number of live gatherers while it is fresh. Freshness is
+/// measured on the reader's own clock from the time it received a version newer than one it had received
+/// before. The first table received is never fresh, because its age is unknown.
 #[derive(Clone, Debug, Default)]
 pub struct RosterReader {
-    latest: Option<SeenTable>,
-    /// When the table last grew, and what it then said.
-    last_growth: Option<FreshCount>,
+    latest: Option<TableVersion>,
+    /// Count and receive time of the last table that replaced an older one.
+    last_update: Option<AliveCount>,
 }
 
 impl RosterReader {
-    /// A keeper sent this table. What is older than what was seen is dropped.
+    /// Processes a table received from a keeper. A table that is not newer than the latest one is ignored.
     pub fn table_received(&mut self, table: &Table, now: Duration) {
-        let seen = SeenTable { epoch: table.epoch, version: table.version };
-        if self.latest.is_some_and(|latest| seen <= latest) {
+        let received = TableVersion { epoch: table.epoch, version: table.version };
+        if self.latest.is_some_and(|latest| received <= latest) {
             return;
         }
-        let was_known = self.latest.replace(seen).is_some();
+        let has_previous = self.latest.replace(received).is_some();
         let Ok(gatherers) = serde_json::from_str::<AliveGatherers>(&table.text) else { return };
-        if was_known {
-            self.last_growth = Some(FreshCount { at: now, alive: gatherers.names.len() as u32 });
+        if has_previous {
+            self.last_update = Some(AliveCount { received_at: now, alive: gatherers.names.len() as u32 });
         }
     }
 
-    /// How many are alive, or none where nobody can tell any more.
+    /// Returns the number of live gatherers, or `None` if the table is stale or lists no gatherer.
     #[must_use]
     pub fn alive(&self, interval: Duration, now: Duration) -> Option<u32> {
-        let is_fresh = |count: &FreshCount| now < count.at + interval.mul_f64(FRESH_ROUNDS);
-        self.last_growth.filter(is_fresh).map(|count| count.alive).filter(|alive| *alive > 0)
+        let is_fresh = |count: &AliveCount| now < count.received_at + interval.mul_f64(FRESHNESS_ROUNDS);
+        self.last_update.filter(is_fresh).map(|count| count.alive).filter(|alive| *alive > 0)
     }
 }
--- a/crates/fleet/tests/record.rs
+++ b/crates/fleet/tests/record.rs
@@ -1,23 +1,27 @@
-//! The record under any commands in any order, and its form on the wire and on a disk.
+//! Invariants of the lease record under arbitrary sequences of commands, and its serialization.
 
 use ashvane_fleet::{Command, LeaseRecord, Reply};
 use ashvane_fleet::{MAX_NAME_LENGTH, MAX_ROLES, MAX_TABLE_LENGTH};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
-struct Any(Command);
+struct AnyCommand(Command);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
-        let of = |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("one")).to_owned();
+impl Arbitrary for AnyCommand {
+    fn arbitrary(g: &mut Gen) -> AnyCommand {
+        let choose =
+            |g: &mut Gen, names: &[&str]| (*g.choose(names).expect("the slice is not empty")).to_owned();
         let role = if u8::arbitrary(g) == 0 {
             format!("d{}", u8::arbitrary(g))
         } else {
-            of(g, &["roster", "list", "", &"x".repeat(MAX_NAME_LENGTH + 1)])
+            choose(g, &["roster", "list", "", &"x".repeat(MAX_NAME_LENGTH + 1)])
         };
-        let (owner, epoch, renewals) =
-            (of(g, &["a", "b", "c", ""]), u64::from(u8::arbitrary(g) % 6), u64::from(u8::arbitrary(g) % 4));
-        Any(match u8::arbitrary(g) % 5 {
+        let (owner, epoch, renewals) = (
+            choose(g, &["a", "b", "c", ""]),
+            u64::from(u8::arbitrary(g) % 6),
+            u64::from(u8::arbitrary(g) % 4),
+        );
+        AnyCommand(match u8::arbitrary(g) % 5 {
             0 | 1 => Command::Acquire { role, owner, epoch, renewals },
             2 => Command::Renew { role, owner, epoch },
             3 => Command::Release { role, owner, epoch },
@@ -25,7 +29,7 @@
                 let text = if u8::arbitrary(g) == 0 {
                     "x".repeat(MAX_TABLE_LENGTH + 1)
                 } else {
-                    of(g, &["", "é\n\"", "{}"])
+                    choose(g, &["", "é\n\"", "{}"])
                 };
                 Command::Write { role, epoch, text }
             }
@@ -33,22 +37,23 @@
     }
 }
 
-/// What must hold after each command, whatever came before.
-fn holds(commands: Vec<Any>) -> bool {
+/// Applies the commands in order and returns whether all invariants hold after each of them.
+fn keeps_invariants(commands: Vec<AnyCommand>) -> bool {
     let mut record = LeaseRecord::default();
-    for Any(command) in commands {
+    for AnyCommand(command) in commands {
         let (before, role) = (record.clone(), command.role().to_owned());
         let reply = record.apply(&command);
         let (old, new) = (before.lease(&role), record.lease(&role));
-        let grows = new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
+        let lease_is_monotonic =
+            new.epoch >= old.epoch && (new.epoch > old.epoch || new.renewals >= old.renewals);
         let table = record.tables.get(&role);
-        // A table is never of a later epoch than its role, and never goes back.
-        let tables = table.is_none_or(|t| t.epoch <= new.epoch)
+        // A table's epoch is never later than its role's, and its epoch and version never decrease.
+        let tables_are_monotonic = table.is_none_or(|t| t.epoch <= new.epoch)
             && before
                 .tables
                 .get(&role)
                 .is_none_or(|old| table.is_some_and(|t| (t.epoch, t.version) >= (old.epoch, old.version)));
-        let told = match (&reply, &command) {
+        let is_consistent_reply = match (&reply, &command) {
             (Reply::Granted { epoch }, Command::Acquire { owner, .. }) => {
                 *epoch == old.epoch + 1 && new.owner.as_ref() == Some(owner)
             }
@@ -59,15 +64,21 @@
             (Reply::Written { version }, Command::Write { epoch, .. }) => {
                 *epoch == old.epoch && old.owner.is_some() && table.is_some_and(|t| t.version == *version)
             }
-            // What is not granted changes nothing.
+            // A fenced or rejected command changes nothing.
             (Reply::Fenced { epoch }, _) => *epoch == old.epoch && record == before,
             (Reply::Rejected { .. }, _) => record == before,
             _ => false,
         };
-        let bounded = record.leases.len() <= MAX_ROLES;
-        let text = serde_json::to_string(&(&command, &reply, &record)).expect("text");
-        let back: (Command, Reply, LeaseRecord) = serde_json::from_str(&text).expect("it is read again");
-        if !(grows && tables && told && bounded && back == (command, reply, record.clone())) {
+        let is_bounded = record.leases.len() <= MAX_ROLES;
+        let text = serde_json::to_string(&(&command, &reply, &record)).expect("the values can be serialized");
+        let decoded: (Command, Reply, LeaseRecord) =
+            serde_json::from_str(&text).expect("the serialized text can be parsed");
+        if !(lease_is_monotonic
+            && tables_are_monotonic
+            && is_consistent_reply
+            && is_bounded
+            && decoded == (command, reply, record.clone()))
+        {
             return false;
         }
     }
@@ -75,6 +86,6 @@
 }
 
 #[test]
-fn epochs_and_tables_never_go_back_whatever_is_asked_and_what_is_written_down_reads_the_same() {
-    QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<Any>) -> bool);
+fn epochs_and_tables_never_go_back_and_serialization_round_trips_for_any_commands() {
+    QuickCheck::new().tests(2000).quickcheck(keeps_invariants as fn(Vec<AnyCommand>) -> bool);
 }
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,4 +1,4 @@
-//! ashvane-keeper: one of the three or five that keep who owns which role of a fleet.
+//! ashvane-keeper: one of the three or five processes that replicate the leases of a fleet's roles.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -40,34 +40,34 @@
 Status 0 when told to end, 1 when it cannot go on (the reason is the last line), 2 for a fault in what was asked for.
 ";
 
-/// An election begins after a silence of at least this many milliseconds, ...
-const MIN_ELECTION_MS: u64 = 400;
-/// ... and of at most this many.
-const MAX_ELECTION_MS: u64 = 800;
-/// How often leaders speak, in milliseconds.
-const HEARTBEAT_MS: u64 = 100;
-/// Log entries between two snapshots.
-const SNAPSHOT_INTERVAL: u64 = 5000;
-/// Log entries that are kept behind a snapshot, for keepers that lag.
-const KEPT_ENTRIES: u64 = 500;
-/// The usual lease, in milliseconds.
+/// Minimum of the random time without the leader's heartbeat after which a keeper starts an election.
+const MIN_ELECTION_TIMEOUT_MS: u64 = 400;
+/// Maximum of the random time without the leader's heartbeat after which a keeper starts an election.
+const MAX_ELECTION_TIMEOUT_MS: u64 = 800;
+/// Interval of the leader's heartbeats.
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
+/// Number of log entries between two snapshots.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 5000;
+/// Number of log entries covered by a snapshot that are still retained, for keepers that lag.
+const RETAINED_LOG_ENTRIES: u64 = 500;
+/// Default lease.
 const DEFAULT_LEASE_MS: u64 = 3000;
-/// How far a clock's rate may be off usually, as a fraction.
+/// Default bound on the drift of a clock's rate, as a fraction.
 const DEFAULT_DRIFT: f64 = 0.01;
-/// Time for an orderly end.
+/// Time-out for the graceful shutdown of Raft.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// The exit status of a keeper that cannot go on.
-const STATUS_FAILED: u8 = 1;
-/// The exit status of a fault in what was asked for.
-const STATUS_USAGE: u8 = 2;
+/// Exit status after a failure to start or to continue.
+const EXIT_FAILURE: u8 = 1;
+/// Exit status after invalid command-line arguments.
+const EXIT_USAGE: u8 = 2;
 
 struct ServeOptions {
     id: u64,
     listen: SocketAddr,
-    data: PathBuf,
+    data_dir: PathBuf,
     keepers: BTreeMap<u64, SocketAddr>,
     terms: LeaseTerms,
-    joins: bool,
+    is_joining: bool,
     trace: Trace,
 }
 
@@ -78,12 +78,12 @@
     Help,
 }
 
-/// What is wrong with what was asked for.
+/// Invalid command line.
 #[derive(Debug)]
 enum UsageError {
     Argument(pico_args::Error),
     Terms(TermsFault),
-    NotNamed(u64),
+    MissingOwnId(u64),
     UnknownCommand(String),
     UnknownArgument(std::ffi::OsString),
 }
@@ -93,7 +93,7 @@
         match self {
             UsageError::Argument(reason) => reason.fmt(f),
             UsageError::Terms(fault) => fault.fmt(f),
-            UsageError::NotNamed(id) => write!(f, "--keepers does not name keeper {id} itself"),
+            UsageError::MissingOwnId(id) => write!(f, "--keepers does not name keeper {id} itself"),
             UsageError::UnknownCommand(other) => {
                 write!(f, "unknown command {other:?}; see ashvane-keeper help")
             }
@@ -110,11 +110,11 @@
     }
 }
 
-/// What is wrong with `--keepers` or `--in`.
+/// Invalid value of `--keepers` or `--in`.
 #[derive(Debug)]
 enum KeepersArgumentError {
-    NoKeeper(String),
-    NumberTwice(Vec<KeepersFault>),
+    InvalidKeeper(String),
+    DuplicateNumber(Vec<KeepersFault>),
     Faults(Vec<KeepersFault>),
 }
 
@@ -122,23 +122,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let joined = |faults: &[KeepersFault]| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
         match self {
-            KeepersArgumentError::NoKeeper(text) => {
-                write!(f, "{text:?} is not a keeper as 1=127.0.0.1:9401")
+            KeepersArgumentError::InvalidKeeper(text) => {
+                write!(f, "{text:?} is not a keeper in the form 1=127.0.0.1:9401")
             }
-            KeepersArgumentError::NumberTwice(faults) => {
-                let mut words = joined(faults);
-                words.push("a number is given twice".to_owned());
-                write!(f, "--keepers: {}", words.join("; "))
+            KeepersArgumentError::DuplicateNumber(faults) => {
+                let mut messages = joined(faults);
+                messages.push("two keepers have the same number".to_owned());
+                write!(f, "--keepers: {}", messages.join("; "))
             }
             KeepersArgumentError::Faults(faults) => write!(f, "--keepers: {}", joined(faults).join("; ")),
         }
     }
 }
 
-/// Why a keeper, or a call to one, cannot go on.
+/// Reason why a command failed.
 #[derive(Debug)]
 enum RunError {
-    DataFolder {
+    DataDirectory {
         path: PathBuf,
         reason: io::Error,
     },
@@ -156,44 +156,47 @@
     ServerStopped(io::Result<()>),
     Runtime(io::Error),
     Call(PostError),
-    /// The keeper has rejected the call, with these words.
+    /// The keeper rejected the request with this message.
     Rejected(String),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunError::DataFolder { path, reason } => write!(f, "{}: {reason}", path.display()),
-            RunError::Signals(reason) => write!(f, "no signals: {reason}"),
+            RunError::DataDirectory { path, reason } => {
+                write!(f, "cannot create data directory {}: {reason}", path.display())
+            }
+            RunError::Signals(reason) => write!(f, "cannot install signal handlers: {reason}"),
             RunError::Listen { address, reason } => write!(f, "cannot listen on {address}: {reason}"),
             RunError::Store(reason) => reason.fmt(f),
             RunError::Config(reason) => reason.fmt(f),
-            RunError::Start(reason) => write!(f, "cannot start: {reason}"),
+            RunError::Start(reason) => write!(f, "cannot start Raft: {reason}"),
             RunError::Initialize(reason) => reason.fmt(f),
             RunError::Raft(reason) => write!(f, "cannot go on: {reason}"),
-            RunError::RaftStopped => f.write_str("cannot go on: the record's keeper has stopped"),
-            RunError::ServerStopped(ended) => write!(f, "does not listen any more: {ended:?}"),
+            RunError::RaftStopped => f.write_str("cannot go on: the Raft task has stopped"),
+            RunError::ServerStopped(outcome) => write!(f, "HTTP server stopped unexpectedly: {outcome:?}"),
             RunError::Runtime(reason) => reason.fmt(f),
             RunError::Call(reason) => reason.fmt(f),
-            RunError::Rejected(words) => f.write_str(words),
+            RunError::Rejected(message) => f.write_str(message),
         }
     }
 }
 
-/// A keeper's number and where it is.
+/// Parses a keeper's number and address.
 fn parse_keeper(text: &str) -> Result<(u64, SocketAddr), KeepersArgumentError> {
-    let wrong = || KeepersArgumentError::NoKeeper(text.to_owned());
-    let (id, address) = text.split_once('=').ok_or_else(wrong)?;
-    Ok((id.parse().map_err(|_| wrong())?, address.parse().map_err(|_| wrong())?))
+    let invalid = || KeepersArgumentError::InvalidKeeper(text.to_owned());
+    let (id, address) = text.split_once('=').ok_or_else(invalid)?;
+    Ok((id.parse().map_err(|_| invalid())?, address.parse().map_err(|_| invalid())?))
 }
 
+/// Parses the list of all keepers.
 fn parse_keepers(text: &str) -> Result<BTreeMap<u64, SocketAddr>, KeepersArgumentError> {
     let all: Vec<(u64, SocketAddr)> = text.split(',').map(parse_keeper).collect::<Result<_, _>>()?;
     let named: Vec<(u64, String)> = all.iter().map(|(id, address)| (*id, address.to_string())).collect();
     let faults = keepers_faults(named.iter().map(|(id, address)| (*id, address.as_str())));
     let keepers: BTreeMap<u64, SocketAddr> = all.iter().copied().collect();
     if keepers.len() < all.len() {
-        return Err(KeepersArgumentError::NumberTwice(faults));
+        return Err(KeepersArgumentError::DuplicateNumber(faults));
     }
     if faults.is_empty() { Ok(keepers) } else { Err(KeepersArgumentError::Faults(faults)) }
 }
@@ -232,14 +235,14 @@
     let options = ServeOptions {
         id: arguments.value_from_str("--id")?,
         listen: arguments.value_from_str("--listen")?,
-        data: arguments.value_from_str("--data")?,
+        data_dir: arguments.value_from_str("--data")?,
         keepers: arguments.value_from_fn("--keepers", parse_keepers)?,
         terms,
-        joins: arguments.contains("--join"),
+        is_joining: arguments.contains("--join"),
         trace: if arguments.contains("--trace") { Trace::On } else { Trace::Off },
     };
-    if !options.keepers.contains_key(&options.id) && !options.joins {
-        return Err(UsageError::NotNamed(options.id));
+    if !options.keepers.contains_key(&options.id) && !options.is_joining {
+        return Err(UsageError::MissingOwnId(options.id));
     }
     Ok(options)
 }
@@ -247,63 +250,64 @@
 fn raft_config() -> Result<Arc<Config>, RunError> {
     let config = Config {
         cluster_name: "ashvane".into(),
-        heartbeat_interval: HEARTBEAT_MS,
-        election_timeout_min: MIN_ELECTION_MS,
-        election_timeout_max: MAX_ELECTION_MS,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL),
-        max_in_snapshot_log_to_keep: KEPT_ENTRIES,
+        heartbeat_interval: HEARTBEAT_INTERVAL_MS,
+        election_timeout_min: MIN_ELECTION_TIMEOUT_MS,
+        election_timeout_max: MAX_ELECTION_TIMEOUT_MS,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL_ENTRIES),
+        max_in_snapshot_log_to_keep: RETAINED_LOG_ENTRIES,
         ..Config::default()
     };
     Ok(Arc::new(config.validate().map_err(|reason| RunError::Config(Box::new(reason)))?))
 }
 
 async fn serve(options: ServeOptions) -> Result<(), RunError> {
-    std::fs::create_dir_all(&options.data)
-        .map_err(|reason| RunError::DataFolder { path: options.data.clone(), reason })?;
+    std::fs::create_dir_all(&options.data_dir)
+        .map_err(|reason| RunError::DataDirectory { path: options.data_dir.clone(), reason })?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
     let address = options.listen;
     let listener = TcpListener::bind(address).await.map_err(|reason| RunError::Listen { address, reason })?;
     let store =
-        KeeperStore::open(&options.data.join("keeper.redb"), options.trace).map_err(RunError::Store)?;
+        KeeperStore::open(&options.data_dir.join("keeper.redb"), options.trace).map_err(RunError::Store)?;
     let raft = start_raft(&options, &store).await?;
     let keeper = Arc::new(KeeperServer::new(options.id, options.terms, raft.clone(), store));
     let serving = tokio::spawn(axum::serve(listener, keeper.router()).into_future());
-    if !options.joins {
+    if !options.is_joining {
         initialize(&raft, &options.keepers).await?;
     }
     let result = tokio::select! {
         reason = raft_failure(&raft) => Err(reason),
         _ = interrupt.recv() => Ok(()),
         _ = terminate.recv() => Ok(()),
-        ended = serving => Err(RunError::ServerStopped(ended.unwrap_or(Ok(())))),
+        outcome = serving => Err(RunError::ServerStopped(outcome.unwrap_or(Ok(())))),
     };
-    // What is agreed is on disk already.
+    // A shutdown that times out loses nothing: committed entries are already on disk.
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
     result
 }
 
 async fn start_raft(options: &ServeOptions, store: &KeeperStore) -> Result<Raft, RunError> {
     let peers = Arc::new(options.keepers.clone());
-    let network = KeeperNetwork { own: options.id, http: http_client(), peers };
+    let network = KeeperNetwork { own_id: options.id, http: http_client(), peers };
     Raft::new(options.id, raft_config()?, network, store.clone(), store.clone())
         .await
         .map_err(|reason| RunError::Start(Box::new(reason)))
 }
 
-/// Gives Raft its first members, unless its log has members already.
+/// Initializes Raft's membership, unless the log already contains one.
 async fn initialize(raft: &Raft, keepers: &BTreeMap<u64, SocketAddr>) -> Result<(), RunError> {
     if raft.is_initialized().await.map_err(|reason| RunError::Initialize(Box::new(reason)))? {
         return Ok(());
     }
     let node = |(id, address): (&u64, &SocketAddr)| (*id, BasicNode { addr: address.to_string() });
     let members: BTreeMap<u64, BasicNode> = keepers.iter().map(node).collect();
-    // All of them begin with the same members; which one is first makes no difference.
+    // All keepers initialize the same members, so it does not matter which of them is first. The error of a
+    // keeper that is already initialized is ignored.
     let _ = raft.initialize(members).await;
     Ok(())
 }
 
-/// Waits until Raft cannot go on.
+/// Waits until Raft fails, and returns the reason.
 async fn raft_failure(raft: &Raft) -> RunError {
     let mut metrics = raft.metrics();
     loop {
@@ -316,6 +320,7 @@
     }
 }
 
+/// Requests the replacement of a keeper from the leading keeper at `at`.
 async fn replace(at: SocketAddr, request: &ReplaceRequest) -> Result<(), RunError> {
     let response = post::<_, String>(&http_client(), at, "/v1/replace", request).await;
     let PostResponse { status, body } = response.map_err(RunError::Call)?;
@@ -341,7 +346,7 @@
         Ok(command) => command,
         Err(reason) => {
             eprintln!("ashvane-keeper: {reason}");
-            return ExitCode::from(STATUS_USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
@@ -349,7 +354,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             eprintln!("ashvane-keeper: {reason}");
-            ExitCode::from(STATUS_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
