--- a/crates/node/examples/slopes/processes.rs
+++ b/crates/node/examples/slopes/processes.rs
@@ -12,7 +12,7 @@
 use crate::fit::Series;
 use crate::plot;
 use crate::simulation::bounds::Processor;
-use crate::simulation::{Machine, Simulation, configuration, ms, play};
+use crate::simulation::{Machine, Simulation, configuration, ms, run_simulation};
 
 /// Control nodes beside the gateways in the calm table.
 const CONTROL_NODES: usize = 5;
@@ -68,16 +68,16 @@
 
 fn world(control_nodes: usize, gateways: usize, shares: Option<(f64, f64)>) -> Rc<Simulation> {
     fastrand::seed(1);
-    let simulation = Simulation::placed(control_nodes, gateways, 2, |n, mut machine| {
+    let simulation = Simulation::with_machines(control_nodes, gateways, 2, |n, mut machine| {
         machine.zone = place(n);
         machine
     });
-    for machine in simulation.all() {
+    for machine in simulation.all_machines() {
         let Some((control, gateway)) = shares else { continue };
         let share = if machine.is_control_node() { control } else { gateway };
         let part = |nanoseconds: f64| Duration::from_nanos((nanoseconds / share) as u64);
-        let processor = Processor { per_piece: part(PER_PIECE), per_byte: part(PER_BYTE) };
-        simulation.network.bounds.slow(&machine.ip, processor);
+        let processor = Processor { per_chunk: part(PER_PIECE), per_byte: part(PER_BYTE) };
+        simulation.network.bounds.limit_processor(&machine.ip, processor);
     }
     simulation
 }
@@ -107,7 +107,7 @@
                 let heard = move |agent: Rc<Agent>| async move {
                     agent.record_heartbeat(beat(n, seq, ServerState::Ready)).await
                 };
-                machine.ask(PATIENCE, heard).await
+                machine.call(PATIENCE, heard).await
             };
             if let Ok(Some(Ok(()))) = timeout(PATIENCE, asked).await {
                 break;
@@ -122,7 +122,7 @@
     let text = configuration(version, 0);
     let put = |agent: Rc<Agent>| async move { agent.put(text.as_bytes()).await };
     matches!(
-        simulation.control_nodes()[0].ask(PATIENCE, put).await,
+        simulation.control_nodes()[0].call(PATIENCE, put).await,
         Some(PutOutcome::Accepted { version: _ })
     )
 }
@@ -156,7 +156,7 @@
     }
     sleep(ms(12_000)).await;
     let control_nodes = simulation.control_nodes();
-    let gateways: Vec<_> = simulation.all().into_iter().filter(|m| !m.is_control_node()).collect();
+    let gateways: Vec<_> = simulation.all_machines().into_iter().filter(|m| !m.is_control_node()).collect();
     let start = (said(&control_nodes), said(&gateways));
     let traffic = simulation.network.bounds.traffic();
     sleep(Duration::from_secs(CALM_S)).await;
@@ -179,7 +179,7 @@
     let drains = |agent: Rc<Agent>| async move {
         agent.record_heartbeat(beat(0, 1 << 40, ServerState::Draining)).await
     };
-    assert_eq!(control_nodes[0].ask(PATIENCE, drains).await, Some(Ok(())), "the drain is acknowledged");
+    assert_eq!(control_nodes[0].call(PATIENCE, drains).await, Some(Ok(())), "the drain is acknowledged");
     let drain_ms = known(&gateways, |a| !a.is_server_available(&"i-0".into())).await;
     let each = |said: &Said, n: usize| text(&since(&Said::new(), said, n, 1.0));
     println!(
@@ -212,7 +212,8 @@
 }
 
 pub(crate) fn print_calm(sizes: &[usize]) {
-    let figures: Vec<(f64, Calm)> = sizes.iter().map(|size| (*size as f64, play(calm(*size)))).collect();
+    let figures: Vec<(f64, Calm)> =
+        sizes.iter().map(|size| (*size as f64, run_simulation(calm(*size)))).collect();
     let series = |name: &str, figure: fn(&Calm) -> f64| {
         let points = figures.iter().map(|(x, calm)| (*x, figure(calm))).collect();
         let series = Series { name: name.to_owned(), points };
@@ -248,12 +249,12 @@
     );
     let messages: u64 = said.values().map(|(messages, _)| messages).sum();
     let bytes: u64 = said.values().map(|(_, bytes)| bytes).sum();
-    let calls = simulation.network.bounds.traffic().calls;
+    let calls = simulation.network.bounds.traffic().connection_attempts;
     [held, messages as f64, bytes as f64, calls as f64]
 }
 
 pub(crate) fn print_start(sizes: &[usize]) {
-    let figures: Vec<[f64; 4]> = sizes.iter().map(|size| play(start(*size))).collect();
+    let figures: Vec<[f64; 4]> = sizes.iter().map(|size| run_simulation(start(*size))).collect();
     let names = [
         "the first configuration is held after, ms",
         "messages of all control nodes",
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -8,8 +8,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-use scripted::client::client;
-use scripted::{World, ms, play};
+use scripted::client::run_client;
+use scripted::{World, ms, run_simulation};
 use tokio::task::spawn_local;
 
 /// Clients of one simulated day.
@@ -26,17 +26,18 @@
 /// Simulates one day.
 async fn simulate_day(seed: u64) -> Rc<World> {
     let world = World::start(seed).await;
-    let clients: Vec<_> =
-        (0..CLIENT_COUNT).map(|n| spawn_local(client(world.clone(), n, seed, REQUESTS_PER_CLIENT))).collect();
+    let clients: Vec<_> = (0..CLIENT_COUNT)
+        .map(|n| spawn_local(run_client(world.clone(), n, seed, REQUESTS_PER_CLIENT)))
+        .collect();
     // With every odd seed the gateway is shut down during the day.
     if seed % 2 == 1 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        world.leave(ms(rng.u64(..1500)), ms(rng.u64(..400))).await;
+        world.shut_down_after(ms(rng.u64(..1500)), ms(rng.u64(..400))).await;
     }
     for client in clients {
         client.await.expect("the client does not panic");
     }
-    world.check_at_the_end().await;
+    world.check_final_state().await;
     world
 }
 
@@ -52,10 +53,10 @@
         violations.entry(kind.to_owned()).or_insert_with(first).0 += 1;
     };
     for seed in seeds {
-        match catch_unwind(AssertUnwindSafe(|| play(simulate_day(seed)))) {
+        match catch_unwind(AssertUnwindSafe(|| run_simulation(simulate_day(seed)))) {
             Ok(world) => {
                 let ledger = world.ledger.borrow();
-                ledger.wrongs.iter().for_each(|violation| record(seed, violation));
+                ledger.violations.iter().for_each(|violation| record(seed, violation));
                 for (name, count) in &ledger.counts {
                     *counts.entry(*name).or_default() += count;
                 }
@@ -80,9 +81,10 @@
     };
     println!("{counts:#?}");
     assert!(violations.is_empty(), "{violations:#?}");
-    let missing: Vec<_> = scripted::server::DEEDS.iter().filter(|deed| !counts.contains_key(*deed)).collect();
+    let missing: Vec<_> =
+        scripted::server::SERVER_ACTIONS.iter().filter(|deed| !counts.contains_key(*deed)).collect();
     assert!(missing.is_empty(), "faults that never occurred: {missing:?}");
-    let (requests, successes) = (counts["client: asked"], counts["client: served"]);
+    let (requests, successes) = (counts["client: requests"], counts["client: successes"]);
     assert!(
         f64::from(successes) > f64::from(requests) * MIN_SUCCESS_RATIO,
         "{successes} of {requests} requests succeeded"
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -16,19 +16,19 @@
 
 /// Time within which something that must come about has: what it waits for is real disks and sockets, and how many
 /// tries fit into that depends on what else the machine does.
-const COMES_ABOUT: Duration = Duration::from_secs(30);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A request or an answer as it stood on the wire.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub(crate) fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     pub(crate) fn header(&self, name: &str) -> &str {
@@ -58,7 +58,7 @@
     let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await.ok()?;
-    Some(Message { first: lines.swap_remove(0), headers, body })
+    Some(Message { start_line: lines.swap_remove(0), headers, body })
 }
 
 /// What a server does with a request: the bytes that it sends, and whether it then closes.
@@ -68,26 +68,26 @@
     pub id: String,
     pub service: String,
     pub address: SocketAddr,
-    pub got: Rc<RefCell<Vec<Message>>>,
+    pub requests: Rc<RefCell<Vec<Message>>>,
 }
 
 /// A whole answer.
-pub(crate) fn answer(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn build_response(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let id = request.header("attempt-id");
     let head =
         format!("HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-pub(crate) fn sealed(request: &Message, seal: &str, body: &[u8]) -> (Vec<u8>, bool) {
-    (answer(request, "200 OK", &format!("Server-Seal: {seal}\r\n"), body), false)
+pub(crate) fn sealed_response(request: &Message, seal: &str, body: &[u8]) -> (Vec<u8>, bool) {
+    (build_response(request, "200 OK", &format!("Server-Seal: {seal}\r\n"), body), false)
 }
 
-pub(crate) async fn server(id: &str, service: &str, script: Script) -> Server {
+pub(crate) async fn start_server(id: &str, service: &str, script: Script) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let got: Rc<RefCell<Vec<Message>>> = Rc::default();
-    let (seen, script) = (got.clone(), Rc::new(RefCell::new(script)));
+    let requests: Rc<RefCell<Vec<Message>>> = Rc::default();
+    let (seen, script) = (requests.clone(), Rc::new(RefCell::new(script)));
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (seen, script) = (seen.clone(), script.clone());
@@ -103,10 +103,10 @@
             });
         }
     });
-    Server { id: id.to_owned(), service: service.to_owned(), address, got }
+    Server { id: id.to_owned(), service: service.to_owned(), address, requests }
 }
 
-pub(crate) struct Hall {
+pub(crate) struct TestSystem {
     pub front: SocketAddr,
     pub control: SocketAddr,
     pub readiness: SocketAddr,
@@ -119,28 +119,28 @@
 }
 
 /// One exchange on a connection of its own.
-pub(crate) async fn ask(to: SocketAddr, request: &str) -> Option<Message> {
+pub(crate) async fn send_request(to: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = BufReader::new(TcpStream::connect(to).await.ok()?);
     stream.write_all(request.as_bytes()).await.ok()?;
     read(&mut stream).await
 }
 
-pub(crate) fn put(path: &str, body: &str) -> String {
+pub(crate) fn put_request(path: &str, body: &str) -> String {
     format!("PUT {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-impl Hall {
+impl TestSystem {
     /// A system of one machine, which starts on an empty disk.
-    pub(crate) fn start(name: &str) -> Hall {
-        Hall::place(name, Role::Control, None)
+    pub(crate) fn start(name: &str) -> TestSystem {
+        TestSystem::place(name, Role::Control, None)
     }
 
     /// A gateway that takes control calls too, beside the control_node of another one.
-    pub(crate) fn gateway(name: &str, beside: &Hall) -> Hall {
-        Hall::place(name, Role::Gateway, Some(beside.control))
+    pub(crate) fn start_gateway(name: &str, beside: &TestSystem) -> TestSystem {
+        TestSystem::place(name, Role::Gateway, Some(beside.control))
     }
 
-    fn place(name: &str, role: Role, beside: Option<SocketAddr>) -> Hall {
+    fn place(name: &str, role: Role, beside: Option<SocketAddr>) -> TestSystem {
         let dir = format!("{}/{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         let _ = std::fs::remove_dir_all(&dir);
         let ip = own_address();
@@ -171,14 +171,14 @@
             let log = Logger::root(Discard, o!());
             serve(role, settings, None, log).await.expect("it serves");
         });
-        Hall { front, control, readiness }
+        TestSystem { front, control, readiness }
     }
 
     /// Tries until the answer is this one.
-    pub(crate) async fn until(&self, to: SocketAddr, request: &str, status: u16) -> Message {
+    pub(crate) async fn wait_for_status(&self, to: SocketAddr, request: &str, status: u16) -> Message {
         let began = Instant::now();
-        while began.elapsed() < COMES_ABOUT {
-            if let Some(answer) = ask(to, request).await
+        while began.elapsed() < CONDITION_TIMEOUT {
+            if let Some(answer) = send_request(to, request).await
                 && answer.status() == status
             {
                 return answer;
@@ -193,31 +193,36 @@
             services.iter().map(|s| format!(r#"{{"name":"{s}","max-conns":64}}"#)).collect();
         let body =
             format!(r#"{{"version":{version},"routes":[{routes}],"services":[{}]}}"#, services.join(","));
-        self.until(self.control, &put("/api/configuration", &body), 200).await;
+        self.wait_for_status(self.control, &put_request("/api/configuration", &body), 200).await;
     }
 
-    pub(crate) async fn beat(&self, server: &Server, state: &str, seq: u64) {
+    pub(crate) async fn send_heartbeat(&self, server: &Server, state: &str, seq: u64) {
         let body = format!(
             r#"{{"service":"{}","address":"{}","zone":"a","capacity":4,"state":"{state}","call-seq":{seq}}}"#,
             server.service, server.address
         );
-        self.until(self.control, &put(&format!("/api/instances/{}", server.id), &body), 200).await;
+        self.wait_for_status(
+            self.control,
+            &put_request(&format!("/api/instances/{}", server.id), &body),
+            200,
+        )
+        .await;
     }
 
     /// Until the front takes clients.
-    pub(crate) async fn ready(&self) {
-        self.until(self.readiness, "GET /api/readiness HTTP/1.1\r\nHost: r\r\n\r\n", 200).await;
+    pub(crate) async fn wait_until_ready(&self) {
+        self.wait_for_status(self.readiness, "GET /api/readiness HTTP/1.1\r\nHost: r\r\n\r\n", 200).await;
     }
 
     pub(crate) async fn get(&self, path: &str, id: &str) -> Message {
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: 2000\r\n\r\n"
         );
-        ask(self.front, &request).await.expect("a whole answer")
+        send_request(self.front, &request).await.expect("a whole answer")
     }
 }
 
-pub(crate) fn route(name: &str, kind: &str, target: &str) -> String {
+pub(crate) fn route_json(name: &str, kind: &str, target: &str) -> String {
     format!(
         r#"{{"name":"{name}","host":"h.example","path-prefix":"/{name}/","kind":"{kind}","deadline-ms":2000,
             "target-ms":400,{target},"max-tries":2}}"#
@@ -225,7 +230,7 @@
 }
 
 /// Runs a test's tasks on one thread.
-pub(crate) fn run<F: Future<Output = ()>>(test: F) {
+pub(crate) fn run_test<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/node/tests/curves.rs
+++ b/crates/node/tests/curves.rs
@@ -13,7 +13,7 @@
 
 use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::PutOutcome;
-use simulation::{Machine, Simulation, configuration, ms, play};
+use simulation::{Machine, Simulation, configuration, ms, run_simulation};
 use tokio::time::{Instant, sleep};
 
 const CALL_TIMEOUT: Duration = ms(2000);
@@ -40,7 +40,9 @@
 /// Sums the messages and bytes sent by all control nodes, or by all gateways, by topic.
 fn sent_traffic(simulation: &Simulation, of_control_nodes: bool) -> BTreeMap<&'static str, (u64, u64)> {
     let mut totals: BTreeMap<&'static str, (u64, u64)> = BTreeMap::new();
-    for machine in simulation.all().iter().filter(|machine| machine.is_control_node() == of_control_nodes) {
+    for machine in
+        simulation.all_machines().iter().filter(|machine| machine.is_control_node() == of_control_nodes)
+    {
         for (topic, sent) in machine.agent().map(|agent| agent.traffic()).unwrap_or_default() {
             let sum = totals.entry(topic).or_default();
             (sum.0, sum.1) = (sum.0 + sent.messages, sum.1 + sent.bytes);
@@ -73,7 +75,7 @@
     let max_failures = if size.control_nodes > 5 { 2 } else { 1 };
     let simulation = Simulation::new(size.control_nodes, size.gateways, max_failures);
     sleep(ms(8000)).await;
-    let (control_nodes, all) = (simulation.control_nodes(), simulation.all());
+    let (control_nodes, all) = (simulation.control_nodes(), simulation.all_machines());
     let gateways: Vec<_> = all.iter().filter(|machine| !machine.is_control_node()).cloned().collect();
     // Each control node receives the heartbeats of its part of the servers, each second.
     for (first, control_node) in control_nodes.iter().enumerate() {
@@ -90,7 +92,7 @@
         };
         tokio::task::spawn_local({
             let control_node = control_node.clone();
-            async move { control_node.ask(Duration::from_secs(3600), send_heartbeats).await }
+            async move { control_node.call(Duration::from_secs(3600), send_heartbeats).await }
         });
     }
     let last = format!("i-{}", size.servers - 1);
@@ -105,7 +107,7 @@
     let text = configuration(7, 0);
     let put = |agent: Rc<ashvane_node::agent::Agent>| async move { agent.put(text.as_bytes()).await };
     assert!(matches!(
-        control_nodes[0].ask(CALL_TIMEOUT, put).await,
+        control_nodes[0].call(CALL_TIMEOUT, put).await,
         Some(PutOutcome::Accepted { version: 7 })
     ));
     let is_in_force = |machine: &Machine| {
@@ -119,7 +121,7 @@
             agent.record_heartbeat(heartbeat(server, ServerState::Draining, 1_000_000)).await
         };
         assert_eq!(
-            control_node.ask(CALL_TIMEOUT, send_draining).await,
+            control_node.call(CALL_TIMEOUT, send_draining).await,
             Some(Ok(())),
             "the drain is acknowledged by a quorum"
         );
@@ -167,6 +169,6 @@
     };
     for size in sizes {
         let [gateways, control_nodes, servers] = size[..] else { panic!("a size must be three numbers") };
-        play(measure_size(Size { gateways, control_nodes, servers }));
+        run_simulation(measure_size(Size { gateways, control_nodes, servers }));
     }
 }
--- a/crates/node/tests/cut_off.rs
+++ b/crates/node/tests/cut_off.rs
@@ -10,7 +10,7 @@
 use ashvane_gossip::{Heartbeat, ServerState};
 use ashvane_node::agent::{Agent, PutOutcome};
 use serde_json::Value;
-use simulation::{Direction, Machine, Simulation, configuration, ms, play};
+use simulation::{Direction, Machine, Simulation, configuration, ms, run_simulation};
 use tokio::time::{Instant, sleep};
 
 /// How long a control node is cut off.
@@ -24,7 +24,7 @@
 async fn put(at: &Machine, version: u64) -> bool {
     let text = configuration(version, 0);
     let put = async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await;
-    matches!(at.ask(PATIENCE, put).await, Some(PutOutcome::Accepted { version: held }) if held >= version)
+    matches!(at.call(PATIENCE, put).await, Some(PutOutcome::Accepted { version: held }) if held >= version)
 }
 
 async fn beat(at: &Machine, id: &str, state: ServerState, seq: u64) -> bool {
@@ -37,7 +37,7 @@
         state,
         sequence: seq,
     };
-    at.ask(PATIENCE, async move |agent| agent.record_heartbeat(beat).await).await == Some(Ok(()))
+    at.call(PATIENCE, async move |agent| agent.record_heartbeat(beat).await).await == Some(Ok(()))
 }
 
 fn version(at: &Machine) -> u64 {
@@ -77,15 +77,15 @@
 async fn started() -> Rc<Simulation> {
     let simulation = Simulation::new(5, 3, 1);
     sleep(ms(2000)).await;
-    assert!(put(&simulation.all()[1], 1).await);
+    assert!(put(&simulation.all_machines()[1], 1).await);
     sleep(ms(5000)).await;
-    assert!(simulation.all()[5..].iter().all(|m| is_current(m) && version(m) == 1));
+    assert!(simulation.all_machines()[5..].iter().all(|m| is_current(m) && version(m) == 1));
     simulation
 }
 
 fn isolate(simulation: &Simulation, a: &Machine, b: &Machine) {
-    simulation.network.sever(&a.ip, &b.ip);
-    simulation.network.sever(&b.ip, &a.ip);
+    simulation.network.block(&a.ip, &b.ip);
+    simulation.network.block(&b.ip, &a.ip);
 }
 
 fn restart(simulation: &Simulation, machine: &Machine) {
@@ -95,12 +95,12 @@
 
 #[test]
 fn a_gateway_that_reaches_only_a_control_node_that_is_cut_off_is_not_ready_on_its_word() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let (alone, gateway) = (simulation.all()[0].clone(), simulation.all()[5].clone());
-        simulation.network.cut(Direction::Both, [alone.ip.clone(), gateway.ip.clone()]);
+        let (alone, gateway) = (simulation.all_machines()[0].clone(), simulation.all_machines()[5].clone());
+        simulation.network.partition(Direction::Both, [alone.ip.clone(), gateway.ip.clone()]);
         sleep(ms(1000)).await;
-        assert!(put(&simulation.all()[1], 2).await);
+        assert!(put(&simulation.all_machines()[1], 2).await);
         restart(&simulation, &gateway);
         let began = Instant::now();
         while began.elapsed() < CUT {
@@ -108,7 +108,7 @@
             assert!(!is_current(&gateway), "ready with {} after {:?}", version(&gateway), began.elapsed());
         }
         assert_eq!(version(&gateway), 1, "it has heard of the earlier one");
-        simulation.network.mend_all();
+        simulation.network.heal_all();
         sleep(ms(4000)).await;
         assert!(is_current(&gateway) && version(&gateway) == 2);
     });
@@ -118,15 +118,15 @@
 fn a_gateway_that_reaches_the_others_as_well_is_ready_at_once_on_theirs() {
     // Before the one that is cut off can know it, and after it has missed all others.
     for before in [ms(1000), ms(8000)] {
-        play(async move {
+        run_simulation(async move {
             let simulation = started().await;
             // The first one, a seed of all machines, is cut off from the other control nodes, and from nobody else.
             let control_nodes = simulation.control_nodes();
             control_nodes[1..].iter().for_each(|other| isolate(&simulation, &control_nodes[0], other));
             sleep(before).await;
-            assert!(put(&simulation.all()[1], 2).await);
-            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, 1).await);
-            let gateways = simulation.all().split_off(5);
+            assert!(put(&simulation.all_machines()[1], 2).await);
+            assert!(beat(&simulation.all_machines()[1], "i-1", ServerState::Ready, 1).await);
+            let gateways = simulation.all_machines().split_off(5);
             gateways.iter().for_each(|gateway| restart(&simulation, gateway));
             let began = Instant::now();
             while !gateways.iter().all(|gateway| is_current(gateway)) {
@@ -145,9 +145,9 @@
 /// One of those that are in contact stands still at some moment while it starts: what others have named it must have.
 #[test]
 fn a_gateway_has_the_version_that_it_was_named_before_it_is_ready() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let (all, control_nodes) = (simulation.all(), simulation.control_nodes());
+        let (all, control_nodes) = (simulation.all_machines(), simulation.control_nodes());
         let (alone, gateway) = (&all[0], &all[5]);
         all[1..].iter().filter(|m| m.name != gateway.name).for_each(|m| isolate(&simulation, alone, m));
         sleep(ms(5000)).await;
@@ -176,9 +176,9 @@
 #[test]
 fn who_was_cut_off_speaks_for_a_majority_only_once_it_has_caught_up() {
     for moment in (0..1000).step_by(50) {
-        play(async move {
+        run_simulation(async move {
             let simulation = started().await;
-            let all = simulation.all();
+            let all = simulation.all_machines();
             let (back, gateway) = (&all[0], &all[5]);
             let beyond: Vec<_> =
                 all.iter().filter(|m| m.name != back.name && m.name != gateway.name).collect();
@@ -193,7 +193,7 @@
             restart(&simulation, gateway);
             sleep(ms(2000 + moment)).await;
             assert!(offers(gateway, "i-1"), "it knows what the one that is cut off knows");
-            simulation.network.mend_all();
+            simulation.network.heal_all();
             beyond.iter().for_each(|other| isolate(&simulation, gateway, other));
             let began = Instant::now();
             while !is_current(gateway) {
@@ -207,9 +207,9 @@
 
 #[test]
 fn a_gateway_is_fed_by_one_that_is_in_contact() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let (all, control_nodes) = (simulation.all(), simulation.control_nodes());
+        let (all, control_nodes) = (simulation.all_machines(), simulation.control_nodes());
         for (n, alone) in control_nodes.iter().enumerate() {
             let others: Vec<_> = control_nodes.iter().filter(|m| m.name != alone.name).collect();
             let id = format!("i-{}", "1".repeat(n + 1));
@@ -228,7 +228,7 @@
             sleep(ms(100)).await;
             let late = all[5..].iter().filter(|m| offers(m, &id)).count();
             assert_eq!(late, 0, "{} is cut off and feeds", alone.name);
-            simulation.network.mend_all();
+            simulation.network.heal_all();
             sleep(ms(6000)).await;
         }
     });
@@ -238,23 +238,23 @@
 #[test]
 fn a_gateway_whose_control_nodes_are_all_cut_off_calls_the_others() {
     for (a, b) in (0..5).flat_map(|a| (0..a).map(move |b| (a, b))) {
-        play(async move {
+        run_simulation(async move {
             let simulation = started().await;
-            let (gateway, control_nodes) = (simulation.all()[5].clone(), simulation.control_nodes());
+            let (gateway, control_nodes) = (simulation.all_machines()[5].clone(), simulation.control_nodes());
             let pair = [control_nodes[a].clone(), control_nodes[b].clone()];
             let others: Vec<_> =
                 control_nodes.into_iter().filter(|m| pair.iter().all(|p| p.name != m.name)).collect();
             let part = || {
                 pair.iter().for_each(|p| others.iter().for_each(|other| isolate(&simulation, p, other)));
             };
-            gateway.name_seeds(&pair);
+            gateway.set_seed_nodes(&pair);
             restart(&simulation, &gateway);
             sleep(ms(4000)).await;
             part();
             sleep(ms(6000)).await;
             let linked = others.iter().filter(|other| is_linked(&gateway, other)).count();
             assert!(linked > 0, "ready, it goes on with {} and {} alone", pair[0].name, pair[1].name);
-            simulation.network.mend_all();
+            simulation.network.heal_all();
             sleep(ms(6000)).await;
             // It starts before the two can know that they are cut off.
             part();
@@ -272,9 +272,9 @@
 
 #[test]
 fn without_a_majority_for_long_a_gateway_stays_ready_and_a_new_one_goes_by_the_newest_known() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let all = simulation.all();
+        let all = simulation.all_machines();
         all[..3].iter().for_each(|control_node| control_node.kill(&simulation.network));
         restart(&simulation, &all[5]);
         // One that stands still meanwhile has not waited.
@@ -298,46 +298,46 @@
 
 #[test]
 fn who_is_cut_off_calls_nobody_silent_or_down_and_acknowledges_no_drain() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let alone = simulation.all()[0].clone();
+        let alone = simulation.all_machines()[0].clone();
         assert!(beat(&alone, "i-1", ServerState::Ready, 1).await);
         sleep(ms(2000)).await;
-        simulation.network.cut(Direction::Both, [alone.ip.clone()]);
+        simulation.network.partition(Direction::Both, [alone.ip.clone()]);
         let began = Instant::now();
         assert!(!beat(&alone, "i-333", ServerState::Draining, 1).await, "it can't know yet that it is alone");
         let mut seq = 2;
         while began.elapsed() < CUT {
             // The server goes on beating where it is heard.
-            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, seq).await);
+            assert!(beat(&simulation.all_machines()[1], "i-1", ServerState::Ready, seq).await);
             seq += 1;
             sleep(ms(1000)).await;
             assert_eq!(entries(&alone, "servers", "silent", &true.into()), 0, "{:?}", began.elapsed());
             assert_eq!(entries(&alone, "nodes", "state", &"down".into()), 0, "{:?}", began.elapsed());
-            assert!(simulation.all()[1..].iter().all(|m| offers(m, "i-1")));
+            assert!(simulation.all_machines()[1..].iter().all(|m| offers(m, "i-1")));
             if began.elapsed() > ms(4000) {
                 let asked = Instant::now();
                 assert!(!beat(&alone, "i-22", ServerState::Draining, seq).await);
                 assert!(asked.elapsed() < ms(50), "it knows that it is alone, and says so at once");
             }
         }
-        simulation.network.mend_all();
+        simulation.network.heal_all();
         let healed = Instant::now();
         while healed.elapsed() < ms(10_000) {
-            assert!(beat(&simulation.all()[1], "i-1", ServerState::Ready, seq).await);
+            assert!(beat(&simulation.all_machines()[1], "i-1", ServerState::Ready, seq).await);
             seq += 1;
             sleep(ms(500)).await;
-            assert!(simulation.all()[1..].iter().all(|m| offers(m, "i-1")));
+            assert!(simulation.all_machines()[1..].iter().all(|m| offers(m, "i-1")));
         }
     });
 }
 
 #[test]
 fn a_control_node_that_knows_no_membership_acknowledges_no_drain() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let wiped = simulation.all()[4].clone();
-        simulation.network.cut(Direction::Both, [wiped.ip.clone()]);
+        let wiped = simulation.all_machines()[4].clone();
+        simulation.network.partition(Direction::Both, [wiped.ip.clone()]);
         wiped.wipe();
         restart(&simulation, &wiped);
         sleep(ms(1000)).await;
@@ -347,9 +347,9 @@
 
 #[test]
 fn the_duty_of_hearing_passes_on_and_its_earlier_holder_follows() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let all = simulation.all();
+        let all = simulation.all_machines();
         // A server and the control node that hears it are lost together.
         assert!(beat(&all[3], "i-1", ServerState::Ready, 1).await);
         sleep(ms(1000)).await;
@@ -362,7 +362,7 @@
         sleep(ms(5000)).await;
         // The holder is cut off; another server is lost with the control node that hears it.
         assert!(beat(&all[2], "i-22", ServerState::Ready, 1).await);
-        simulation.network.cut(Direction::Both, [all[0].ip.clone()]);
+        simulation.network.partition(Direction::Both, [all[0].ip.clone()]);
         all[2].kill(&simulation.network);
         let began = Instant::now();
         while began.elapsed() < ms(28_000) {
@@ -374,7 +374,7 @@
         assert!(held && next > term, "{next:?} after {term:?}");
         assert!(!hearing(&all[0]).1, "one that is cut off gives it up");
         assert!(all[5..].iter().all(|m| !offers(m, "i-22")));
-        simulation.network.mend_all();
+        simulation.network.heal_all();
         all[2].start(&simulation.network, false);
         sleep(ms(8000)).await;
         // Those that come back are let in again, which begins an epoch, and with it a term, for all.
@@ -387,9 +387,9 @@
 
 #[test]
 fn the_duty_of_hearing_is_held_only_once_a_majority_has_taken_the_term_in() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let all = simulation.all();
+        let all = simulation.all_machines();
         assert!(beat(&all[3], "i-1", ServerState::Ready, 1).await);
         sleep(ms(1000)).await;
         all[3].kill(&simulation.network);
@@ -412,9 +412,9 @@
 
 #[test]
 fn a_drain_reaches_a_gateway_in_time_whose_feed_stands_still() {
-    play(async {
+    run_simulation(async {
         let simulation = started().await;
-        let all = simulation.all();
+        let all = simulation.all_machines();
         assert!(beat(&all[1], "i-1", ServerState::Ready, 1).await);
         sleep(ms(2000)).await;
         let mut longest = Duration::ZERO;
--- a/crates/node/tests/days/drawn.rs
+++ b/crates/node/tests/days/drawn.rs
@@ -9,10 +9,10 @@
     fn trouble(&mut self) {
         let control_nodes = self.simulation.control_nodes();
         let control_node = control_nodes[self.rng.usize(..control_nodes.len())].clone();
-        let (all, gateways) = (self.simulation.all(), self.gateways());
+        let (all, gateways) = (self.simulation.all_machines(), self.gateways());
         let lasts = self.rng.u64(200..4000);
         let what = self.rng.usize(..14);
-        say(&format!("TROUBLE {what} at {} for {lasts} ms", control_node.name));
+        log_line(&format!("TROUBLE {what} at {} for {lasts} ms", control_node.name));
         if what < 11 {
             self.settled = None;
         }
@@ -26,10 +26,10 @@
             2 => self.replace(&control_node, lasts),
             3 => self.freeze(&control_node, lasts),
             4 => match self.rng.usize(..3) {
-                0 => self.cut(Direction::Inward, vec![control_node], lasts),
+                0 => self.cut(Direction::Inbound, vec![control_node], lasts),
                 1 => {
-                    self.simulation.network.break_all(&control_node.ip);
-                    control_node.well_since.set(None);
+                    self.simulation.network.break_connections(&control_node.ip);
+                    control_node.healthy_since.set(None);
                     self.after(lasts, Heal::Join(None, vec![control_node]));
                 }
                 _ => self.cut(Direction::Both, vec![control_node], lasts),
@@ -94,7 +94,7 @@
     }
 }
 
-pub(crate) async fn day(seed: u64) {
+pub(crate) async fn simulate_day(seed: u64) {
     let mut world = World::new(seed, false);
     sleep(ms(2000)).await;
     world.version = 1;
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::simulation::{Direction, Machine, Simulation, configuration, ms, say};
+use crate::simulation::{Direction, Machine, Simulation, configuration, log_line, ms};
 use history::{Answer, History, Order};
 
 /// The users' bounds, as at the small sites.
@@ -92,11 +92,11 @@
 
 impl Callers {
     /// Calls a machine as operators and servers do: they wait for so long, and go on.
-    async fn ask<T: 'static, F: Future<Output = T> + 'static>(
+    async fn call<T: 'static, F: Future<Output = T> + 'static>(
         &self, at: &Machine, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
         let before = at.undisturbed();
-        let answer = at.ask(PATIENCE, job).await;
+        let answer = at.call(PATIENCE, job).await;
         if self.prompt && answer.is_none() && before.is_some() && before == at.undisturbed() {
             self.told.borrow_mut().history.fault(format!("{} left a caller without an answer", at.name));
         }
@@ -106,7 +106,7 @@
     /// One try of an operator.
     async fn put(&self, at: &Rc<Machine>, order: Order) -> Answer {
         let text = configuration(order.version, order.salt);
-        let put = self.ask(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
+        let put = self.call(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
         let answer = match put {
             Some(PutOutcome::Accepted { version: held }) if held >= order.version => {
                 Answer::Acknowledged { held }
@@ -124,7 +124,7 @@
             }
             Some(PutOutcome::Unknown(_)) | None => Answer::Unclear,
         };
-        say(&format!("{order:?} at {}: {answer:?}", at.name));
+        log_line(&format!("{order:?} at {}: {answer:?}", at.name));
         self.told.borrow_mut().history.answered(order, answer, &at.name);
         answer
     }
@@ -133,7 +133,7 @@
     async fn read(&self, at: &Rc<Machine>) {
         let floor = self.told.borrow().history.floor();
         let read = async |agent: Rc<Agent>| agent.read_newest().await;
-        let Some(Ok(found)) = self.ask(at, read).await else { return };
+        let Some(Ok(found)) = self.call(at, read).await else { return };
         let text = found.and_then(|found| compression::decompress(&found.compressed_text).ok());
         let order = text.and_then(|text| Order::of(&Config::parse(&text).ok()?));
         self.told.borrow_mut().history.read(floor, order, &at.name);
@@ -168,7 +168,7 @@
             let acknowledged = matches!(answer, Answer::Acknowledged { .. });
             if let Some(wiped) = self.strike.get().filter(|_| acknowledged) {
                 self.strike.set(None);
-                say(&format!("STRUCK {} wiped {wiped}", at.name));
+                log_line(&format!("STRUCK {} wiped {wiped}", at.name));
                 at.kill(&self.simulation.network);
                 if wiped {
                     at.wipe();
@@ -181,7 +181,7 @@
             let mut told = self.told.borrow_mut();
             if answer != Answer::Unclear {
                 told.open.remove(&order);
-                say(&format!("{answer:?} {order:?}"));
+                log_line(&format!("{answer:?} {order:?}"));
             }
             if acknowledged {
                 told.held.push((order.version, Instant::now()));
@@ -256,7 +256,7 @@
         let callers = self.callers.clone();
         spawn_local(async move {
             let put = async move |agent: Rc<Agent>| agent.put(bad.as_bytes()).await;
-            let got = callers.ask(&at, put).await;
+            let got = callers.call(&at, put).await;
             if !matches!(got, None | Some(PutOutcome::Invalid(_))) {
                 callers.told.borrow_mut().history.fault("what is invalid is not refused".to_owned());
             }
@@ -284,8 +284,8 @@
                 };
                 let beats = async |at: Rc<Machine>| {
                     let beat = beat.clone();
-                    let told = callers.ask(&at, async move |agent| agent.record_heartbeat(beat).await).await;
-                    say(&format!("{id} says {state:?} to {}: {told:?}", at.name));
+                    let told = callers.call(&at, async move |agent| agent.record_heartbeat(beat).await).await;
+                    log_line(&format!("{id} says {state:?} to {}: {told:?}", at.name));
                     told == Some(Ok(()))
                 };
                 if callers.until_clear(&[], rng.fork(), beats).await && state == ServerState::Draining {
@@ -296,8 +296,8 @@
             let gone = async |at: Rc<Machine>| {
                 let id = id.clone();
                 let told =
-                    callers.ask(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
-                say(&format!("leaves {}: {told:?}", at.name));
+                    callers.call(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
+                log_line(&format!("leaves {}: {told:?}", at.name));
                 told == Some(Ok(()))
             };
             callers.until_clear(&[], rng.fork(), gone).await;
@@ -305,7 +305,7 @@
     }
 
     fn gateways(&self) -> Vec<Rc<Machine>> {
-        self.simulation.all().into_iter().filter(|m| !m.is_control_node()).collect()
+        self.simulation.all_machines().into_iter().filter(|m| !m.is_control_node()).collect()
     }
 
     fn after(&mut self, wait: u64, heal: Heal) {
@@ -314,34 +314,34 @@
 
     fn down(&mut self, machine: &Rc<Machine>, for_ms: u64) {
         machine.kill(&self.simulation.network);
-        machine.well_since.set(None);
+        machine.healthy_since.set(None);
         self.after(for_ms, Heal::Start(machine.clone()));
     }
 
     fn freeze(&mut self, machine: &Rc<Machine>, for_ms: u64) {
         machine.freeze(true);
-        machine.well_since.set(None);
+        machine.healthy_since.set(None);
         self.after(for_ms, Heal::Thaw(machine.clone()));
     }
 
     fn stall(&mut self, machine: &Rc<Machine>, for_ms: u64) {
-        machine.storage.as_ref().expect("a disk").sync.set(ms(for_ms));
-        machine.well_since.set(None);
+        machine.storage.as_ref().expect("a disk").sync_time.set(ms(for_ms));
+        machine.healthy_since.set(None);
         self.after(for_ms, Heal::Sync(machine.clone()));
     }
 
     /// One is gone for good, and an empty one comes at another address.
     fn replace(&mut self, machine: &Rc<Machine>, for_ms: u64) {
         machine.kill(&self.simulation.network);
-        machine.gone.set(true);
+        machine.is_removed.set(true);
         let new = self.simulation.add_control_node();
-        new.well_since.set(None);
+        new.healthy_since.set(None);
         self.after(for_ms, Heal::Start(new));
     }
 
     fn cut(&mut self, direction: Direction, far: Vec<Rc<Machine>>, for_ms: u64) {
-        far.iter().for_each(|m| m.well_since.set(None));
-        let cut = self.simulation.network.cut(direction, far.iter().map(|m| m.ip.clone()));
+        far.iter().for_each(|m| m.healthy_since.set(None));
+        let cut = self.simulation.network.partition(direction, far.iter().map(|m| m.ip.clone()));
         self.after(for_ms, Heal::Join(Some(cut), far));
     }
 
@@ -365,7 +365,7 @@
         let due: Vec<(Instant, Heal)> = due;
         let healed = due.len();
         for (_, heal) in due {
-            say("HEALED");
+            log_line("HEALED");
             let machines = match heal {
                 Heal::Start(machine) => {
                     machine.start(&self.simulation.network, false);
@@ -376,35 +376,35 @@
                     vec![machine]
                 }
                 Heal::Sync(machine) => {
-                    machine.storage.as_ref().expect("a disk").sync.set(ms(5));
+                    machine.storage.as_ref().expect("a disk").sync_time.set(ms(5));
                     vec![machine]
                 }
                 Heal::Join(cut, machines) => {
-                    cut.into_iter().for_each(|cut| self.simulation.network.mend(cut));
+                    cut.into_iter().for_each(|cut| self.simulation.network.heal_partition(cut));
                     machines
                 }
             };
             // Another trouble may last on.
-            let well = machines.iter().filter(|m| m.is_well(&self.simulation.network));
-            well.for_each(|m| m.well_since.set(Some(now)));
+            let well = machines.iter().filter(|m| m.is_healthy(&self.simulation.network));
+            well.for_each(|m| m.healthy_since.set(Some(now)));
         }
         healed
     }
 
     fn in_touch(&self, machine: &Machine) -> bool {
         let calm = |since: Option<Instant>| since.is_some_and(|at| at.elapsed() >= CONTACT);
-        calm(self.settled) && calm(machine.well_since.get())
+        calm(self.settled) && calm(machine.healthy_since.get())
     }
 
     /// What must hold at any moment.
     fn check(&mut self) {
         let now = Instant::now();
-        crate::simulation::check_panics();
-        for machine in self.simulation.all() {
+        crate::simulation::assert_no_panics();
+        for machine in self.simulation.all_machines() {
             let Some(agent) = machine.agent() else { continue };
             let config = agent.config();
             let version = config.as_ref().map_or(0, |c| c.version);
-            let before = self.seen.entry((machine.name.clone(), machine.life.get())).or_insert(0);
+            let before = self.seen.entry((machine.name.clone(), machine.start_count.get())).or_insert(0);
             assert!(version >= *before, "{} went back from {before} to {version}", machine.name);
             *before = version;
             assert!(version < INVALID_FROM, "{}: what is invalid is in force", machine.name);
@@ -441,13 +441,13 @@
         let newest = self.told.borrow().held.iter().map(|(version, _)| *version).max().unwrap_or(0);
         for machine in self.simulation.control_nodes() {
             let read = async |agent: Rc<Agent>| agent.read_newest().await;
-            let found = machine.ask(ACK, read).await.and_then(Result::ok).flatten();
+            let found = machine.call(ACK, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} cannot read the register", machine.name));
             assert!(found.version >= newest, "{} of {newest} acknowledged is read", found.version);
             self.callers.read(&machine).await;
         }
         let known = |m: &Rc<Machine>| m.agent().map(|agent| agent.digest());
-        let all: Vec<_> = self.simulation.all().iter().map(|m| (m.name.clone(), known(m))).collect();
+        let all: Vec<_> = self.simulation.all_machines().iter().map(|m| (m.name.clone(), known(m))).collect();
         assert!(all.iter().all(|(_, d)| *d == all[0].1), "they know different things: {all:?}");
         self.check();
     }
--- a/crates/node/tests/days/worst.rs
+++ b/crates/node/tests/days/worst.rs
@@ -90,7 +90,7 @@
 
     /// How many of the core count as lost: in trouble, or not yet caught up.
     fn lost(&self) -> usize {
-        let caught_up = |m: &Rc<Machine>| m.well_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
+        let caught_up = |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
         let lost = self.world.simulation.control_nodes().iter().filter(|m| !caught_up(m)).count();
         lost + usize::from(self.world.callers.strike.get().is_some())
     }
@@ -101,7 +101,7 @@
         let mut control_nodes = self.world.simulation.control_nodes();
         self.world.rng.shuffle(&mut control_nodes);
         let (well, ill): (Vec<_>, Vec<_>) =
-            control_nodes.into_iter().partition(|m| m.well_since.get().is_some());
+            control_nodes.into_iter().partition(|m| m.healthy_since.get().is_some());
         let seeds = ill.iter().take(2).chain(&well).take(3).map(|m| format!("{}:8047", m.ip));
         *machine.seeds.borrow_mut() = seeds.collect();
     }
@@ -112,11 +112,11 @@
         let gateways = self.world.gateways();
         let half: Vec<Rc<Machine>> = gateways.iter().step_by(2).cloned().collect();
         let what = self.world.rng.usize(..11);
-        say(&format!("LOSS {what} at {}", control_node.name));
+        log_line(&format!("LOSS {what} at {}", control_node.name));
         match what {
             0 => self.cut(Direction::Both, vec![control_node]),
-            1 => self.cut(Direction::Inward, vec![control_node]),
-            2 => self.cut(Direction::Outward, vec![control_node]),
+            1 => self.cut(Direction::Inbound, vec![control_node]),
+            2 => self.cut(Direction::Outbound, vec![control_node]),
             3 => self.cut(Direction::Both, [vec![control_node], half].concat()),
             // Some of those beside it start anew, and know of nobody else to begin with.
             4 => {
@@ -149,11 +149,12 @@
 
     /// What befalls more than may be lost, and takes nothing from the disks that are to remain.
     fn befall_all(&mut self) {
-        let (all, mut control_nodes) = (self.world.simulation.all(), self.world.simulation.control_nodes());
+        let (all, mut control_nodes) =
+            (self.world.simulation.all_machines(), self.world.simulation.control_nodes());
         self.world.rng.shuffle(&mut control_nodes);
         let back = self.world.rng.u64(100..900);
         let what = self.world.rng.usize(..4);
-        say(&format!("ALL {what}"));
+        log_line(&format!("ALL {what}"));
         match what {
             // The smaller part of the core, the seeds among them perhaps, and half of the gateways.
             0 => {
@@ -180,7 +181,7 @@
             self.befall_all();
             return true;
         }
-        let well = |m: &Rc<Machine>| m.well_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
+        let well = |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
         let control_nodes: Vec<_> = self.world.simulation.control_nodes().into_iter().filter(well).collect();
         let control_node = self.one_of(&control_nodes);
         self.lose(control_node);
@@ -190,7 +191,7 @@
     /// Gateways start anew, one or many, whatever goes on beside.
     fn trouble_of_gateways(&mut self) {
         let gateways: Vec<_> =
-            self.world.gateways().into_iter().filter(|m| m.well_since.get().is_some()).collect();
+            self.world.gateways().into_iter().filter(|m| m.healthy_since.get().is_some()).collect();
         let many = if self.world.rng.u32(..4) == 0 { gateways.len() } else { 1.min(gateways.len()) };
         let first = self.world.rng.usize(..gateways.len().max(1));
         for gateway in gateways.iter().cycle().skip(first).take(many) {
@@ -206,7 +207,7 @@
     /// The core counts as settled from its last event on, while most of it runs, is connected and not slowed.
     fn settle(&mut self, event: bool) {
         let control_nodes = self.world.simulation.control_nodes();
-        let well = control_nodes.iter().filter(|m| m.well_since.get().is_some()).count();
+        let well = control_nodes.iter().filter(|m| m.healthy_since.get().is_some()).count();
         let stalls = control_nodes.iter().any(|m| m.is_stalled());
         let settled = well * 2 > control_nodes.len() && !stalls;
         self.world.settled = match self.world.settled {
@@ -214,7 +215,7 @@
             Some(since) if !event => Some(since),
             _ => Some(Instant::now()),
         };
-        if self.far.iter().all(|m| m.well_since.get().is_some()) {
+        if self.far.iter().all(|m| m.healthy_since.get().is_some()) {
             self.far.clear();
         }
     }
@@ -235,7 +236,7 @@
     }
 }
 
-pub(crate) async fn day(seed: u64) {
+pub(crate) async fn simulate_day(seed: u64) {
     let mut day = WorstDay::new(seed);
     sleep(ms(2000)).await;
     day.world.version = 1;
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -13,7 +13,7 @@
 #[path = "../common/mod.rs"]
 mod common;
 
-use common::{Hall, ask, put, run};
+use common::{TestSystem, put_request, run_test, send_request};
 
 fn address(text: &str) -> Option<SocketAddr> {
     Some(text.parse().expect("an address"))
@@ -81,14 +81,14 @@
 const VARYING: [&str; 2] = ["date", "content-length"];
 
 /// An answer as text; addresses, which differ from run to run, by name.
-async fn exchange(hall: &Hall, what: &str, request: &str) -> String {
-    let answer = ask(hall.control, request).await.expect("an answer");
-    let mut text = format!("== {what}\n{}\n", answer.first);
+async fn exchange(system: &TestSystem, what: &str, request: &str) -> String {
+    let answer = send_request(system.control, request).await.expect("an answer");
+    let mut text = format!("== {what}\n{}\n", answer.start_line);
     for (name, value) in answer.headers.iter().filter(|(name, _)| !VARYING.contains(&name.as_str())) {
         text += &format!("{name}: {value}\n");
     }
     text += &format!("{}\n", String::from_utf8_lossy(&answer.body));
-    text.replace(&hall.control.to_string(), "CONTROL")
+    text.replace(&system.control.to_string(), "CONTROL")
 }
 
 fn get(path: &str) -> String {
@@ -103,30 +103,30 @@
     let body = format!(
         r#"{{"service":"s","address":"127.0.0.1:9","zone":"a","capacity":4,"state":"{state}","call-seq":{seq}}}"#
     );
-    put("/api/instances/i-1", &body)
+    put_request("/api/instances/i-1", &body)
 }
 
 #[test]
 fn control_calls_are_answered_as_before() {
-    run(async {
-        let hall = Hall::start("golden-api");
-        hall.until(hall.control, &get("/api/configuration"), 404).await;
+    run_test(async {
+        let system = TestSystem::start("golden-api");
+        system.wait_for_status(system.control, &get("/api/configuration"), 404).await;
         let other = CONFIGURATION.replace("2000", "1500");
         let calls = [
             ("no configuration yet", get("/api/configuration")),
-            ("a configuration", put("/api/configuration", CONFIGURATION)),
-            ("the same again", put("/api/configuration", CONFIGURATION)),
-            ("another text under its version", put("/api/configuration", &other)),
+            ("a configuration", put_request("/api/configuration", CONFIGURATION)),
+            ("the same again", put_request("/api/configuration", CONFIGURATION)),
+            ("another text under its version", put_request("/api/configuration", &other)),
             (
                 "an older version",
-                put("/api/configuration", &CONFIGURATION.replace("\"version\":4", "\"version\":2")),
+                put_request("/api/configuration", &CONFIGURATION.replace("\"version\":4", "\"version\":2")),
             ),
-            ("no configuration at all", put("/api/configuration", "[]")),
+            ("no configuration at all", put_request("/api/configuration", "[]")),
             ("the newest", get("/api/configuration")),
             ("a server", instance("ready", 1)),
             ("a server that drains", instance("draining", 2)),
             ("a server of no known state", instance("asleep", 3)),
-            ("a server that is nowhere", put("/api/instances/i-2", r#"{"address":"nowhere"}"#)),
+            ("a server that is nowhere", put_request("/api/instances/i-2", r#"{"address":"nowhere"}"#)),
             ("a server that ends", delete("/api/instances/i-1")),
             ("a server that nobody knows ends", delete("/api/instances/i-9")),
             ("readiness", get("/api/readiness")),
@@ -134,7 +134,7 @@
         ];
         let mut text = String::new();
         for (what, request) in calls {
-            text += &exchange(&hall, what, &request).await;
+            text += &exchange(&system, what, &request).await;
         }
         assert_golden("control-calls.txt", &text);
     });
@@ -142,10 +142,10 @@
 
 #[test]
 fn the_operators_client_prints_what_it_printed() {
-    run(async {
-        let hall = Hall::start("golden-client");
-        hall.until(hall.control, &get("/api/configuration"), 404).await;
-        let control = hall.control.to_string();
+    run_test(async {
+        let system = TestSystem::start("golden-client");
+        system.wait_for_status(system.control, &get("/api/configuration"), 404).await;
+        let control = system.control.to_string();
         let calls = tokio::task::spawn_blocking(move || {
             let at = vec![control.clone()];
             let other = CONFIGURATION.replace("2000", "1500");
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -13,7 +13,8 @@
 
 use super::assert_golden;
 use super::simulation::{
-    Direction, Machine, Recording, Simulation, configuration, ms, play, record, recorded,
+    Direction, Machine, Recording, Simulation, configuration, finish_recording, ms, run_simulation,
+    start_recording,
 };
 
 const CONTROL_NODES: usize = 5;
@@ -35,12 +36,12 @@
 }
 
 async fn beat(machine: &Rc<Machine>, heartbeat: Heartbeat) -> Option<Result<(), NoQuorum>> {
-    machine.ask(PATIENCE, |agent| async move { agent.record_heartbeat(heartbeat).await }).await
+    machine.call(PATIENCE, |agent| async move { agent.record_heartbeat(heartbeat).await }).await
 }
 
 async fn put(machine: &Rc<Machine>, version: u64, salt: u64) {
     let text = configuration(version, salt);
-    machine.ask(PATIENCE, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
+    machine.call(PATIENCE, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
 }
 
 /// All servers say each second that they are there, at the control nodes that are up.
@@ -58,27 +59,27 @@
 async fn day() -> String {
     fastrand::seed(11);
     let simulation = Simulation::new(CONTROL_NODES, GATEWAYS, 1);
-    let (mut seq, machines) = (0, simulation.all());
+    let (mut seq, machines) = (0, simulation.all_machines());
     sleep(ms(4000)).await;
     beats(&simulation, 3, &mut seq).await;
     put(&machines[0], 3, 1).await;
     // The same number with another text, an older one, and one that is no configuration.
     put(&machines[1], 3, 2).await;
     put(&machines[2], 2, 1).await;
-    machines[3].ask(PATIENCE, |agent| async move { drop(agent.put(b"{}").await) }).await;
+    machines[3].call(PATIENCE, |agent| async move { drop(agent.put(b"{}").await) }).await;
     // A server drains and ends, another ends without a word.
     beat(&machines[1], heartbeat(0, ServerState::Draining, seq + 1)).await;
-    machines[1].ask(PATIENCE, |agent| async move { agent.deregister(&"i-0".into()).await }).await;
-    machines[2].ask(PATIENCE, |agent| async move { agent.deregister(&"i-1".into()).await }).await;
+    machines[1].call(PATIENCE, |agent| async move { agent.deregister(&"i-0".into()).await }).await;
+    machines[2].call(PATIENCE, |agent| async move { agent.deregister(&"i-1".into()).await }).await;
     beats(&simulation, 4, &mut seq).await;
     // A control node is lost for good, and another machine takes its place.
     machines[4].kill(&simulation.network);
-    machines[4].gone.set(true);
+    machines[4].is_removed.set(true);
     let new = simulation.add_control_node();
     new.start(&simulation.network, false);
     beats(&simulation, 16, &mut seq).await;
     faults(&simulation, &machines, &mut seq).await;
-    let states = simulation.all().into_iter().filter_map(|machine| {
+    let states = simulation.all_machines().into_iter().filter_map(|machine| {
         let agent = machine.agent()?;
         Some(format!("{}\n{:#}\n", machine.name, agent.status()))
     });
@@ -89,12 +90,12 @@
 async fn faults(simulation: &Simulation, machines: &[Rc<Machine>], seq: &mut u64) {
     // Two that are cut off for a while, and orders at both sides.
     let far = [machines[0].ip.clone(), machines[7].ip.clone()];
-    let cut = simulation.network.cut(Direction::Both, far);
+    let cut = simulation.network.partition(Direction::Both, far);
     sleep(ms(3500)).await;
     put(&machines[0], 5, 1).await;
     put(&machines[1], 5, 2).await;
     sleep(ms(6000)).await;
-    simulation.network.mend(cut);
+    simulation.network.heal_partition(cut);
     beats(simulation, 4, seq).await;
     // One is wiped and back, one is told to end and comes back, a gateway starts anew.
     machines[1].kill(&simulation.network);
@@ -109,7 +110,7 @@
     put(&machines[0], 8, 4).await;
     beats(simulation, 5, seq).await;
     // Power fails everywhere.
-    let all = simulation.all();
+    let all = simulation.all_machines();
     all.iter().for_each(|machine| machine.kill(&simulation.network));
     all.iter().for_each(|machine| machine.start(&simulation.network, false));
     sleep(ms(500)).await;
@@ -138,9 +139,9 @@
 
 #[test]
 fn a_simulated_day_is_as_it_was() {
-    record();
-    let states = play(day());
-    let recording = recorded();
+    start_recording();
+    let states = run_simulation(day());
+    let recording = finish_recording();
     assert_golden("day-states.txt", &states);
     assert_golden("day-log.txt", &recording.log);
     assert_golden("day-traffic.txt", &traffic(&recording));
--- a/crates/node/tests/golden/upgrade.rs
+++ b/crates/node/tests/golden/upgrade.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::simulation::{Simulation, configuration, ms, play, record, recorded};
+use super::simulation::{Simulation, configuration, finish_recording, ms, run_simulation, start_recording};
 use super::{assert_golden, golden, is_writing, path};
 
 const CONTROL_NODES: usize = 3;
@@ -36,17 +36,17 @@
 async fn conversation() {
     fastrand::seed(5);
     let simulation = Simulation::new(CONTROL_NODES, 1, 0);
-    ["10.0.0.2", "10.0.0.3"].iter().for_each(|other| simulation.network.part(GATEWAY, other));
+    ["10.0.0.2", "10.0.0.3"].iter().for_each(|other| simulation.network.disconnect(GATEWAY, other));
     sleep(ms(3000)).await;
-    let control_node = simulation.all()[0].clone();
+    let control_node = simulation.all_machines()[0].clone();
     let patience = ms(1000);
     let text = configuration(7, 3);
-    control_node.ask(patience, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
+    control_node.call(patience, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
     for (id, state, seq) in
         [("i-1", ServerState::Ready, 1), ("i-20", ServerState::Ready, 1), ("i-20", ServerState::Draining, 2)]
     {
         control_node
-            .ask(
+            .call(
                 patience,
                 move |agent| async move { agent.record_heartbeat(heartbeat(id, state, seq)).await },
             )
@@ -59,9 +59,9 @@
     if !is_writing() || path("upgrade-control-node.jsonl").exists() {
         return;
     }
-    record();
-    play(conversation());
-    let traffic = recorded().traffic;
+    start_recording();
+    run_simulation(conversation());
+    let traffic = finish_recording().traffic;
     let said = |from: &str, to: &str| {
         let bytes = traffic[&(from.to_owned(), to.to_owned())].clone();
         String::from_utf8(bytes).expect("lines of text")
@@ -104,10 +104,10 @@
 #[test]
 fn a_gateway_of_this_release_takes_its_state_from_an_earlier_control_node() {
     record_once();
-    play(async {
+    run_simulation(async {
         fastrand::seed(5);
         let simulation = Simulation::new(CONTROL_NODES, 1, 0);
-        let machines = simulation.all();
+        let machines = simulation.all_machines();
         machines[..CONTROL_NODES].iter().for_each(|machine| machine.kill(&simulation.network));
         let mut callers = simulation.network.listen(&format!("{CONTROL_NODE}:7080"));
         let (read, write) = callers.recv().await.expect("the gateway calls its seed");
@@ -124,15 +124,15 @@
 #[test]
 fn a_control_node_of_this_release_answers_an_earlier_gateway() {
     record_once();
-    play(async {
+    run_simulation(async {
         fastrand::seed(5);
         let simulation = Simulation::new(CONTROL_NODES, 1, 0);
-        let machines = simulation.all();
+        let machines = simulation.all_machines();
         machines[CONTROL_NODES].kill(&simulation.network);
         sleep(ms(3000)).await;
         let text = configuration(7, 3);
         machines[REACHED]
-            .ask(ms(1000), move |agent| async move { drop(agent.put(text.as_bytes()).await) })
+            .call(ms(1000), move |agent| async move { drop(agent.put(text.as_bytes()).await) })
             .await;
         let stream = simulation.network.connect(&format!("{CONTROL_NODE}:7080")).expect("it listens");
         let (read, write) = split(stream);
--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ashvane_node::agent::PutOutcome;
-use simulation::{Direction, GRACE, Machine, Simulation, configuration, ms, play, say};
+use simulation::{Direction, GRACE_PERIOD, Machine, Simulation, configuration, log_line, ms, run_simulation};
 use tokio::time::{Instant, sleep};
 
 /// The users' bounds, as at the small sites.
@@ -83,7 +83,7 @@
     async fn pass(&mut self, time: Duration) {
         let end = Instant::now() + time;
         loop {
-            for agent in self.simulation.all().iter().filter_map(|m| m.agent()) {
+            for agent in self.simulation.all_machines().iter().filter_map(|m| m.agent()) {
                 let state = agent.status();
                 let epoch = state["duties"][0]["epoch"].as_u64().expect("an epoch");
                 let member = |m: &serde_json::Value| {
@@ -111,8 +111,8 @@
             for at in self.simulation.control_nodes() {
                 let text = text.clone();
                 let put = async move |agent: Rc<ashvane_node::agent::Agent>| agent.put(text.as_bytes()).await;
-                if matches!(at.ask(PATIENCE, put).await, Some(PutOutcome::Accepted { version: _ })) {
-                    say(&format!("HELD {} at {}", self.version, at.name));
+                if matches!(at.call(PATIENCE, put).await, Some(PutOutcome::Accepted { version: _ })) {
+                    log_line(&format!("HELD {} at {}", self.version, at.name));
                     return Some(at);
                 }
             }
@@ -130,7 +130,7 @@
     async fn read_back(&mut self) {
         for at in self.simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()) {
             let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
-            let found = at.ask(ACK, read).await.and_then(Result::ok).flatten();
+            let found = at.call(ACK, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} cannot read the register", at.name));
             assert_eq!(found.version, self.version, "{} reads what was acknowledged", at.name);
         }
@@ -138,7 +138,7 @@
 
     /// These two don't reach each other.
     fn part(&self, a: &Machine, b: &Machine) {
-        self.simulation.network.part(&a.ip, &b.ip);
+        self.simulation.network.disconnect(&a.ip, &b.ip);
     }
 
     /// Its process is gone, and its disk with it.
@@ -150,7 +150,7 @@
     /// The machine is gone for good.
     fn remove(&self, machine: &Machine) {
         machine.kill(&self.simulation.network);
-        machine.gone.set(true);
+        machine.is_removed.set(true);
     }
 
     fn start(&self, machine: &Machine) {
@@ -199,8 +199,8 @@
             }
             Loss::Replaced | Loss::Silent => {
                 if loss == Loss::Silent {
-                    world.simulation.network.cut(Direction::Both, lost.iter().map(|m| m.ip.clone()));
-                    lost.iter().for_each(|m| m.gone.set(true));
+                    world.simulation.network.partition(Direction::Both, lost.iter().map(|m| m.ip.clone()));
+                    lost.iter().for_each(|m| m.is_removed.set(true));
                     lost.iter().for_each(|m| m.freeze(true));
                 } else {
                     lost.iter().for_each(|m| world.remove(m));
@@ -216,7 +216,7 @@
                 for machine in &lost {
                     let took = machine.terminate(&world.simulation.network).await;
                     assert!(took.is_some(), "{} leaves in time", machine.name);
-                    machine.gone.set(true);
+                    machine.is_removed.set(true);
                 }
             }
         }
@@ -233,14 +233,14 @@
     world.put_in_time().await;
     world.pass(CATCH_UP).await;
     world.read_back().await;
-    say(&format!("ROW {many} {losses} {loss:?} whole after {} ms at most", longest.as_millis()));
+    log_line(&format!("ROW {many} {losses} {loss:?} whole after {} ms at most", longest.as_millis()));
 }
 
 /// The rows of the table in the docs: members, losses to bear.
 const ROWS: [(usize, usize); 9] = [(3, 1), (5, 1), (5, 2), (6, 1), (6, 2), (7, 1), (7, 2), (9, 1), (9, 2)];
 
 fn lose_in_each_row(loss: Loss) {
-    ROWS.into_iter().for_each(|(many, losses)| play(lose(many, losses, loss)));
+    ROWS.into_iter().for_each(|(many, losses)| run_simulation(lose(many, losses, loss)));
 }
 
 #[test]
@@ -266,7 +266,7 @@
 /// Beyond what may be lost nothing is acknowledged and nothing is read: an old configuration would be worse than none.
 #[test]
 fn a_minority_says_nothing() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(3, 1).await;
         world.put_in_time().await;
         for n in [0, 1] {
@@ -277,7 +277,7 @@
         world.pass(ms(10_000)).await;
         for at in world.simulation.control_nodes() {
             let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
-            assert!(!matches!(at.ask(ACK, read).await, Some(Ok(_))), "{} reads", at.name);
+            assert!(!matches!(at.call(ACK, read).await, Some(Ok(_))), "{} reads", at.name);
         }
     });
 }
@@ -342,18 +342,18 @@
 
 #[test]
 fn a_second_loss_at_each_moment_of_a_change() {
-    let end = play(change_ends_after());
+    let end = run_simulation(change_ends_after());
     for second in [Second::ProposerKilled, Second::ProposerWiped, Second::NewWiped, Second::OtherWiped] {
         // From before its begin to a while after its end.
         for n in 0..12 {
-            play(lose_around_a_change(second, (end + ms(n * 7)).saturating_sub(CHANGE)));
+            run_simulation(lose_around_a_change(second, (end + ms(n * 7)).saturating_sub(CHANGE)));
         }
     }
 }
 
 #[test]
 fn a_successor_that_is_lost_is_replaced_again() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 1).await;
         for gap in [0, 300, 900, 2000, 5000] {
             world.put_in_time().await;
@@ -374,7 +374,7 @@
 
 #[test]
 fn a_disk_that_comes_back_after_it_was_replaced_is_no_member_until_it_is_let_in_again() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 1).await;
         let old = world.control(1);
         old.kill(&world.simulation.network);
@@ -392,7 +392,7 @@
 
 #[test]
 fn restarts_in_turn_change_no_membership_and_take_no_time() {
-    play(async {
+    run_simulation(async {
         for gap in [200, 1000] {
             let mut world = World::new(5, 1).await;
             let epoch = world.epoch();
@@ -412,7 +412,7 @@
 
 #[test]
 fn a_planned_replacement_leaves_before_it_ends() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 1).await;
         for _ in 0..5 {
             let old = world.control(0);
@@ -421,10 +421,10 @@
             world.pass(ms(1500)).await;
             assert_eq!(world.members().len(), 6, "the new one first");
             let took = old.terminate(&world.simulation.network).await.expect("it leaves within its time");
-            old.gone.set(true);
+            old.is_removed.set(true);
             world.pass(ms(0)).await;
             assert!(!world.has(&old) && world.members().len() == 5, "{:?}", world.epochs);
-            assert!(took < GRACE / 3, "{took:?}");
+            assert!(took < GRACE_PERIOD / 3, "{took:?}");
         }
         world.put_in_time().await;
         world.read_back().await;
@@ -435,23 +435,23 @@
 /// knows of the order is told to end, for good, as the two come back that know nothing of it and two new ones start.
 #[test]
 fn nobody_ends_with_the_only_copy() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 2).await;
         let [last, b, c, d, e] = [0, 1, 2, 3, 4].map(|n| world.control(n));
         world.put_in_time().await;
-        world.simulation.network.cut(Direction::Both, [d.ip.clone(), e.ip.clone()]);
+        world.simulation.network.partition(Direction::Both, [d.ip.clone(), e.ip.clone()]);
         world.pass(ms(500)).await;
         world.put_in_time().await;
         for lost in [&b, &c] {
             world.wipe(lost);
-            lost.gone.set(true);
+            lost.is_removed.set(true);
         }
-        world.simulation.network.mend_all();
+        world.simulation.network.heal_all();
         for _ in [&b, &c] {
             world.add();
         }
         let took = last.terminate(&world.simulation.network).await;
-        last.gone.set(true);
+        last.is_removed.set(true);
         assert!(took.is_some(), "the two come back within its time");
         world.pass(CATCH_UP).await;
         world.read_back().await;
@@ -461,7 +461,7 @@
 /// Two members don't reach each other, and each takes the other for lost: both propose a membership of their own.
 #[test]
 fn two_that_propose_at_once_end_with_one_membership() {
-    play(async {
+    run_simulation(async {
         for wait in 0..8 {
             let mut world = World::new(5, 1).await;
             let (a, b) = (world.control(0), world.control(1));
@@ -472,7 +472,7 @@
             world.put_in_time().await;
             world.pass(CATCH_UP).await;
             world.put_in_time().await;
-            world.simulation.network.mend_all();
+            world.simulation.network.heal_all();
             world.pass(CATCH_UP * 2).await;
             assert!(world.to_spare().is_some_and(|spare| spare >= 2), "{wait}: {:?}", world.epochs);
             world.read_back().await;
@@ -484,10 +484,10 @@
 /// one from being replaced.
 #[test]
 fn a_disk_that_hangs_does_not_keep_another_from_being_replaced() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 2).await;
         let hangs = world.control(4);
-        hangs.storage.as_ref().expect("a disk").sync.set(ms(60_000));
+        hangs.storage.as_ref().expect("a disk").sync_time.set(ms(60_000));
         let first = world.epoch();
         for lost in [world.control(3), world.control(1)] {
             world.remove(&lost);
@@ -497,7 +497,7 @@
             assert!(!world.has(&lost), "{:?}", world.epochs);
             assert_eq!(world.reported(&hangs), Some(first), "what is not synced is not said");
         }
-        hangs.storage.as_ref().expect("a disk").sync.set(ms(5));
+        hangs.storage.as_ref().expect("a disk").sync_time.set(ms(5));
         world.pass(CATCH_UP * 20).await;
         assert_eq!(world.reported(&hangs), Some(world.epoch()));
         world.read_back().await;
@@ -507,22 +507,22 @@
 /// A member that was cut off during a change is brought into its epoch once it is back, though nobody writes.
 #[test]
 fn a_member_that_is_behind_is_brought_up_without_a_write() {
-    play(async {
+    run_simulation(async {
         let mut world = World::new(5, 2).await;
         world.put_in_time().await;
         let (behind, wiped) = (world.control(4), world.control(3));
         // It knows of the order: only the epoch is what it misses.
         world.pass(ms(2000)).await;
-        world.simulation.network.cut(Direction::Both, [behind.ip.clone()]);
+        world.simulation.network.partition(Direction::Both, [behind.ip.clone()]);
         world.wipe(&wiped);
         world.start(&wiped);
         world.pass(CATCH_UP).await;
         let epoch = world.epoch();
         assert!(!world.members().is_empty() && world.has_disk(&wiped), "{:?}", world.epochs);
-        world.simulation.network.mend_all();
+        world.simulation.network.heal_all();
         world.pass(CATCH_UP).await;
         assert_eq!(world.epoch(), epoch, "nothing else changed");
-        let safe = behind.storage.as_ref().expect("a disk").safe.borrow().clone();
+        let safe = behind.storage.as_ref().expect("a disk").synced_state.borrow().clone();
         assert_eq!(safe.replica.expect("a state").membership.epoch, epoch);
     });
 }
--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::wire::{Fault, Message, Wire, wires};
-use super::{Asked, Ledger, TOP, World, ms};
+use super::{Ledger, RecordedRequest, TOP_K, World, ms};
 
 /// Time beyond its deadline after which a client has been kept waiting.
 const SLACK: Duration = ms(25);
@@ -48,7 +48,7 @@
         bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
         bytes.extend(&body);
     }
-    let asked = Asked {
+    let asked = RecordedRequest {
         method,
         target,
         body,
@@ -68,14 +68,14 @@
     spawn_local(front::serve_connection(
         far,
         world.agent.clone(),
-        world.plane.clone(),
+        world.data_plane.clone(),
         world.clients.clone(),
     ));
     near
 }
 
 /// Asks one thing after another, on one connection or on several.
-pub(crate) async fn client(world: Rc<World>, number: usize, seed: u64, exchanges: usize) {
+pub(crate) async fn run_client(world: Rc<World>, number: usize, seed: u64, exchanges: usize) {
     let mut rng = fastrand::Rng::with_seed(seed << 8 | number as u64);
     let mut kept: Option<Wire> = None;
     for n in 0..exchanges {
@@ -155,7 +155,7 @@
     let written = wire.write_all(&draft.bytes).await;
     let answer = timeout(draft.deadline + SLACK, wire.message()).await;
     let mut ledger = world.ledger.borrow_mut();
-    ledger.count("client: asked");
+    ledger.count("client: requests");
     if (written.is_err() || matches!(answer, Ok(Err(Fault::Ended)))) && world.agent.is_shutting_down() {
         ledger.count("client: closed by one that leaves");
         let asked = ledger.asked.get_mut(&draft.attempt).expect("it is asked");
@@ -173,8 +173,8 @@
         Ok(Ok(answer)) => {
             let early = began.elapsed() + BEFORE_DEADLINE < draft.deadline;
             if let Err(why) = check(&mut ledger, draft, &answer, early) {
-                let Asked { target, deeds, .. } = &ledger.asked[&draft.attempt];
-                let what = format!("{why}: {target} got {:?} after {deeds:?}", answer.first);
+                let RecordedRequest { target, deeds, .. } = &ledger.asked[&draft.attempt];
+                let what = format!("{why}: {target} got {:?} after {deeds:?}", answer.start_line);
                 ledger.wrong(what);
             }
             let goes_on = answer.header("connection") != Some("close");
@@ -189,14 +189,14 @@
 
 fn check(ledger: &mut Ledger, draft: &Draft, answer: &Message, early: bool) -> Result<(), &'static str> {
     let status = answer.status();
-    if !answer.first.starts_with("HTTP/1.1 ") || status < 200 {
+    if !answer.start_line.starts_with("HTTP/1.1 ") || status < 200 {
         return Err("MIXED, no answer in the protocol");
     }
     if answer.headers.get("attempt-id").into_iter().flatten().any(|id| *id != draft.attempt) {
         return Err("MIXED, another's answer");
     }
     if status < 300 {
-        ledger.count("client: served");
+        ledger.count("client: successes");
         return if draft.gathered { gathered(ledger, draft, answer) } else { relayed(ledger, draft, answer) };
     }
     let asked = ledger.asked.get_mut(&draft.attempt).expect("it is asked");
@@ -250,6 +250,6 @@
         return Err("MIXED, the parts are not the set");
     }
     records.sort_unstable();
-    let greatest: Vec<u8> = records.into_iter().rev().take(TOP).flatten().copied().collect();
+    let greatest: Vec<u8> = records.into_iter().rev().take(TOP_K).flatten().copied().collect();
     if greatest != answer.body { Err("MIXED, not the greatest records") } else { Ok(()) }
 }
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -32,15 +32,15 @@
 /// The services, and how many servers each has.
 const SERVICES: [(&str, usize); 5] = [("s", 5), ("lone", 1), ("a", 2), ("b", 2), ("c", 2)];
 /// How many records the gathered answer has.
-pub(crate) const TOP: usize = 5;
+pub(crate) const TOP_K: usize = 5;
 /// Time in which what is left over at the end comes to its end.
-const AFTERMATH: Duration = ms(3000);
+const SETTLE_TIME: Duration = ms(3000);
 
 /// What was done how often.
 pub(crate) type Counts = BTreeMap<&'static str, u32>;
 
 /// A request as its client sent it, and what servers made of it.
-pub(crate) struct Asked {
+pub(crate) struct RecordedRequest {
     pub method: &'static str,
     pub target: String,
     pub body: Vec<u8>,
@@ -69,15 +69,15 @@
 /// All that clients and servers know together, and what was found wrong.
 #[derive(Default)]
 pub(crate) struct Ledger {
-    pub asked: BTreeMap<String, Asked>,
+    pub asked: BTreeMap<String, RecordedRequest>,
     pub sealed: BTreeMap<String, Sealed>,
-    pub wrongs: Vec<String>,
+    pub violations: Vec<String>,
     pub counts: Counts,
 }
 
 impl Ledger {
     pub(crate) fn wrong(&mut self, what: impl Into<String>) {
-        self.wrongs.push(what.into());
+        self.violations.push(what.into());
     }
 
     pub(crate) fn count(&mut self, what: &'static str) {
@@ -105,7 +105,7 @@
 /// The gateway and all around it.
 pub(crate) struct World {
     pub agent: Rc<Agent>,
-    pub plane: Rc<DataPlane>,
+    pub data_plane: Rc<DataPlane>,
     pub clients: Rc<ClientConnections>,
     pub ledger: Rc<RefCell<Ledger>>,
     servers: Rc<Servers>,
@@ -141,7 +141,7 @@
         route("one", "idempotent", r#""service":"s""#),
         route("once", "non_idempotent", r#""service":"s""#),
         route("lone", "non_idempotent", r#""service":"lone""#),
-        route("all", "idempotent", &format!(r#""fan-out":["a","b","c"],"top-k":{TOP},"min-coverage":0.3"#)),
+        route("all", "idempotent", &format!(r#""fan-out":["a","b","c"],"top-k":{TOP_K},"min-coverage":0.3"#)),
     ];
     let services = SERVICES.map(|(name, _)| format!(r#"{{"name":"{name}","max-conns":512}}"#));
     format!(r#"{{"version":1,"routes":[{}],"services":[{}]}}"#, routes.join(","), services.join(","))
@@ -204,11 +204,11 @@
                 ticking.tick();
             }
         });
-        Rc::new(World { agent, plane, clients: Rc::default(), ledger, servers, trouble })
+        Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, trouble })
     }
 
     /// Ends in order while clients go on, as a process does on SIGTERM.
-    pub(crate) async fn leave(&self, after: Duration, closes_after: Duration) {
+    pub(crate) async fn shut_down_after(&self, after: Duration, closes_after: Duration) {
         sleep(after).await;
         self.agent.shut_down();
         sleep(closes_after).await;
@@ -216,16 +216,16 @@
     }
 
     /// Nothing is left open or owed, and no promise was broken after all.
-    pub(crate) async fn check_at_the_end(&self) {
+    pub(crate) async fn check_final_state(&self) {
         self.trouble.set(false);
-        sleep(AFTERMATH).await;
+        sleep(SETTLE_TIME).await;
         self.servers.close_all();
         sleep(ms(100)).await;
         let mut ledger = self.ledger.borrow_mut();
         let broken: Vec<String> =
             ledger.asked.iter().filter(|(_, a)| a.promised && a.runs > 0).map(|(id, _)| id.clone()).collect();
         broken.into_iter().for_each(|id| ledger.wrong(format!("REFUSED: {id} was promised not to run")));
-        let open = self.plane.open_connection_count();
+        let open = self.data_plane.open_connection_count();
         if self.clients.open_count() + self.clients.in_flight_count() > 0 {
             ledger.wrong("OPEN: clients' connections are counted though all have left");
         }
@@ -236,7 +236,7 @@
 }
 
 /// Plays on one thread, with time that is counted.
-pub(crate) fn play<F: Future>(world: F) -> F::Output {
+pub(crate) fn run_simulation<F: Future>(world: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), world)
 }
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -15,7 +15,7 @@
 use super::{Ledger, Sealed, ms};
 
 /// All that a server may do with a request or a connection.
-pub(crate) const DEEDS: [&str; 36] = [
+pub(crate) const SERVER_ACTIONS: [&str; 36] = [
     "well",
     "well, in chunks",
     "well, and closes",
@@ -54,7 +54,7 @@
     "resets inside a request",
 ];
 /// Those that go with a request; the last two are the connection's own.
-const WITH_REQUEST: usize = DEEDS.len() - 2;
+const WITH_REQUEST: usize = SERVER_ACTIONS.len() - 2;
 /// How many of all requests are served well, out of ten.
 const WELL: u32 = 6;
 /// Those after which more is said than was asked for: what stands where the next answer is due may be that.
@@ -277,12 +277,13 @@
     fn check(&self, request: &Message, attempt: &str) {
         let mut ledger = self.ledger.borrow_mut();
         let Some(asked) = ledger.asked.get(attempt) else {
-            return ledger.wrong(format!("UNASKED: {attempt:?}, {}", request.first));
+            return ledger.wrong(format!("UNASKED: {attempt:?}, {}", request.start_line));
         };
         let first = format!("{} {} HTTP/1.1", asked.method, asked.target);
-        if request.first != first || request.body != asked.body || !asked.whole {
+        if request.start_line != first || request.body != asked.body || !asked.whole {
             let whole = asked.whole;
-            ledger.wrong(format!("UNASKED: {attempt} is {}, was {first}, whole: {whole}", request.first));
+            ledger
+                .wrong(format!("UNASKED: {attempt} is {}, was {first}, whole: {whole}", request.start_line));
         }
     }
 
@@ -325,7 +326,8 @@
     #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
     fn deed(&self, request: &Message, attempt: &str) -> Deed {
         let well = !self.trouble.get() || self.draw(|rng| rng.u32(..10)) < WELL;
-        let name = if well { DEEDS[0] } else { DEEDS[self.draw(|rng| rng.usize(..WITH_REQUEST))] };
+        let name =
+            if well { SERVER_ACTIONS[0] } else { SERVER_ACTIONS[self.draw(|rng| rng.usize(..WITH_REQUEST))] };
         let (work, soon, late) = self.draw(|rng| (rng.u64(..12), rng.u64(..5), rng.u64(50..700)));
         let other = self.before.borrow().clone().unwrap_or_else(|| "nobodys".to_owned());
         let good = |headers: &str| {
--- a/crates/node/tests/scripted/wire.rs
+++ b/crates/node/tests/scripted/wire.rs
@@ -78,7 +78,7 @@
 /// A request or an answer as it stood on the wire.
 #[derive(Debug, Default)]
 pub(crate) struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: BTreeMap<String, Vec<String>>,
     pub body: Vec<u8>,
 }
@@ -89,7 +89,7 @@
     }
 
     pub(crate) fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
@@ -144,7 +144,7 @@
 
     /// The next message, whole. Its body has a length or comes in chunks, or there is none.
     pub(crate) async fn message(&mut self) -> Result<Message, Fault> {
-        let mut message = Message { first: self.line(false).await?, ..Message::default() };
+        let mut message = Message { start_line: self.line(false).await?, ..Message::default() };
         loop {
             let line = self.line(true).await?;
             if line.is_empty() {
--- a/crates/node/tests/simulation/bounds.rs
+++ b/crates/node/tests/simulation/bounds.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Traffic {
     pub bytes: BTreeMap<(String, String), u64>,
-    pub calls: u64,
+    pub connection_attempts: u64,
 }
 
 /// What a machine's processor takes for the bytes that come in one piece, sent or received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Processor {
-    pub per_piece: Duration,
+    pub per_chunk: Duration,
     pub per_byte: Duration,
 }
 
@@ -29,7 +29,7 @@
     processors: RefCell<BTreeMap<String, Processor>>,
     busy_until: RefCell<BTreeMap<String, Instant>>,
     traffic: RefCell<Traffic>,
-    calls: Cell<u64>,
+    connection_attempts: Cell<u64>,
 }
 
 impl Bounds {
@@ -38,22 +38,22 @@
     }
 
     /// Bounds a machine's processor: it handles one piece after another.
-    pub(crate) fn slow(&self, host: &str, processor: Processor) {
+    pub(crate) fn limit_processor(&self, host: &str, processor: Processor) {
         self.processors.borrow_mut().insert(host.to_owned(), processor);
     }
 
     pub(crate) fn traffic(&self) -> Traffic {
-        Traffic { calls: self.calls.get(), ..self.traffic.borrow().clone() }
+        Traffic { connection_attempts: self.connection_attempts.get(), ..self.traffic.borrow().clone() }
     }
 
     pub(super) fn called(&self) {
-        self.calls.set(self.calls.get() + 1);
+        self.connection_attempts.set(self.connection_attempts.get() + 1);
     }
 
     /// The time at which this machine has handled so many more bytes.
     fn handled(&self, host: &str, bytes: usize) -> Option<Instant> {
         let processor = *self.processors.borrow().get(host)?;
-        let cost = processor.per_piece + processor.per_byte * u32::try_from(bytes).unwrap_or(u32::MAX);
+        let cost = processor.per_chunk + processor.per_byte * u32::try_from(bytes).unwrap_or(u32::MAX);
         let (mut busy, now) = (self.busy_until.borrow_mut(), Instant::now());
         let until = busy.get(host).copied().unwrap_or(now).max(now) + cost;
         busy.insert(host.to_owned(), until);
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -35,7 +35,7 @@
 /// What a sync takes.
 const SYNC: Duration = ms(5);
 /// Time between a process being told to end and its end by force.
-pub(crate) const GRACE: Duration = ms(6000);
+pub(crate) const GRACE_PERIOD: Duration = ms(6000);
 /// Bytes that wait in a connection.
 const WINDOW: usize = 64 << 10;
 
@@ -52,7 +52,7 @@
 
 /// A configuration with so many routes, whose packed text is some fifty bytes for each.
 #[allow(dead_code, reason = "not all tests that share the simulation have large configurations")]
-pub(crate) fn wide_configuration(version: u64, routes: usize) -> String {
+pub(crate) fn large_configuration(version: u64, routes: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(version);
     let mut name = |len: usize| (0..len).map(|_| rng.alphanumeric()).collect::<String>();
     let more: String = (0..routes)
@@ -117,8 +117,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
     Both,
-    Inward,
-    Outward,
+    Inbound,
+    Outbound,
 }
 
 impl Network {
@@ -130,13 +130,13 @@
     }
 
     /// What one machine says no longer reaches another; the way back is left as it is.
-    pub(crate) fn sever(&self, from: &str, to: &str) {
+    pub(crate) fn block(&self, from: &str, to: &str) {
         self.severed.borrow_mut().insert((from.to_owned(), to.to_owned()));
     }
 
     /// A machine takes in so many bytes a second, over all its connections.
     #[allow(dead_code, reason = "not all tests that share the simulation have narrow links")]
-    pub(crate) fn narrow(&self, machine: &str, bytes_a_second: u64) {
+    pub(crate) fn limit_bandwidth(&self, machine: &str, bytes_a_second: u64) {
         self.narrow.borrow_mut().insert(machine.to_owned(), (bytes_a_second, Instant::now()));
     }
 
@@ -149,18 +149,18 @@
     }
 
     /// Neither of two machines reaches the other.
-    pub(crate) fn part(&self, a: &str, b: &str) {
-        self.sever(a, b);
-        self.sever(b, a);
+    pub(crate) fn disconnect(&self, a: &str, b: &str) {
+        self.block(a, b);
+        self.block(b, a);
     }
 
     /// All reach each other again.
-    pub(crate) fn mend_all(&self) {
+    pub(crate) fn heal_all(&self) {
         self.cuts.borrow_mut().clear();
         self.severed.borrow_mut().clear();
     }
 
-    pub(crate) fn break_all(&self, machine: &str) {
+    pub(crate) fn break_connections(&self, machine: &str) {
         *self.breaks.borrow_mut().entry(machine.to_owned()).or_default() += 1;
     }
 
@@ -169,15 +169,15 @@
         [a, b].iter().filter_map(|m| breaks.get(host(m))).sum()
     }
 
-    pub(crate) fn mend(&self, cut: u64) {
+    pub(crate) fn heal_partition(&self, cut: u64) {
         self.cuts.borrow_mut().remove(&cut);
     }
 
     /// Cuts these machines off from all others; the number mends it.
-    pub(crate) fn cut(&self, direction: Direction, far: impl IntoIterator<Item = String>) -> u64 {
+    pub(crate) fn partition(&self, direction: Direction, far: impl IntoIterator<Item = String>) -> u64 {
         let number = self.next_cut.get() + 1;
         self.next_cut.set(number);
-        let (inward, outward) = (direction != Direction::Outward, direction != Direction::Inward);
+        let (inward, outward) = (direction != Direction::Outbound, direction != Direction::Inbound);
         self.cuts.borrow_mut().insert(number, Cut { far: far.into_iter().collect(), inward, outward });
         number
     }
@@ -262,8 +262,8 @@
 /// What a machine's disk holds, and how long a sync takes there.
 #[derive(Clone)]
 pub(crate) struct Storage {
-    pub safe: Rc<RefCell<StoredState>>,
-    pub sync: Rc<Cell<Duration>>,
+    pub synced_state: Rc<RefCell<StoredState>>,
+    pub sync_time: Rc<Cell<Duration>>,
 }
 
 /// A process and all of its tasks: it can be frozen, and is gone whole when it is dropped or has ended.
@@ -297,11 +297,11 @@
     pub seeds: RefCell<Vec<String>>,
     losses: usize,
     /// Rises with each start of its process.
-    pub life: Cell<u32>,
+    pub start_count: Cell<u32>,
     /// Until when something was done to it; none while it lasts.
-    pub well_since: Cell<Option<Instant>>,
+    pub healthy_since: Cell<Option<Instant>>,
     /// Taken away for good.
-    pub gone: Cell<bool>,
+    pub is_removed: Cell<bool>,
     body: RefCell<Option<JoinHandle<()>>>,
     /// Told to end.
     terminated: RefCell<Rc<Notify>>,
@@ -316,12 +316,13 @@
 
 impl Machine {
     fn new(name: String, number: usize, disk: bool, seeds: Vec<String>, losses: usize) -> Self {
-        let storage = disk.then(|| Storage { safe: Rc::default(), sync: Rc::new(Cell::new(SYNC)) });
-        let well_since = Cell::new(Some(Instant::now()));
+        let storage =
+            disk.then(|| Storage { synced_state: Rc::default(), sync_time: Rc::new(Cell::new(SYNC)) });
+        let healthy_since = Cell::new(Some(Instant::now()));
         let ip = format!("10.0.{}.{}", number / 250, number % 250);
         let zone = format!("z{}", name.len() % 3);
         let seeds = RefCell::new(seeds);
-        Machine { name, ip, zone, storage, seeds, losses, well_since, ..Machine::default() }
+        Machine { name, ip, zone, storage, seeds, losses, healthy_since, ..Machine::default() }
     }
 
     pub(crate) fn agent(&self) -> Option<Rc<Agent>> {
@@ -329,12 +330,12 @@
     }
 
     pub(crate) fn is_control_node(&self) -> bool {
-        self.storage.is_some() && !self.gone.get()
+        self.storage.is_some() && !self.is_removed.get()
     }
 
     /// Its settings name these machines from its next start on.
     #[allow(dead_code, reason = "not all tests that share the simulation change settings")]
-    pub(crate) fn name_seeds(&self, seeds: &[Rc<Machine>]) {
+    pub(crate) fn set_seed_nodes(&self, seeds: &[Rc<Machine>]) {
         *self.seeds.borrow_mut() = seeds.iter().map(|m| format!("{}:8047", m.ip)).collect();
     }
 
@@ -345,17 +346,17 @@
     }
 
     pub(crate) fn is_stalled(&self) -> bool {
-        self.storage.as_ref().is_some_and(|storage| storage.sync.get() > SYNC)
+        self.storage.as_ref().is_some_and(|storage| storage.sync_time.get() > SYNC)
     }
 
     /// Whether nothing is done to it at present.
-    pub(crate) fn is_well(&self, network: &Network) -> bool {
+    pub(crate) fn is_healthy(&self, network: &Network) -> bool {
         self.body.borrow().is_some() && !self.frozen.get() && !self.is_stalled() && !network.is_far(&self.ip)
     }
 
     /// Its disk is empty from now on.
     pub(crate) fn wipe(&self) {
-        self.storage.iter().for_each(|storage| drop(storage.safe.take()));
+        self.storage.iter().for_each(|storage| drop(storage.synced_state.take()));
     }
 
     /// The process ends here and now; what its disk has not synced is lost.
@@ -371,7 +372,7 @@
     pub(crate) async fn terminate(&self, network: &Network) -> Option<Duration> {
         let told = Instant::now();
         self.terminated.borrow().notify_one();
-        while !self.ended.get() && told.elapsed() < GRACE {
+        while !self.ended.get() && told.elapsed() < GRACE_PERIOD {
             sleep(ms(10)).await;
         }
         let took = self.ended.get().then(|| told.elapsed());
@@ -385,7 +386,7 @@
     }
 
     /// What the process says to this, unless it takes longer than its caller waits.
-    pub(crate) async fn ask<T: 'static, F: Future<Output = T> + 'static>(
+    pub(crate) async fn call<T: 'static, F: Future<Output = T> + 'static>(
         &self, patience: Duration, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
         let (done, answer) = oneshot::channel();
@@ -401,7 +402,7 @@
         if self.body.borrow().is_some() {
             return;
         }
-        self.life.set(self.life.get() + 1);
+        self.start_count.set(self.start_count.get() + 1);
         let (jobs, todo) = mpsc::unbounded_channel();
         let control_node = self.storage.is_some();
         let disk = if control_node { "data-dir = \"-\"\n" } else { "" };
@@ -422,7 +423,7 @@
         );
         let settings = Settings::parse(&text, "-").expect("settings");
         let tasks = LocalSet::new();
-        let life = (u64::from(self.life.get()) << 32) | u64::from(fastrand::u32(..));
+        let life = (u64::from(self.start_count.get()) << 32) | u64::from(fastrand::u32(..));
         self.ended.set(false);
         let (agent, terminated, ended) = (self.agent.clone(), Rc::new(Notify::new()), self.ended.clone());
         *self.terminated.borrow_mut() = terminated.clone();
@@ -456,7 +457,7 @@
         }
         let mut words = Words(String::new());
         let _ = values.serialize(record, &mut words).and_then(|()| record.kv().serialize(record, &mut words));
-        say(&format!("{}{}", record.msg(), words.0));
+        log_line(&format!("{}{}", record.msg(), words.0));
         Ok(())
     }
 }
@@ -480,12 +481,12 @@
 }
 
 /// Records what follows on this thread, until [`recorded`].
-pub(crate) fn record() {
+pub(crate) fn start_recording() {
     RECORDING.replace(Some(Recording::default()));
 }
 
 /// Ends the recording.
-pub(crate) fn recorded() -> Recording {
+pub(crate) fn finish_recording() -> Recording {
     RECORDING.take().unwrap_or_default()
 }
 
@@ -501,7 +502,7 @@
     });
 }
 
-pub(crate) fn say(what: &str) {
+pub(crate) fn log_line(what: &str) {
     let began = BEGAN.get().unwrap_or_else(Instant::now);
     let line = format!("{:8.3} {what}", began.elapsed().as_secs_f64());
     if is_aloud() {
@@ -536,17 +537,17 @@
     let mut recalled = Vec::new();
     let mut local_replica = None;
     if let Some(storage) = storage {
-        let mut found = storage.safe.borrow().recovered();
+        let mut found = storage.synced_state.borrow().recovered();
         recalled = std::mem::take(&mut found.servers);
         let (disk, inbox) = Disk::new();
         spawn_local(async move {
             loop {
                 sleep(ms(1)).await;
                 let Some(mut wanted) = inbox.take() else { continue };
-                let mut whole = storage.safe.borrow().clone();
+                let mut whole = storage.synced_state.borrow().clone();
                 if wanted.apply_to(&mut whole) {
-                    sleep(storage.sync.get()).await;
-                    *storage.safe.borrow_mut() = whole;
+                    sleep(storage.sync_time.get()).await;
+                    *storage.synced_state.borrow_mut() = whole;
                 }
                 wanted.notify_synced();
             }
@@ -589,11 +590,11 @@
 
 impl Simulation {
     pub(crate) fn new(control_nodes: usize, gateways: usize, losses: usize) -> Rc<Self> {
-        Simulation::placed(control_nodes, gateways, losses, |_, machine| machine)
+        Simulation::with_machines(control_nodes, gateways, losses, |_, machine| machine)
     }
 
     /// As [`Simulation::new`], with each machine, by its number, put into a zone of the caller's before it starts.
-    pub(crate) fn placed(
+    pub(crate) fn with_machines(
         control_nodes: usize, gateways: usize, losses: usize, place: impl Fn(usize, Machine) -> Machine,
     ) -> Rc<Self> {
         let network = Rc::new(Network::default());
@@ -626,12 +627,12 @@
         new
     }
 
-    pub(crate) fn all(&self) -> Vec<Rc<Machine>> {
-        self.machines.borrow().iter().filter(|m| !m.gone.get()).cloned().collect()
+    pub(crate) fn all_machines(&self) -> Vec<Rc<Machine>> {
+        self.machines.borrow().iter().filter(|m| !m.is_removed.get()).cloned().collect()
     }
 
     pub(crate) fn control_nodes(&self) -> Vec<Rc<Machine>> {
-        self.all().into_iter().filter(|m| m.is_control_node()).collect()
+        self.all_machines().into_iter().filter(|m| m.is_control_node()).collect()
     }
 }
 
@@ -653,13 +654,13 @@
 }
 
 /// No task of any process has panicked so far.
-pub(crate) fn check_panics() {
+pub(crate) fn assert_no_panics() {
     let panics = PANICS.with_borrow(|panics| panics.join("; "));
     assert!(panics.is_empty(), "a task panicked: {panics}");
 }
 
 /// Plays on one thread, with time that is counted.
-pub(crate) fn play<F: Future>(world: F) -> F::Output {
+pub(crate) fn run_simulation<F: Future>(world: F) -> F::Output {
     note_panics();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let began = async move {
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -10,17 +10,17 @@
 use ashvane_node::agent::{Agent, PutOutcome};
 use ashvane_quorum::membership_manager::MAX_MEMBERS;
 use simulation::bounds::Processor;
-use simulation::{Direction, Simulation, ms, play};
+use simulation::{Direction, Simulation, ms, run_simulation};
 use tokio::time::sleep;
 
 const CONTROL_NODES: usize = 24;
 const GATEWAYS: usize = 40;
 const SERVERS: usize = 960;
 
-fn start(per_piece: u64) -> Rc<Simulation> {
+fn start(per_chunk: u64) -> Rc<Simulation> {
     fastrand::seed(1);
     let simulation = Simulation::new(CONTROL_NODES, GATEWAYS, 1);
-    slow(&simulation, per_piece);
+    slow(&simulation, per_chunk);
     simulation
 }
 
@@ -36,10 +36,10 @@
     }
 }
 
-fn slow(simulation: &Simulation, per_piece: u64) {
-    for machine in simulation.all() {
-        let processor = Processor { per_piece: ms(per_piece), per_byte: ms(0) };
-        simulation.network.bounds.slow(&machine.ip, processor);
+fn slow(simulation: &Simulation, per_chunk: u64) {
+    for machine in simulation.all_machines() {
+        let processor = Processor { per_chunk: ms(per_chunk), per_byte: ms(0) };
+        simulation.network.bounds.limit_processor(&machine.ip, processor);
     }
 }
 
@@ -52,15 +52,15 @@
 
 #[test]
 fn a_process_that_is_slow_to_answer_is_called_once_at_a_time() {
-    play(async {
+    run_simulation(async {
         let simulation = start(0);
         sleep(ms(3000)).await;
-        let before = simulation.network.bounds.traffic().calls;
+        let before = simulation.network.bounds.traffic().connection_attempts;
         // Each connection's hello waits in a row of some fifty, for longer than a tick.
         slow(&simulation, 30);
-        simulation.all().iter().for_each(|m| simulation.network.break_all(&m.ip));
+        simulation.all_machines().iter().for_each(|m| simulation.network.break_connections(&m.ip));
         sleep(ms(3000)).await;
-        let calls = simulation.network.bounds.traffic().calls - before;
+        let calls = simulation.network.bounds.traffic().connection_attempts - before;
         // 6,943 with a new call at each tick while others wait.
         assert!(calls < 3500, "{calls} calls");
     });
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_new_link_is_asked_only_what_is_open_for_it() {
-    play(async {
+    run_simulation(async {
         let simulation = start(3);
         sleep(ms(3000)).await;
         // Each reads the register at its start, and the membership takes in a few; with all asked again at each new
@@ -80,7 +80,7 @@
 
 #[test]
 fn the_first_heartbeats_of_many_servers_are_told_together() {
-    play(async {
+    run_simulation(async {
         let simulation = start(0);
         sleep(ms(4000)).await;
         let (before, _) = said(&simulation, "updates");
@@ -88,13 +88,13 @@
         for n in 0..SERVERS {
             let beat = first_beat(n);
             let heard = |agent: Rc<Agent>| async move { agent.record_heartbeat(beat).await };
-            assert_eq!(control_nodes[n % CONTROL_NODES].ask(ms(1000), heard).await, Some(Ok(())));
+            assert_eq!(control_nodes[n % CONTROL_NODES].call(ms(1000), heard).await, Some(Ok(())));
             if n % CONTROL_NODES == 0 {
                 sleep(ms(10)).await;
             }
         }
         sleep(ms(1000)).await;
-        for machine in simulation.all() {
+        for machine in simulation.all_machines() {
             let agent = machine.agent().expect("runs");
             let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
             assert_eq!(known, SERVERS, "at {}", machine.name);
@@ -107,21 +107,21 @@
 
 #[test]
 fn a_gap_that_all_see_is_mended_over_one_link_at_a_time() {
-    play(async {
+    run_simulation(async {
         let simulation = start(0);
         sleep(ms(4000)).await;
         let (_, before) = said(&simulation, "gaps");
         let control_nodes = simulation.control_nodes();
         // One that was away while many servers came up lacks them all, and so differs from each of its neighbours.
         let away = control_nodes[CONTROL_NODES - 1].clone();
-        let cut = simulation.network.cut(Direction::Both, [away.ip.clone()]);
+        let cut = simulation.network.partition(Direction::Both, [away.ip.clone()]);
         sleep(ms(4000)).await;
         for n in 0..SERVERS {
             let beat = first_beat(n);
             let heard = |agent: Rc<Agent>| async move { agent.record_heartbeat(beat).await };
-            assert_eq!(control_nodes[n % 8].ask(ms(1000), heard).await, Some(Ok(())));
+            assert_eq!(control_nodes[n % 8].call(ms(1000), heard).await, Some(Ok(())));
         }
-        simulation.network.mend(cut);
+        simulation.network.heal_partition(cut);
         // Less than five heartbeats: servers that beat once count as silent after that.
         sleep(ms(4500)).await;
         let agent = away.agent().expect("runs");
@@ -135,13 +135,13 @@
 
 #[test]
 fn of_many_control_nodes_eleven_vote_and_all_take_orders() {
-    play(async {
+    run_simulation(async {
         let simulation = start(0);
         sleep(ms(10_000)).await;
         for (version, machine) in (1..).zip(simulation.control_nodes()) {
             let text = simulation::configuration(version, 0);
             let put = |agent: Rc<Agent>| async move { agent.put(text.as_bytes()).await };
-            let put = machine.ask(ms(1000), put).await;
+            let put = machine.call(ms(1000), put).await;
             assert!(
                 matches!(put, Some(PutOutcome::Accepted { version: held }) if held == version),
                 "at {}",
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -12,7 +12,7 @@
 use ashvane_node::agent::{Agent, PutOutcome};
 use ashvane_node::engine::Traffic;
 use ashvane_quorum::MAX_CHOSEN_VERSIONS;
-use simulation::{Direction, Machine, Simulation, check_panics, ms, play, wide_configuration};
+use simulation::{Direction, Machine, Simulation, assert_no_panics, large_configuration, ms, run_simulation};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -56,9 +56,9 @@
         loop {
             let control_nodes = self.simulation.control_nodes();
             let at = control_nodes[self.rng.borrow_mut().usize(..control_nodes.len())].clone();
-            let text = wide_configuration(version, self.routes);
+            let text = large_configuration(version, self.routes);
             let put = async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await;
-            match at.ask(PATIENCE, put).await {
+            match at.call(PATIENCE, put).await {
                 Some(PutOutcome::Accepted { version: held }) if held >= version => break,
                 Some(PutOutcome::Conflict { .. } | PutOutcome::Invalid(_)) => panic!("{version} is refused"),
                 _ => sleep(ms(100)).await,
@@ -93,7 +93,7 @@
     }
 
     fn look(&self) {
-        for machine in self.simulation.all() {
+        for machine in self.simulation.all_machines() {
             let Some(version) = in_force(&machine) else { continue };
             self.seen.borrow_mut().entry(machine.name.clone()).or_default().insert(version);
         }
@@ -107,9 +107,9 @@
         let at = Instant::now() - since;
         let held = self.held.borrow();
         let due = held.iter().filter(|(_, (_, when))| *when < at).map(|(v, _)| *v).max().unwrap_or(0);
-        for machine in self.simulation.all() {
+        for machine in self.simulation.all_machines() {
             let version = in_force(&machine);
-            let calm = machine.well_since.get().is_some_and(|at| at.elapsed() >= CONTACT);
+            let calm = machine.healthy_since.get().is_some_and(|at| at.elapsed() >= CONTACT);
             assert!(!calm || version >= Some(due), "{} has {version:?} of {due}", machine.name);
         }
     }
@@ -132,7 +132,7 @@
     let about = |said: BTreeMap<&'static str, Traffic>| {
         ["register", "configuration"].iter().filter_map(|cause| Some(said.get(cause)?.bytes)).sum::<u64>()
     };
-    simulation.all().into_iter().map(|machine| about(of(machine))).sum()
+    simulation.all_machines().into_iter().map(|machine| about(of(machine))).sum()
 }
 
 /// A storm of 300 orders, ten a second, beside what `troubles` does meanwhile.
@@ -150,7 +150,7 @@
     let seen = storm.seen.borrow();
     let gateways = seen.iter().filter(|(name, _)| name.starts_with("gateway"));
     let counts: Vec<usize> = gateways.map(|(_, versions)| versions.len()).collect();
-    check_panics();
+    assert_no_panics();
     let (median, longest) = storm.acknowledged_within();
     println!(
         "seed {seed}: 300 held within {took:?}, median {median:?}, longest {longest:?}; in force at gateways: {counts:?}"
@@ -161,7 +161,7 @@
 /// Ten a second for half a minute: all are acknowledged, and no gateway is behind for longer than a configuration may take.
 #[test]
 fn nobody_falls_behind_in_a_storm_of_configurations() {
-    play(storm(0, 0, async |_| {}));
+    run_simulation(storm(0, 0, async |_| {}));
 }
 
 /// Bytes a second that a gateway's machine takes in: of these configurations six a second.
@@ -171,12 +171,12 @@
 /// never behind by more than the one that is on its way.
 #[test]
 fn a_storm_wider_than_the_links_leaves_no_gateway_behind() {
-    play(storm(0, 200, async |simulation: Rc<Simulation>| {
+    run_simulation(storm(0, 200, async |simulation: Rc<Simulation>| {
         simulation
-            .all()
+            .all_machines()
             .iter()
             .filter(|m| !m.is_control_node())
-            .for_each(|m| simulation.network.narrow(&m.ip, NARROW));
+            .for_each(|m| simulation.network.limit_bandwidth(&m.ip, NARROW));
     }));
 }
 
@@ -185,13 +185,13 @@
 #[test]
 fn nobody_falls_behind_for_good_in_a_storm_with_troubles() {
     let troubles = async |simulation: Rc<Simulation>| {
-        let all = simulation.all();
+        let all = simulation.all_machines();
         let strike = async |machine: &Rc<Machine>, lasts: Duration, on: &dyn Fn(), off: &dyn Fn()| {
-            machine.well_since.set(None);
+            machine.healthy_since.set(None);
             on();
             sleep(lasts).await;
             off();
-            machine.well_since.set(Some(Instant::now()));
+            machine.healthy_since.set(Some(Instant::now()));
         };
         sleep(ms(3000)).await;
         let control_node = &all[1];
@@ -207,12 +207,12 @@
             cut,
             ms(4000),
             &|| {
-                network.cut(Direction::Both, [cut.ip.clone()]);
+                network.partition(Direction::Both, [cut.ip.clone()]);
             },
-            &|| network.mend_all(),
+            &|| network.heal_all(),
         )
         .await;
-        let sync = &all[2].storage.as_ref().expect("a disk").sync;
+        let sync = &all[2].storage.as_ref().expect("a disk").sync_time;
         strike(&all[2], ms(4000), &|| sync.set(ms(400)), &|| sync.set(ms(5))).await;
         let wiped = &all[3];
         let strike_off = || {
@@ -222,7 +222,7 @@
         strike(wiped, ms(1000), &strike_off, &|| wiped.start(network, false)).await;
     };
     for seed in 0..2 {
-        play(storm(seed, 0, troubles));
+        run_simulation(storm(seed, 0, troubles));
     }
 }
 
@@ -241,8 +241,8 @@
     let storm = Storm::begin(7, 5, 1, 0).await;
     storm.orders(1..=3, ms(50)).await;
     storm.until_all_are_held().await;
-    let away = storm.simulation.all()[1].clone();
-    away.well_since.set(None);
+    let away = storm.simulation.all_machines()[1].clone();
+    away.healthy_since.set(None);
     away.kill(&storm.simulation.network);
     if wiped {
         away.wipe();
@@ -273,18 +273,18 @@
 
 /// What the register's state takes on a machine's disk.
 fn state_on_disk(machine: &Machine) -> u64 {
-    let found = machine.storage.as_ref().map(|storage| storage.safe.borrow().recovered());
+    let found = machine.storage.as_ref().map(|storage| storage.synced_state.borrow().recovered());
     let text = serde_json::to_vec(&found.and_then(|found| found.replica)).expect("text");
     text.len() as u64
 }
 
 /// The version that a machine's disk holds.
 fn on_disk(machine: &Machine) -> Option<u64> {
-    let found = machine.storage.as_ref()?.safe.borrow().recovered();
+    let found = machine.storage.as_ref()?.synced_state.borrow().recovered();
     Some(found.replica?.accepted.value.config.as_ref()?.version)
 }
 
 #[test]
 fn what_a_member_missed_costs_no_more_than_its_state() {
-    [false, true].into_iter().for_each(|wiped| play(comes_back_after(MISSED, wiped)));
+    [false, true].into_iter().for_each(|wiped| run_simulation(comes_back_after(MISSED, wiped)));
 }
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/whole.rs
@@ -9,7 +9,7 @@
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use simulation::play;
+use simulation::run_simulation;
 
 /// Of these days, those that break something, each with what it was.
 fn hunt<F: Future>(day: impl Fn(u64) -> F, fixed: &[u64]) -> Vec<(u64, String)> {
@@ -20,7 +20,7 @@
         None => fixed.to_vec(),
     };
     let broken = |seed| {
-        let played = catch_unwind(AssertUnwindSafe(|| play(day(seed))));
+        let played = catch_unwind(AssertUnwindSafe(|| run_simulation(day(seed))));
         let why = played.err()?;
         let why = why.downcast_ref::<String>().cloned().unwrap_or_else(|| "a panic".to_owned());
         println!("seed {seed}: {why}");
@@ -35,7 +35,7 @@
 
 #[test]
 fn whole_processes_keep_what_they_have_promised() {
-    let broken = hunt(days::drawn::day, &DAYS);
+    let broken = hunt(days::drawn::simulate_day, &DAYS);
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
@@ -44,6 +44,6 @@
 
 #[test]
 fn nothing_is_unsaid_on_the_worst_days() {
-    let broken = hunt(days::worst::day, &WORST_DAYS);
+    let broken = hunt(days::worst::simulate_day, &WORST_DAYS);
     assert!(broken.is_empty(), "{broken:#?}");
 }
