--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ashvane_node::agent::PutOutcome;
-use simulation::{Direction, GRACE, Machine, Simulation, configuration, ms, play, say};
+use simulation::{Direction, GRACE_PERIOD, Machine, Simulation, configuration, log_line, ms, run_simulation};
 use tokio::time::{Instant, sleep};
 
 /// The users' limit for the acknowledgement of a configuration at the small sites.
@@ -94,7 +94,7 @@
     async fn advance(&mut self, time: Duration) {
         let end = Instant::now() + time;
         loop {
-            for agent in self.simulation.all().iter().filter_map(|m| m.agent()) {
+            for agent in self.simulation.all_machines().iter().filter_map(|m| m.agent()) {
                 let state = agent.status();
                 let epoch = state["duties"][0]["epoch"].as_u64().expect("the status has an epoch");
                 let member = |m: &serde_json::Value| {
@@ -131,8 +131,8 @@
             for node in self.simulation.control_nodes() {
                 let text = text.clone();
                 let put = async move |agent: Rc<ashvane_node::agent::Agent>| agent.put(text.as_bytes()).await;
-                if matches!(node.ask(CALL_TIMEOUT, put).await, Some(PutOutcome::Accepted { version: _ })) {
-                    say(&format!("HELD {} at {}", self.version, node.name));
+                if matches!(node.call(CALL_TIMEOUT, put).await, Some(PutOutcome::Accepted { version: _ })) {
+                    log_line(&format!("HELD {} at {}", self.version, node.name));
                     return Some(node);
                 }
             }
@@ -152,7 +152,7 @@
     async fn assert_all_read_newest(&mut self) {
         for node in self.simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()) {
             let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
-            let found = node.ask(ACKNOWLEDGEMENT_LIMIT, read).await.and_then(Result::ok).flatten();
+            let found = node.call(ACKNOWLEDGEMENT_LIMIT, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} fails to read the register", node.name));
             assert_eq!(found.version, self.version, "{} reads the newest acknowledged version", node.name);
         }
@@ -160,7 +160,7 @@
 
     /// Cuts the connection between two machines in both directions.
     fn disconnect(&self, a: &Machine, b: &Machine) {
-        self.simulation.network.part(&a.ip, &b.ip);
+        self.simulation.network.disconnect(&a.ip, &b.ip);
     }
 
     /// Kills the process of a machine and erases its disk.
@@ -172,7 +172,7 @@
     /// Removes a machine for good.
     fn remove(&self, machine: &Machine) {
         machine.kill(&self.simulation.network);
-        machine.gone.set(true);
+        machine.is_removed.set(true);
     }
 
     fn start(&self, machine: &Machine) {
@@ -222,8 +222,8 @@
             }
             Loss::Replaced | Loss::Silent => {
                 if loss == Loss::Silent {
-                    cluster.simulation.network.cut(Direction::Both, lost.iter().map(|m| m.ip.clone()));
-                    lost.iter().for_each(|m| m.gone.set(true));
+                    cluster.simulation.network.partition(Direction::Both, lost.iter().map(|m| m.ip.clone()));
+                    lost.iter().for_each(|m| m.is_removed.set(true));
                     lost.iter().for_each(|m| m.freeze(true));
                 } else {
                     lost.iter().for_each(|m| cluster.remove(m));
@@ -239,7 +239,7 @@
                 for machine in &lost {
                     let took = machine.terminate(&cluster.simulation.network).await;
                     assert!(took.is_some(), "{} shuts down within its grace period", machine.name);
-                    machine.gone.set(true);
+                    machine.is_removed.set(true);
                 }
             }
         }
@@ -260,7 +260,7 @@
     cluster.put_in_time().await;
     cluster.advance(RECOVERY_LIMIT).await;
     cluster.assert_all_read_newest().await;
-    say(&format!(
+    log_line(&format!(
         "ROW {members} {losses} {loss:?} redundancy restored after {} ms at most",
         longest.as_millis()
     ));
@@ -271,7 +271,9 @@
     [(3, 1), (5, 1), (5, 2), (6, 1), (6, 2), (7, 1), (7, 2), (9, 1), (9, 2)];
 
 fn lose_at_each_size(loss: Loss) {
-    CLUSTER_SIZES.into_iter().for_each(|(members, losses)| play(lose_repeatedly(members, losses, loss)));
+    CLUSTER_SIZES
+        .into_iter()
+        .for_each(|(members, losses)| run_simulation(lose_repeatedly(members, losses, loss)));
 }
 
 #[test]
@@ -297,7 +299,7 @@
 /// Without a quorum nothing is acknowledged and nothing is read: an old configuration would be worse than none.
 #[test]
 fn a_minority_neither_acknowledges_nor_reads() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(3, 1).await;
         cluster.put_in_time().await;
         for index in [0, 1] {
@@ -309,7 +311,7 @@
         for node in cluster.simulation.control_nodes() {
             let read = async |agent: Rc<ashvane_node::agent::Agent>| agent.read_newest().await;
             assert!(
-                !matches!(node.ask(ACKNOWLEDGEMENT_LIMIT, read).await, Some(Ok(_))),
+                !matches!(node.call(ACKNOWLEDGEMENT_LIMIT, read).await, Some(Ok(_))),
                 "{} reads without a quorum",
                 node.name
             );
@@ -381,13 +383,13 @@
 
 #[test]
 fn a_second_loss_at_each_moment_of_a_membership_change() {
-    let end = play(membership_change_delay());
+    let end = run_simulation(membership_change_delay());
     for second_loss in
         [SecondLoss::ProposerKilled, SecondLoss::ProposerWiped, SecondLoss::NewWiped, SecondLoss::OtherWiped]
     {
         // From before the start of the change to shortly after its end.
         for step in 0..12 {
-            play(lose_during_membership_change(
+            run_simulation(lose_during_membership_change(
                 second_loss,
                 (end + ms(step * 7)).saturating_sub(MAX_CHANGE_DURATION),
             ));
@@ -397,7 +399,7 @@
 
 #[test]
 fn a_failed_replacement_is_replaced_again() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 1).await;
         for gap in [0, 300, 900, 2000, 5000] {
             cluster.put_in_time().await;
@@ -422,7 +424,7 @@
 
 #[test]
 fn a_replaced_disk_that_returns_is_readmitted_by_a_new_epoch() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 1).await;
         let old = cluster.control_node(1);
         old.kill(&cluster.simulation.network);
@@ -440,7 +442,7 @@
 
 #[test]
 fn rolling_restarts_change_no_membership_and_end_within_a_second() {
-    play(async {
+    run_simulation(async {
         for gap in [200, 1000] {
             let mut cluster = Cluster::new(5, 1).await;
             let epoch = cluster.epoch();
@@ -463,7 +465,7 @@
 
 #[test]
 fn a_planned_replacement_leaves_the_membership_before_its_process_ends() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 1).await;
         for _ in 0..5 {
             let old = cluster.control_node(0);
@@ -475,10 +477,10 @@
                 .terminate(&cluster.simulation.network)
                 .await
                 .expect("it shuts down within its grace period");
-            old.gone.set(true);
+            old.is_removed.set(true);
             cluster.advance(ms(0)).await;
             assert!(!cluster.has_member_at(&old) && cluster.members().len() == 5, "{:?}", cluster.epochs);
-            assert!(took < GRACE / 3, "shutdown took {took:?}");
+            assert!(took < GRACE_PERIOD / 3, "shutdown took {took:?}");
         }
         cluster.put_in_time().await;
         cluster.assert_all_read_newest().await;
@@ -489,23 +491,23 @@
 /// the last one is told to shut down while the two members without the configuration reconnect and two empty ones start.
 #[test]
 fn shutdown_waits_while_the_node_holds_the_only_copy() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 2).await;
         let [last, b, c, d, e] = [0, 1, 2, 3, 4].map(|n| cluster.control_node(n));
         cluster.put_in_time().await;
-        cluster.simulation.network.cut(Direction::Both, [d.ip.clone(), e.ip.clone()]);
+        cluster.simulation.network.partition(Direction::Both, [d.ip.clone(), e.ip.clone()]);
         cluster.advance(ms(500)).await;
         cluster.put_in_time().await;
         for lost in [&b, &c] {
             cluster.wipe(lost);
-            lost.gone.set(true);
+            lost.is_removed.set(true);
         }
-        cluster.simulation.network.mend_all();
+        cluster.simulation.network.heal_all();
         for _ in [&b, &c] {
             cluster.add();
         }
         let took = last.terminate(&cluster.simulation.network).await;
-        last.gone.set(true);
+        last.is_removed.set(true);
         assert!(took.is_some(), "it hands the configuration over and shuts down within its grace period");
         cluster.advance(RECOVERY_LIMIT).await;
         cluster.assert_all_read_newest().await;
@@ -515,7 +517,7 @@
 /// Two members can't reach each other and each considers the other failed, so that both propose a membership.
 #[test]
 fn concurrent_proposals_lead_to_one_membership() {
-    play(async {
+    run_simulation(async {
         for wait in 0..8 {
             let mut cluster = Cluster::new(5, 1).await;
             let (a, b) = (cluster.control_node(0), cluster.control_node(1));
@@ -526,7 +528,7 @@
             cluster.put_in_time().await;
             cluster.advance(RECOVERY_LIMIT).await;
             cluster.put_in_time().await;
-            cluster.simulation.network.mend_all();
+            cluster.simulation.network.heal_all();
             cluster.advance(RECOVERY_LIMIT * 2).await;
             assert!(
                 cluster.tolerable_losses().is_some_and(|spare| spare >= 2),
@@ -542,10 +544,10 @@
 /// replacement of another member.
 #[test]
 fn a_hanging_disk_does_not_block_the_replacement_of_another_member() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 2).await;
         let hanging = cluster.control_node(4);
-        hanging.storage.as_ref().expect("a control node has a disk").sync.set(ms(60_000));
+        hanging.storage.as_ref().expect("a control node has a disk").sync_time.set(ms(60_000));
         let first = cluster.epoch();
         for lost in [cluster.control_node(3), cluster.control_node(1)] {
             cluster.remove(&lost);
@@ -559,7 +561,7 @@
                 "a member reports only the epoch that it has synced"
             );
         }
-        hanging.storage.as_ref().expect("a control node has a disk").sync.set(ms(5));
+        hanging.storage.as_ref().expect("a control node has a disk").sync_time.set(ms(5));
         cluster.advance(RECOVERY_LIMIT * 20).await;
         assert_eq!(cluster.reported_epoch(&hanging), Some(cluster.epoch()));
         cluster.assert_all_read_newest().await;
@@ -569,22 +571,22 @@
 /// A member that was cut off during a membership change learns the new epoch once it is reachable, without any write.
 #[test]
 fn a_member_behind_in_epoch_catches_up_without_a_write() {
-    play(async {
+    run_simulation(async {
         let mut cluster = Cluster::new(5, 2).await;
         cluster.put_in_time().await;
         let (behind, wiped) = (cluster.control_node(4), cluster.control_node(3));
         // It has received the configuration, so that it misses nothing but the epoch.
         cluster.advance(ms(2000)).await;
-        cluster.simulation.network.cut(Direction::Both, [behind.ip.clone()]);
+        cluster.simulation.network.partition(Direction::Both, [behind.ip.clone()]);
         cluster.wipe(&wiped);
         cluster.start(&wiped);
         cluster.advance(RECOVERY_LIMIT).await;
         let epoch = cluster.epoch();
         assert!(!cluster.members().is_empty() && cluster.is_disk_member(&wiped), "{:?}", cluster.epochs);
-        cluster.simulation.network.mend_all();
+        cluster.simulation.network.heal_all();
         cluster.advance(RECOVERY_LIMIT).await;
         assert_eq!(cluster.epoch(), epoch, "no further membership change happens");
-        let safe = behind.storage.as_ref().expect("a control node has a disk").safe.borrow().clone();
+        let safe = behind.storage.as_ref().expect("a control node has a disk").synced_state.borrow().clone();
         assert_eq!(safe.replica.expect("the disk stores a replica").membership.epoch, epoch);
     });
 }
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -10,17 +10,17 @@
 use ashvane_node::agent::{Agent, PutOutcome};
 use ashvane_quorum::membership_manager::MAX_MEMBERS;
 use simulation::bounds::Processor;
-use simulation::{Direction, Simulation, ms, play};
+use simulation::{Direction, Simulation, ms, run_simulation};
 use tokio::time::sleep;
 
 const CONTROL_NODES: usize = 24;
 const GATEWAYS: usize = 40;
 const SERVERS: usize = 960;
 
-fn start_all(per_piece_ms: u64) -> Rc<Simulation> {
+fn start_all(per_chunk_ms: u64) -> Rc<Simulation> {
     fastrand::seed(1);
     let simulation = Simulation::new(CONTROL_NODES, GATEWAYS, 1);
-    slow_down(&simulation, per_piece_ms);
+    slow_down(&simulation, per_chunk_ms);
     simulation
 }
 
@@ -36,10 +36,10 @@
     }
 }
 
-fn slow_down(simulation: &Simulation, per_piece_ms: u64) {
-    for machine in simulation.all() {
-        let processor = Processor { per_piece: ms(per_piece_ms), per_byte: ms(0) };
-        simulation.network.bounds.slow(&machine.ip, processor);
+fn slow_down(simulation: &Simulation, per_chunk_ms: u64) {
+    for machine in simulation.all_machines() {
+        let processor = Processor { per_chunk: ms(per_chunk_ms), per_byte: ms(0) };
+        simulation.network.bounds.limit_processor(&machine.ip, processor);
     }
 }
 
@@ -52,15 +52,15 @@
 
 #[test]
 fn a_slow_process_gets_one_connection_attempt_at_a_time() {
-    play(async {
+    run_simulation(async {
         let simulation = start_all(0);
         sleep(ms(3000)).await;
-        let before = simulation.network.bounds.traffic().calls;
+        let before = simulation.network.bounds.traffic().connection_attempts;
         // The hello of each connection waits in a queue of about fifty messages, for longer than a tick.
         slow_down(&simulation, 30);
-        simulation.all().iter().for_each(|m| simulation.network.break_all(&m.ip));
+        simulation.all_machines().iter().for_each(|m| simulation.network.break_connections(&m.ip));
         sleep(ms(3000)).await;
-        let calls = simulation.network.bounds.traffic().calls - before;
+        let calls = simulation.network.bounds.traffic().connection_attempts - before;
         // Opening another connection at each tick while one is pending takes 6,943.
         assert!(calls < 3500, "{calls} connections opened");
     });
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_new_link_triggers_requests_to_its_member_only() {
-    play(async {
+    run_simulation(async {
         let simulation = start_all(3);
         sleep(ms(3000)).await;
         // Each control node reads the register at its start, and a few membership changes follow. Asking only the member
@@ -81,7 +81,7 @@
 
 #[test]
 fn first_heartbeats_of_many_servers_are_sent_in_batches() {
-    play(async {
+    run_simulation(async {
         let simulation = start_all(0);
         sleep(ms(4000)).await;
         let (before, _) = sent(&simulation, "updates");
@@ -89,13 +89,13 @@
         for n in 0..SERVERS {
             let heartbeat = first_heartbeat(n);
             let record = |agent: Rc<Agent>| async move { agent.record_heartbeat(heartbeat).await };
-            assert_eq!(control_nodes[n % CONTROL_NODES].ask(ms(1000), record).await, Some(Ok(())));
+            assert_eq!(control_nodes[n % CONTROL_NODES].call(ms(1000), record).await, Some(Ok(())));
             if n % CONTROL_NODES == 0 {
                 sleep(ms(10)).await;
             }
         }
         sleep(ms(1000)).await;
-        for machine in simulation.all() {
+        for machine in simulation.all_machines() {
             let agent = machine.agent().expect("the process runs");
             let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
             assert_eq!(known, SERVERS, "on {}", machine.name);
@@ -108,21 +108,21 @@
 
 #[test]
 fn a_gap_seen_by_all_peers_is_repaired_over_one_link_at_a_time() {
-    play(async {
+    run_simulation(async {
         let simulation = start_all(0);
         sleep(ms(4000)).await;
         let (_, before) = sent(&simulation, "gaps");
         let control_nodes = simulation.control_nodes();
         // A control node that was cut off while many servers started lacks all of them, so that it differs from each peer.
         let isolated = control_nodes[CONTROL_NODES - 1].clone();
-        let cut = simulation.network.cut(Direction::Both, [isolated.ip.clone()]);
+        let cut = simulation.network.partition(Direction::Both, [isolated.ip.clone()]);
         sleep(ms(4000)).await;
         for n in 0..SERVERS {
             let heartbeat = first_heartbeat(n);
             let record = |agent: Rc<Agent>| async move { agent.record_heartbeat(heartbeat).await };
-            assert_eq!(control_nodes[n % 8].ask(ms(1000), record).await, Some(Ok(())));
+            assert_eq!(control_nodes[n % 8].call(ms(1000), record).await, Some(Ok(())));
         }
-        simulation.network.mend(cut);
+        simulation.network.heal_partition(cut);
         // The wait is shorter than five heartbeat intervals, after which servers with a single heartbeat would time out.
         sleep(ms(4500)).await;
         let agent = isolated.agent().expect("the process runs");
@@ -136,13 +136,13 @@
 
 #[test]
 fn with_many_control_nodes_eleven_are_members_and_all_accept_configurations() {
-    play(async {
+    run_simulation(async {
         let simulation = start_all(0);
         sleep(ms(10_000)).await;
         for (version, machine) in (1..).zip(simulation.control_nodes()) {
             let text = simulation::configuration(version, 0);
             let put = |agent: Rc<Agent>| async move { agent.put(text.as_bytes()).await };
-            let put = machine.ask(ms(1000), put).await;
+            let put = machine.call(ms(1000), put).await;
             assert!(
                 matches!(put, Some(PutOutcome::Accepted { version: held }) if held == version),
                 "on {}",
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -12,7 +12,7 @@
 use ashvane_node::agent::{Agent, PutOutcome};
 use ashvane_node::engine::Traffic;
 use ashvane_quorum::MAX_CHOSEN_VERSIONS;
-use simulation::{Direction, Machine, Simulation, check_panics, ms, play, wide_configuration};
+use simulation::{Direction, Machine, Simulation, assert_no_panics, large_configuration, ms, run_simulation};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
@@ -60,9 +60,9 @@
         loop {
             let control_nodes = self.simulation.control_nodes();
             let node = control_nodes[self.rng.borrow_mut().usize(..control_nodes.len())].clone();
-            let text = wide_configuration(version, self.routes);
+            let text = large_configuration(version, self.routes);
             let put = async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await;
-            match node.ask(CALL_TIMEOUT, put).await {
+            match node.call(CALL_TIMEOUT, put).await {
                 Some(PutOutcome::Accepted { version: acknowledged }) if acknowledged >= version => break,
                 Some(PutOutcome::Conflict { .. } | PutOutcome::Invalid(_)) => {
                     panic!("version {version} is rejected")
@@ -100,7 +100,7 @@
 
     /// Records the applied versions, and asserts the limits on acknowledgement and application.
     fn check(&self) {
-        for machine in self.simulation.all() {
+        for machine in self.simulation.all_machines() {
             let Some(version) = applied_version(&machine) else { continue };
             self.applied.borrow_mut().entry(machine.name.clone()).or_default().insert(version);
         }
@@ -121,9 +121,10 @@
         let acknowledged = self.acknowledged.borrow();
         let due =
             acknowledged.iter().filter(|(_, (_, when))| *when < cutoff).map(|(v, _)| *v).max().unwrap_or(0);
-        for machine in self.simulation.all() {
+        for machine in self.simulation.all_machines() {
             let version = applied_version(&machine);
-            let is_settled = machine.well_since.get().is_some_and(|since| since.elapsed() >= RECOVERY_LIMIT);
+            let is_settled =
+                machine.healthy_since.get().is_some_and(|since| since.elapsed() >= RECOVERY_LIMIT);
             assert!(
                 !is_settled || version >= Some(due),
                 "{} has applied version {version:?}, expected {due}",
@@ -150,7 +151,7 @@
     let bytes = |traffic: BTreeMap<&'static str, Traffic>| {
         ["register", "configuration"].iter().filter_map(|cause| Some(traffic.get(cause)?.bytes)).sum::<u64>()
     };
-    simulation.all().into_iter().map(|machine| bytes(traffic(machine))).sum()
+    simulation.all_machines().into_iter().map(|machine| bytes(traffic(machine))).sum()
 }
 
 /// Writes 300 configurations, ten per second, while `faults` runs.
@@ -168,7 +169,7 @@
     let applied = load.applied.borrow();
     let gateways = applied.iter().filter(|(name, _)| name.starts_with("gateway"));
     let counts: Vec<usize> = gateways.map(|(_, versions)| versions.len()).collect();
-    check_panics();
+    assert_no_panics();
     let (median, longest) = load.acknowledgement_times();
     println!(
         "seed {seed}: 300 acknowledged within {took:?}, median {median:?}, longest {longest:?}; versions applied by gateways: {counts:?}"
@@ -180,7 +181,7 @@
 /// within the limit.
 #[test]
 fn gateways_keep_up_with_frequent_configurations() {
-    play(run_with_faults(0, 0, async |_| {}));
+    run_simulation(run_with_faults(0, 0, async |_| {}));
 }
 
 /// Bandwidth of a gateway's link: enough for six of the configurations per second.
@@ -190,12 +191,12 @@
 /// is never behind by more than the one in flight.
 #[test]
 fn gateways_with_slow_links_keep_up_by_skipping_superseded_configurations() {
-    play(run_with_faults(0, 200, async |simulation: Rc<Simulation>| {
+    run_simulation(run_with_faults(0, 200, async |simulation: Rc<Simulation>| {
         simulation
-            .all()
+            .all_machines()
             .iter()
             .filter(|m| !m.is_control_node())
-            .for_each(|m| simulation.network.narrow(&m.ip, LINK_BYTES_PER_SECOND));
+            .for_each(|m| simulation.network.limit_bandwidth(&m.ip, LINK_BYTES_PER_SECOND));
     }));
 }
 
@@ -204,13 +205,13 @@
 #[test]
 fn processes_catch_up_after_faults_during_frequent_configurations() {
     let faults = async |simulation: Rc<Simulation>| {
-        let all = simulation.all();
+        let all = simulation.all_machines();
         let inject = async |machine: &Rc<Machine>, duration: Duration, on: &dyn Fn(), off: &dyn Fn()| {
-            machine.well_since.set(None);
+            machine.healthy_since.set(None);
             on();
             sleep(duration).await;
             off();
-            machine.well_since.set(Some(Instant::now()));
+            machine.healthy_since.set(Some(Instant::now()));
         };
         sleep(ms(3000)).await;
         let control_node = &all[1];
@@ -226,12 +227,12 @@
             cut,
             ms(4000),
             &|| {
-                network.cut(Direction::Both, [cut.ip.clone()]);
+                network.partition(Direction::Both, [cut.ip.clone()]);
             },
-            &|| network.mend_all(),
+            &|| network.heal_all(),
         )
         .await;
-        let sync = &all[2].storage.as_ref().expect("a control node has a disk").sync;
+        let sync = &all[2].storage.as_ref().expect("a control node has a disk").sync_time;
         inject(&all[2], ms(4000), &|| sync.set(ms(400)), &|| sync.set(ms(5))).await;
         let wiped = &all[3];
         let kill_and_wipe = || {
@@ -241,7 +242,7 @@
         inject(wiped, ms(1000), &kill_and_wipe, &|| wiped.start(network, false)).await;
     };
     for seed in 0..2 {
-        play(run_with_faults(seed, 0, faults));
+        run_simulation(run_with_faults(seed, 0, faults));
     }
 }
 
@@ -260,8 +261,8 @@
     let load = WriteLoad::start_load(7, 5, 1, 0).await;
     load.write_all(1..=3, ms(50)).await;
     load.wait_for_acknowledgements().await;
-    let member = load.simulation.all()[1].clone();
-    member.well_since.set(None);
+    let member = load.simulation.all_machines()[1].clone();
+    member.healthy_since.set(None);
     member.kill(&load.simulation.network);
     if wiped {
         member.wipe();
@@ -296,7 +297,7 @@
 
 /// Size in bytes of the register's state on a machine's disk.
 fn state_bytes_on_disk(machine: &Machine) -> u64 {
-    let found = machine.storage.as_ref().map(|storage| storage.safe.borrow().recovered());
+    let found = machine.storage.as_ref().map(|storage| storage.synced_state.borrow().recovered());
     let text =
         serde_json::to_vec(&found.and_then(|found| found.replica)).expect("a replica can be serialized");
     text.len() as u64
@@ -304,11 +305,11 @@
 
 /// Version of the configuration on a machine's disk.
 fn version_on_disk(machine: &Machine) -> Option<u64> {
-    let found = machine.storage.as_ref()?.safe.borrow().recovered();
+    let found = machine.storage.as_ref()?.synced_state.borrow().recovered();
     Some(found.replica?.accepted.value.config.as_ref()?.version)
 }
 
 #[test]
 fn catching_up_costs_a_bounded_multiple_of_the_state() {
-    [false, true].into_iter().for_each(|wiped| play(rejoin_after(MISSED_CHANGES, wiped)));
+    [false, true].into_iter().for_each(|wiped| run_simulation(rejoin_after(MISSED_CHANGES, wiped)));
 }
