--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Golden files: what earlier releases say to each other, keep on disk, answer and log, to the byte. A fleet is upgraded
-//! machine by machine, so that all of this is an interface: a type may be renamed, its serialized form may not change.
+//! Golden files with the exact bytes that earlier releases send to each other, store on disk, answer and log. A fleet is
+//! upgraded machine by machine, so that all of this is an interface: a type may be renamed, but its serialized form may
+//! not change.
 //!
-//! `GOLDEN_WRITE=1` writes the files of new cases. To write one anew that is there is to change an interface, and the
-//! commit has to say why.
+//! `GOLDEN_WRITE=1` writes the files of new cases. Replacing an existing file changes an interface, and the commit has to
+//! say why.
 
 #[path = "golden/messages.rs"]
 mod messages;
@@ -19,7 +20,7 @@
 
 use std::path::PathBuf;
 
-/// A file of `tests/golden`.
+/// Path of a file in `tests/golden`.
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
@@ -28,22 +29,28 @@
     std::env::var_os("GOLDEN_WRITE").is_some()
 }
 
-/// The content of a golden file.
+/// Returns the content of a golden file.
 fn golden(name: &str) -> String {
     std::fs::read_to_string(path(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// Asserts that this is what a golden file holds.
-fn assert_golden(name: &str, now: &str) {
+/// Asserts that a text equals the content of a golden file.
+fn assert_golden(name: &str, actual: &str) {
     if is_writing() && !path(name).exists() {
-        std::fs::create_dir_all(path(name).parent().expect("a folder")).expect("a folder");
-        std::fs::write(path(name), now).expect("written");
+        std::fs::create_dir_all(path(name).parent().expect("a golden file is in a folder"))
+            .expect("the folder can be created");
+        std::fs::write(path(name), actual).expect("the golden file can be written");
     }
-    let before = golden(name);
-    let first = before.lines().zip(now.lines()).position(|(before, now)| before != now);
-    if let Some(first) = first {
-        let line = |text: &str| text.lines().nth(first).unwrap_or_default().to_owned();
-        panic!("{name}, line {}:\n  before {}\n  now    {}", first + 1, line(&before), line(now));
+    let expected = golden(name);
+    let line_index = expected.lines().zip(actual.lines()).position(|(expected, actual)| expected != actual);
+    if let Some(line_index) = line_index {
+        let line = |text: &str| text.lines().nth(line_index).unwrap_or_default().to_owned();
+        panic!(
+            "{name}, line {}:\n  expected {}\n  actual   {}",
+            line_index + 1,
+            line(&expected),
+            line(actual)
+        );
     }
-    assert_eq!(before.len(), now.len(), "{name} is longer or shorter than before");
+    assert_eq!(expected.len(), actual.len(), "{name}: the length differs");
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -1,5 +1,5 @@
-//! Answers between the system's own processes: one counts only on the link that it was asked for on, which is also one
-//! life of the process that was asked.
+//! Answers between the system's own processes: an answer counts only on the link on which it was requested, and thereby
+//! only from the same incarnation of the process.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,23 +18,23 @@
 use tokio::io::{AsyncWriteExt as _, DuplexStream, duplex, split};
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// A process that notes what it receives.
+/// Process that records the messages it accepts.
 #[derive(Default)]
-struct Process {
+struct RecordingProcess {
     links: RefCell<LinkTable>,
     queues: RefCell<Vec<(LinkId, MessageQueue)>>,
     received: RefCell<Vec<(LinkId, &'static str)>>,
 }
 
-impl Process {
-    /// A configuration is requested over a link.
+impl RecordingProcess {
+    /// Records that a configuration was requested over a link.
     fn request_config(&self, link: LinkId) {
         self.links.borrow_mut().config_requested(link);
     }
 
     fn close(&self, link: LinkId) {
         self.links.borrow_mut().remove(link);
-        self.queues.borrow_mut().retain(|(other, _)| *other != link);
+        self.queues.borrow_mut().retain(|(open, _)| *open != link);
     }
 }
 
@@ -52,13 +52,13 @@
     }
 }
 
-impl Transport for Process {
+impl Transport for RecordingProcess {
     fn connect(&self, _address: Address) -> Connecting {
         Box::pin(async { None })
     }
 }
 
-impl ConnectionHandler for Process {
+impl ConnectionHandler for RecordingProcess {
     fn own_node(&self) -> Node {
         node("me", 1)
     }
@@ -87,12 +87,12 @@
     fn connection_closed(self: &Rc<Self>, _link: LinkId) {}
 }
 
-/// The far side of a link.
+/// Remote end of a link.
 struct Peer(DuplexStream);
 
 impl Peer {
-    async fn say(&mut self, message: &Message) {
-        let line = serde_json::to_string(message).expect("a line") + "\n";
+    async fn send(&mut self, message: &Message) {
+        let line = serde_json::to_string(message).expect("a message can be serialized") + "\n";
         self.0.write_all(line.as_bytes()).await.expect("the link is open");
         for _ in 0..20 {
             yield_now().await;
@@ -100,57 +100,61 @@
     }
 }
 
-async fn link(process: &Rc<Process>, name: &str, incarnation: u64) -> (LinkId, Peer) {
+async fn link(process: &Rc<RecordingProcess>, name: &str, incarnation: u64) -> (LinkId, Peer) {
     let (near, far) = duplex(1 << 20);
     let (read, write) = split(near);
     spawn_local(links::run(read, write, Direction::Outgoing, process.clone()));
     let mut peer = Peer(far);
-    peer.say(&Message::Hello(node(name, incarnation))).await;
+    peer.send(&Message::Hello(node(name, incarnation))).await;
     let link = process.links.borrow().iter().map(|(link, _)| link).max();
-    (link.expect("it is linked"), peer)
+    (link.expect("the link is established"), peer)
 }
 
 fn config(version: u64) -> VersionedConfig {
     VersionedConfig { version, digest: ContentDigest::of(b"text"), compressed_text: "text".into() }
 }
 
-fn run<F: Future<Output = ()>>(test: F) {
+fn run_test<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("the runtime can be built"), test);
 }
 
-/// Two links to one peer, one of them to the life before; a configuration on the wrong one, unasked, and twice.
+/// Two links lead to one peer, the first one to its previous incarnation. A configuration arrives without a request, on
+/// the wrong link, and twice.
 #[test]
-fn an_answer_counts_once_and_on_the_link_that_was_asked() {
-    run(async {
-        let process = Rc::new(Process::default());
-        let (first, mut before) = link(&process, "peer", 1).await;
-        let (second, mut after) = link(&process, "peer", 2).await;
+fn an_answer_counts_once_and_only_on_the_link_of_its_request() {
+    run_test(async {
+        let process = Rc::new(RecordingProcess::default());
+        let (first, mut previous) = link(&process, "peer", 1).await;
+        let (second, mut current) = link(&process, "peer", 2).await;
         assert!(second > first);
         let answer = Message::Config(config(3));
-        before.say(&answer).await;
-        after.say(&answer).await;
-        assert!(process.received.borrow().is_empty(), "nobody asked");
+        previous.send(&answer).await;
+        current.send(&answer).await;
+        assert!(process.received.borrow().is_empty(), "an answer without a request is ignored");
         process.request_config(second);
-        before.say(&answer).await;
-        assert!(process.received.borrow().is_empty(), "another link, and another life, was asked");
-        after.say(&answer).await;
-        after.say(&answer).await;
-        assert_eq!(*process.received.borrow(), [(second, "configuration")], "once");
-        // What is no answer is heard on any link.
-        before.say(&Message::Subscribe(true)).await;
+        previous.send(&answer).await;
+        assert!(
+            process.received.borrow().is_empty(),
+            "an answer on another link than its request is ignored"
+        );
+        current.send(&answer).await;
+        current.send(&answer).await;
+        assert_eq!(*process.received.borrow(), [(second, "configuration")], "an answer counts once");
+        // Messages other than answers are accepted on any link.
+        previous.send(&Message::Subscribe(true)).await;
         assert_eq!(process.received.borrow().last(), Some(&(first, "links")));
     });
 }
 
-/// An answer to a process that has started again, or to a link that is gone, finds no link under that number.
+/// An answer for a link that is closed, or that led to an earlier incarnation of the peer, must not match a later link.
 #[test]
-fn the_number_of_a_link_is_never_given_again() {
-    run(async {
-        let process = Rc::new(Process::default());
+fn link_numbers_are_never_reused() {
+    run_test(async {
+        let process = Rc::new(RecordingProcess::default());
         let mut last = LinkId::from(0);
-        for life in 1..6 {
-            let (number, peer) = link(&process, "peer", life).await;
+        for incarnation in 1..6 {
+            let (number, peer) = link(&process, "peer", incarnation).await;
             assert!(number > last);
             process.request_config(number);
             process.close(number);
@@ -158,59 +162,79 @@
             drop(peer);
         }
         let (_, mut peer) = link(&process, "peer", 9).await;
-        peer.say(&Message::Config(config(1))).await;
-        assert!(process.received.borrow().is_empty(), "what was asked on other links is not owed here");
+        peer.send(&Message::Config(config(1))).await;
+        assert!(
+            process.received.borrow().is_empty(),
+            "a request on another link does not count for this one"
+        );
         assert_eq!(process.links.borrow().counters.unrequested_answers, 1);
     });
 }
 
-/// A response settles its operation only on the link on which the request went out: not on a second link to the same
-/// process, nor from that process's next life, whose link has another number.
+/// A response is counted for its operation only on the link of the request: not on a second link to the same process, and
+/// not from the next incarnation of that process, whose link has another number.
 #[test]
-fn a_response_counts_on_the_link_of_its_request() {
-    run(async {
-        let member = |n: u64| Member { disk: format!("d{n}").into(), address: format!("{n}:1").into() };
+fn a_register_response_counts_only_on_the_link_of_its_request() {
+    run_test(async {
+        let member =
+            |number: u64| Member { disk: format!("d{number}").into(), address: format!("{number}:1").into() };
         let membership = Membership::new(1, (1..=3).map(member).collect());
-        let replica = |n: u64| Replica::empty(member(n).disk, membership.clone());
+        let replica = |number: u64| Replica::empty(member(number).disk, membership.clone());
         let mut register = Register::new(replica(1), 1);
         let mut others = [replica(2), replica(3)];
         let now = Duration::ZERO;
         let StartedOperation { commands, mut outcome } = register.write(membership.clone(), config(1), now);
-        let mut todo = vec![commands];
-        let mut misled = 0;
-        while let Some(RegisterCommands { requests, .. }) = todo.pop() {
+        let mut pending_commands = vec![commands];
+        let mut wrong_path_count = 0;
+        while let Some(RegisterCommands { requests, .. }) = pending_commands.pop() {
             for outgoing in requests {
                 let number = outgoing.number;
                 if outgoing.member == member(1) {
                     register.request_sent(number, RequestPath::Local);
                     let response = register.handle_request(&outgoing.request).response;
                     let wrong = RequestPath::Link(LinkId::from(1));
-                    let misled = register.response_received(number, wrong, response.clone(), now);
-                    assert!(misled.requests.is_empty());
-                    todo.push(register.response_received(number, RequestPath::Local, response, now));
+                    let ignored = register.response_received(number, wrong, response.clone(), now);
+                    assert!(ignored.requests.is_empty());
+                    pending_commands.push(register.response_received(
+                        number,
+                        RequestPath::Local,
+                        response,
+                        now,
+                    ));
                     continue;
                 }
-                let at = usize::from(outgoing.member == member(3));
-                let path = |first: u64| RequestPath::Link(LinkId::from(first + at as u64));
-                let (asked, other) = (path(10), path(20));
-                register.request_sent(number, asked);
-                let response = others[at].handle(&outgoing.request).response;
-                for wrong in [other, RequestPath::Local] {
+                let index = usize::from(outgoing.member == member(3));
+                let path = |first: u64| RequestPath::Link(LinkId::from(first + index as u64));
+                let (request_path, other_path) = (path(10), path(20));
+                register.request_sent(number, request_path);
+                let response = others[index].handle(&outgoing.request).response;
+                for wrong in [other_path, RequestPath::Local] {
                     let commands = register.response_received(number, wrong, response.clone(), now);
                     let is_ignored = commands.requests.is_empty() && commands.membership.is_none();
-                    assert!(is_ignored, "it came another way");
-                    misled += 1;
+                    assert!(is_ignored, "a response on another path is ignored");
+                    wrong_path_count += 1;
                 }
-                assert!(outcome.try_recv().is_err(), "nothing is settled by them");
-                todo.push(register.response_received(number, asked, response.clone(), now));
-                let again = register.response_received(number, asked, response, now);
-                assert!(again.requests.is_empty() && again.membership.is_none(), "it counts once");
+                assert!(
+                    outcome.try_recv().is_err(),
+                    "responses on other paths do not complete the operation"
+                );
+                pending_commands.push(register.response_received(
+                    number,
+                    request_path,
+                    response.clone(),
+                    now,
+                ));
+                let again = register.response_received(number, request_path, response, now);
+                assert!(again.requests.is_empty() && again.membership.is_none(), "a response counts once");
                 if let Ok(outcome) = outcome.try_recv() {
-                    assert!(matches!(outcome, Outcome::Written(SubmissionStatus::Chosen, _)) && misled > 0);
+                    assert!(
+                        matches!(outcome, Outcome::Written(SubmissionStatus::Chosen, _))
+                            && wrong_path_count > 0
+                    );
                     return;
                 }
             }
         }
-        panic!("it is never settled");
+        panic!("the operation does not complete");
     });
 }
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/whole.rs
@@ -1,7 +1,8 @@
-//! StoredState processes under drawn schedules. What must hold is checked all along. Time is counted, nothing is waited for.
+//! Whole processes under randomly drawn schedules of faults, in simulated time, with continuous checks of the system's
+//! guarantees.
 //!
-//! By hand: `SIMULATION_FROM=0 SIMULATION_DAYS=1000 cargo test --release -p ashvane-node --test whole`; a test's name
-//! after `--` plays only its days; `NODE_LOG=1` says all.
+//! To run other days: `SIMULATION_FROM=0 SIMULATION_DAYS=1000 cargo test --release -p ashvane-node --test whole`. The name
+//! of a test after `--` selects its days; `NODE_LOG=1` prints all log lines.
 
 mod days;
 #[allow(dead_code, reason = "each test uses its part of the simulation")]
@@ -11,39 +12,43 @@
 
 use simulation::run_simulation;
 
-/// Of these days, those that break something, each with what it was.
-fn hunt<F: Future>(day: impl Fn(u64) -> F, fixed: &[u64]) -> Vec<(u64, String)> {
+/// Simulates days and returns the seeds of those that failed, each with the message of the panic.
+fn failed_days<F: Future>(day: impl Fn(u64) -> F, fixed_seeds: &[u64]) -> Vec<(u64, String)> {
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
     let from = number("SIMULATION_FROM").unwrap_or(0);
     let seeds = match number("SIMULATION_DAYS") {
         Some(days) => (from..from + days).collect(),
-        None => fixed.to_vec(),
+        None => fixed_seeds.to_vec(),
     };
-    let broken = |seed| {
-        let played = catch_unwind(AssertUnwindSafe(|| run_simulation(day(seed))));
-        let why = played.err()?;
-        let why = why.downcast_ref::<String>().cloned().unwrap_or_else(|| "a panic".to_owned());
-        println!("seed {seed}: {why}");
-        Some((seed, why))
+    let failure = |seed| {
+        let outcome = catch_unwind(AssertUnwindSafe(|| run_simulation(day(seed))));
+        let cause = outcome.err()?;
+        let cause = cause
+            .downcast_ref::<String>()
+            .cloned()
+            .unwrap_or_else(|| "panic without a formatted message".to_owned());
+        println!("seed {seed}: {cause}");
+        Some((seed, cause))
     };
-    seeds.into_iter().filter_map(broken).collect()
+    seeds.into_iter().filter_map(failure).collect()
 }
 
-/// Some days on which something broke once: a disk wiped and back before it was missed (64, 100), back with nothing but
-/// seeds that are gone (70, 302), a server that had left recalled after a restart of all (365).
-const DAYS: [u64; 8] = [1, 2, 3, 64, 70, 100, 302, 365];
+/// The first three days, and days that reproduce past faults: a disk was wiped and restarted before its failure was detected
+/// (64, 100), a wiped node restarted with removed seeds only (70, 302), and a deregistered server reappeared after a
+/// restart of all processes (365).
+const FIXED_DAYS: [u64; 8] = [1, 2, 3, 64, 70, 100, 302, 365];
 
 #[test]
-fn whole_processes_keep_what_they_have_promised() {
-    let broken = hunt(days::drawn::simulate_day, &DAYS);
-    assert!(broken.is_empty(), "{broken:#?}");
+fn whole_processes_keep_their_guarantees_on_drawn_days() {
+    let failures = failed_days(days::drawn::simulate_day, &FIXED_DAYS);
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Small cores and large ones.
+/// Days with small and with large numbers of control nodes.
 const WORST_DAYS: [u64; 6] = [1, 2, 3, 4, 6, 7];
 
 #[test]
-fn nothing_is_unsaid_on_the_worst_days() {
-    let broken = hunt(days::worst::simulate_day, &WORST_DAYS);
-    assert!(broken.is_empty(), "{broken:#?}");
+fn no_acknowledgement_is_lost_on_the_worst_days() {
+    let failures = failed_days(days::worst::simulate_day, &WORST_DAYS);
+    assert!(failures.is_empty(), "{failures:#?}");
 }
