--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -1,5 +1,5 @@
-//! What entries cost without any network: memory, the time of each step on them, and bytes of a configuration whole
-//! and by its differences.
+//! The cost of directory entries and configurations without a network: memory, the time of each operation,
+//! and the bytes of a complete configuration and of a difference.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
 use crate::fit::Series;
 use crate::plot;
 
-/// Gateways at full size, for the time of a rank.
-const GATEWAYS: usize = 8600;
+/// Number of gateways at full size, for the time to select peers.
+const GATEWAY_COUNT: usize = 8600;
 
 fn node(n: usize) -> Node {
     Node {
@@ -43,40 +43,40 @@
     }
 }
 
-/// The memory that this process holds, in bytes.
-fn held() -> f64 {
+/// Resident memory of this process, in bytes.
+fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or_default();
     pages * 4096.0
 }
 
-/// Milliseconds that this takes, the least of five times.
-fn time<T>(mut run: impl FnMut() -> T) -> f64 {
-    let once = |_| {
+/// Shortest of five run times of an operation, in milliseconds.
+fn min_time_ms<T>(mut run: impl FnMut() -> T) -> f64 {
+    let run_once = |_| {
         let began = Instant::now();
         black_box(run());
         began.elapsed().as_secs_f64() * 1e3
     };
-    (0..5).map(once).fold(f64::MAX, f64::min)
+    (0..5).map(run_once).fold(f64::MAX, f64::min)
 }
 
 pub(crate) fn print_entries(sizes: &[usize]) {
     let names = [
-        "memory of a server's entry, bytes",
-        "learn one entry, us",
+        "memory per server entry, bytes",
+        "apply one entry, us",
         "tick, ms",
         "digest, ms",
-        "ranks of one part of 32, ms",
-        "ranks of one part, bytes packed",
-        "merge one part, ms",
-        "all entries as updates, bytes packed",
+        "summary of one bucket of 32, ms",
+        "summary of one bucket, bytes compressed",
+        "compare one bucket, ms",
+        "all entries as updates, bytes compressed",
         "all entries as updates, bytes",
     ];
     let mut all: Vec<Series> =
         names.iter().map(|name| Series { name: (*name).to_owned(), points: Vec::new() }).collect();
-    print_processes();
+    print_node_entries();
     for &size in sizes {
-        let before = held();
+        let before = resident_bytes();
         let mut directory = Directory::new(node(0), Duration::from_secs(1), Duration::ZERO);
         let began = Instant::now();
         let mut updates = Vec::new();
@@ -85,21 +85,21 @@
             updates.push(Update::Server(server.clone()));
             directory.apply(Update::Server(server), Duration::ZERO);
         }
-        let learnt = began.elapsed();
+        let apply_time = began.elapsed();
         let text = serde_json::to_vec(&updates).unwrap_or_default();
         drop(updates);
-        let memory = held() - before;
+        let memory = resident_bytes() - before;
         let summary = directory.summary(BucketSet::from_bits(1));
         let ranks = compress(&serde_json::to_vec(&summary).unwrap_or_default()).len();
         let now = Duration::from_secs(2);
         let figures = [
             memory / size as f64,
-            learnt.as_secs_f64() * 1e6 / size as f64,
-            time(|| directory.tick(&LivenessAuthority::Monitored, now).len()),
-            time(|| directory.digest(1)),
-            time(|| directory.summary(BucketSet::from_bits(1))),
+            apply_time.as_secs_f64() * 1e6 / size as f64,
+            min_time_ms(|| directory.tick(&LivenessAuthority::Monitored, now).len()),
+            min_time_ms(|| directory.digest(1)),
+            min_time_ms(|| directory.summary(BucketSet::from_bits(1))),
             ranks as f64,
-            time(|| (directory.updates_missing_from(&summary), directory.is_behind(&summary))),
+            min_time_ms(|| (directory.updates_missing_from(&summary), directory.is_behind(&summary))),
             compress(&text).len() as f64,
             text.len() as f64,
         ];
@@ -111,22 +111,24 @@
     plot::draw("tick", "servers known", &all[2]);
 }
 
-/// What the entries of processes cost: first, before memory that was given back hides it.
-fn print_processes() {
-    let before = held();
+/// Prints the cost of the entries of processes. It runs first, before freed memory distorts the measurement.
+fn print_node_entries() {
+    let before = resident_bytes();
     let mut directory = Directory::new(node(0), Duration::from_secs(1), Duration::ZERO);
-    for n in 0..GATEWAYS * 10 {
+    for n in 0..GATEWAY_COUNT * 10 {
         directory.apply(Update::Node(node(n)), Duration::ZERO);
     }
-    let memory = (held() - before) / (GATEWAYS * 10) as f64;
-    let nodes: Vec<Node> = (0..GATEWAYS).map(node).collect();
-    let rank = time(|| select_peers(&nodes[1], nodes.iter(), 2, |_| true).len());
-    println!("  rank of {GATEWAYS} processes: {rank:.3} ms; a process's entry: {memory:.0} bytes of memory");
+    let memory = (resident_bytes() - before) / (GATEWAY_COUNT * 10) as f64;
+    let nodes: Vec<Node> = (0..GATEWAY_COUNT).map(node).collect();
+    let selection_ms = min_time_ms(|| select_peers(&nodes[1], nodes.iter(), 2, |_| true).len());
+    println!(
+        "  selecting peers among {GATEWAY_COUNT} processes: {selection_ms:.3} ms; memory per process entry: {memory:.0} bytes"
+    );
     black_box(directory);
 }
 
-/// A configuration of so many routes.
-fn configuration(version: u64, routes: usize, changed: usize) -> Vec<String> {
+/// Returns the routes of a configuration, the first `changed` of them with another latency target.
+fn routes_of_configuration(version: u64, routes: usize, changed: usize) -> Vec<String> {
     let _ = version;
     let route = |n: usize| {
         format!(
@@ -143,10 +145,11 @@
 
 pub(crate) fn print_configuration(sizes: &[usize]) {
     let series = |name: &str| Series { name: name.to_owned(), points: Vec::new() };
-    let (mut whole, mut text) = (series("whole configuration, bytes packed"), series("as text, bytes"));
-    let mut difference = series("difference of one route, bytes packed");
+    let (mut complete, mut text) =
+        (series("complete configuration, bytes compressed"), series("complete configuration as text, bytes"));
+    let mut difference = series("difference of one route, bytes compressed");
     for &routes in sizes {
-        let (before, after) = (configuration(1, routes, 0), configuration(2, routes, 1));
+        let (before, after) = (routes_of_configuration(1, routes, 0), routes_of_configuration(2, routes, 1));
         let all = format!("{{\"version\":2,\"routes\":[{}]}}", after.join(","));
         let changed: Vec<&String> =
             before.iter().zip(&after).filter(|(a, b)| a != b).map(|(_, b)| b).collect();
@@ -156,9 +159,9 @@
             parts.join(",")
         );
         text.points.push((routes as f64, all.len() as f64));
-        whole.points.push((routes as f64, compress(all.as_bytes()).len() as f64));
+        complete.points.push((routes as f64, compress(all.as_bytes()).len() as f64));
         difference.points.push((routes as f64, compress(only.as_bytes()).len() as f64));
     }
-    [&text, &whole, &difference].into_iter().for_each(Series::print);
-    plot::draw("configuration", "routes", &whole);
+    [&text, &complete, &difference].into_iter().for_each(Series::print);
+    plot::draw("configuration", "routes", &complete);
 }
--- a/crates/node/tests/cut_off.rs
+++ b/crates/node/tests/cut_off.rs
@@ -1,6 +1,6 @@
-//! A control node is cut off from the others for up to twenty seconds, with whole processes in the simulation: which state
-//! a gateway that starts meanwhile relies on, what the isolated node reports about unreachable servers and processes, and
-//! which reports count.
+//! A control node is cut off from the others for up to twenty seconds, with whole processes in the
+//! simulation: which state a gateway that starts meanwhile relies on, what the isolated node reports about
+//! unreachable servers and processes, and which reports count.
 
 #[allow(dead_code)]
 mod simulation;
@@ -16,7 +16,8 @@
 
 /// Time for which a control node is cut off.
 const PARTITION_TIME: Duration = ms(20_000);
-/// The shortest `drain-ms` among the users' sites: an acknowledged drain reaches every gateway within this time.
+/// The shortest `drain-ms` among the users' sites: an acknowledged drain reaches every gateway within this
+/// time.
 const DRAIN_LIMIT: Duration = ms(3000);
 /// Time after which the caller of a control node gives up.
 const CALL_TIMEOUT: Duration = ms(1000);
@@ -127,7 +128,8 @@
 
 #[test]
 fn a_gateway_that_reaches_the_majority_becomes_ready_with_its_state() {
-    // Before the isolated node can detect the partition, and after its time-outs for all other nodes have expired.
+    // Before the isolated node can detect the partition, and after its time-outs for all other nodes have
+    // expired.
     for before in [ms(1000), ms(8000)] {
         run_simulation(async move {
             let simulation = start_system().await;
@@ -156,8 +158,8 @@
     }
 }
 
-/// A control node of the majority freezes at some moment while the gateway starts. The gateway must still obtain the
-/// newest version that the other nodes have reported to it.
+/// A control node of the majority freezes at some moment while the gateway starts. The gateway must still
+/// obtain the newest version that the other nodes have reported to it.
 #[test]
 fn a_gateway_is_ready_only_with_the_newest_version_that_a_peer_has_reported() {
     run_simulation(async {
@@ -192,8 +194,8 @@
     });
 }
 
-/// A gateway sends verification requests all the time. The isolated control node is reconnected to the others at each
-/// moment between two of the requests.
+/// A gateway sends verification requests all the time. The isolated control node is reconnected to the others
+/// at each moment between two of the requests.
 #[test]
 fn a_rejoining_control_node_confirms_the_quorum_only_once_it_has_caught_up() {
     for moment in (0..1000).step_by(50) {
@@ -262,7 +264,8 @@
     });
 }
 
-/// Every pair of the five control nodes is tried, so that some pairs are those that the gateway selects by itself.
+/// Every pair of the five control nodes is tried, so that some pairs are those that the gateway selects by
+/// itself.
 #[test]
 fn a_gateway_linked_only_to_isolated_control_nodes_connects_to_others() {
     for (a, b) in (0..5).flat_map(|a| (0..a).map(move |b| (a, b))) {
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -1,4 +1,5 @@
-//! Durability of a disk: its content after a power loss, and with one of its two stores torn, damaged or missing.
+//! Durability of a disk: its content after a power loss, and with one of its two stores torn, damaged or
+//! missing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -86,8 +87,8 @@
     disk.close();
 }
 
-/// The store that was written last is truncated, zeroed or corrupted at random places: the other store still has every
-/// earlier write.
+/// The store that was written last is truncated, zeroed or corrupted at random places: the other store still
+/// has every earlier write.
 #[test]
 fn a_torn_store_loses_at_most_the_last_write() {
     let dir = scratch_folder("torn");
@@ -164,8 +165,8 @@
     disk.close();
 }
 
-/// Returns a replica that has accepted a configuration of a given size. Its text counts as compressed already, so that
-/// the disk stores it at this size.
+/// Returns a replica that has accepted a configuration of a given size. Its text counts as compressed
+/// already, so that the disk stores it at this size.
 fn replica_of_size(version: u64, bytes: usize) -> ReplicaState {
     replica_with(VersionedConfig {
         version,
@@ -251,8 +252,8 @@
     }
 }
 
-/// Medium that records what a power loss would leave: the content of each file and the entries of each folder as of
-/// their last sync.
+/// Medium that records what a power loss would leave: the content of each file and the entries of each folder
+/// as of their last sync.
 struct PowerLossMedium {
     files: Mutex<BTreeMap<PathBuf, Vec<u8>>>,
     names: Mutex<BTreeMap<PathBuf, BTreeSet<PathBuf>>>,
@@ -292,8 +293,8 @@
     }
 }
 
-/// After a confirmed write the power fails: the write is recovered, for small states, for large states, which sled
-/// stores in separate files, and while a store is being rewritten.
+/// After a confirmed write the power fails: the write is recovered, for small states, for large states, which
+/// sled stores in separate files, and while a store is being rewritten.
 #[test]
 fn confirmed_writes_survive_a_power_loss() {
     for bytes in [3_000, 300_000] {
@@ -347,8 +348,8 @@
     }
 }
 
-/// No write is confirmed while the disk is full, earlier writes stay readable, and blocked writes are confirmed without
-/// another request once there is room.
+/// No write is confirmed while the disk is full, earlier writes stay readable, and blocked writes are
+/// confirmed without another request once there is room.
 #[test]
 fn writes_blocked_by_a_full_disk_complete_once_there_is_room() {
     let dir = scratch_folder("full");
@@ -377,8 +378,9 @@
     disk.close();
 }
 
-/// Sled renames and removes its snapshots when it opens a store, and syncs no folder, so that a power loss may leave none
-/// of them. A store that depended on its snapshots would be recovered as empty without an error.
+/// Sled renames and removes its snapshots when it opens a store, and syncs no folder, so that a power loss
+/// may leave none of them. A store that depended on its snapshots would be recovered as empty without an
+/// error.
 #[test]
 fn stores_are_recovered_without_their_snapshots() {
     for bytes in [20_000, 100_000] {
@@ -435,8 +437,8 @@
     disk.close();
 }
 
-/// Sled writes when it opens a store. If the disk fails these writes, opening must retry instead of treating the store as
-/// unreadable.
+/// Sled writes when it opens a store. If the disk fails these writes, opening must retry instead of treating
+/// the store as unreadable.
 #[test]
 fn opening_waits_for_a_disk_that_reports_errors_and_discards_no_store() {
     let dir = scratch_folder("refuses");
--- a/crates/node/tests/glossary.rs
+++ b/crates/node/tests/glossary.rs
@@ -1,6 +1,6 @@
-//! Documentation and code agree: each name in the third column of `docs/GLOSSARY.md`, and each type, constant or method that
-//! `docs/ARCHITECTURE.md` names, exists in the code, and `docs/system/operators.md` explains exactly the lines that are
-//! logged.
+//! Documentation and code agree: each name in the third column of `docs/GLOSSARY.md`, and each type, constant
+//! or method that `docs/ARCHITECTURE.md` names, exists in the code, and `docs/system/operators.md` explains
+//! exactly the lines that are logged.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -55,8 +55,8 @@
     }
 }
 
-/// Returns the quoted texts of a page that are names in the code: those with a capital letter that consist of letters,
-/// digits, underscores and colons.
+/// Returns the quoted texts of a page that are names in the code: those with a capital letter that consist of
+/// letters, digits, underscores and colons.
 fn quoted_names(text: &str) -> Vec<String> {
     let is_name = |quoted: &&str| {
         quoted.chars().any(char::is_uppercase)
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files with the exact bytes that earlier releases send to each other, store on disk, answer and log. A fleet is
-//! upgraded machine by machine, so that all of this is an interface: a type may be renamed, but its serialized form may
-//! not change.
+//! Golden files with the exact bytes that earlier releases send to each other, store on disk, answer and log.
+//! A fleet is upgraded machine by machine, so that all of this is an interface: a type may be renamed, but
+//! its serialized form may not change.
 //!
-//! `GOLDEN_WRITE=1` writes the files of new cases. Replacing an existing file changes an interface, and the commit has to
-//! say why.
+//! `GOLDEN_WRITE=1` writes the files of new cases. Replacing an existing file changes an interface, and the
+//! commit has to say why.
 
 #[path = "golden/messages.rs"]
 mod messages;
--- a/crates/node/tests/golden/messages.rs
+++ b/crates/node/tests/golden/messages.rs
@@ -1,4 +1,4 @@
-//! Each form that each message between the system's own processes can take.
+//! The serialized form of every message between the system's own processes.
 
 use ashvane_gossip::{
     BucketDigests, BucketSet, Digest, Liveness, Node, OrphanMonitorTerm, RankSummary, Server, ServerRank,
@@ -64,7 +64,7 @@
     Membership::new(4, vec![member("d-b", "10.1.0.2:7080"), member("d-a", "10.1.0.1:7080")])
 }
 
-fn numbered(round: u64) -> ProposalNumber {
+fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber { round, operation: format!("d-a/11/{round:x}").into() }
 }
 
@@ -76,9 +76,9 @@
     }
 }
 
-fn accepted(next: Option<Membership>) -> AcceptedProposal {
+fn accepted_proposal(next_membership: Option<Membership>) -> AcceptedProposal {
     let value = RegisterValue::default().with_config(&config(5)).with_config(&config(9));
-    AcceptedProposal { number: numbered(6), value: value.into(), next_membership: next }
+    AcceptedProposal { number: proposal_number(6), value: value.into(), next_membership }
 }
 
 fn request(request: Request) -> Message {
@@ -86,16 +86,16 @@
 }
 
 fn accept(value: ProposedValue, next_membership: Option<Membership>) -> Message {
-    request(Request::Accept { epoch: 4, number: numbered(7), value, next_membership })
+    request(Request::Accept { epoch: 4, number: proposal_number(7), value, next_membership })
 }
 
 fn response(rejection: Option<Rejection>) -> Message {
-    let AcceptedProposal { number, value, next_membership } = accepted(Some(membership()));
+    let AcceptedProposal { number, value, next_membership } = accepted_proposal(Some(membership()));
     let response = Response {
         rejection,
         disk: "d-b".into(),
         membership: membership(),
-        promised: numbered(8),
+        promised: proposal_number(8),
         accepted_number: number,
         next_membership: next_membership.filter(|_| rejection.is_none()),
         value: Some(value).filter(|_| rejection.is_none()),
@@ -103,32 +103,32 @@
     Message::ReplicaResponse { number: 12, response }
 }
 
-fn summary(hearing: OrphanMonitorTerm) -> Message {
-    let rank = |state, silence| ServerRank { state, heartbeat_sequence: 8, liveness: silence };
+fn summary(orphan_monitor_term: OrphanMonitorTerm) -> Message {
+    let server_rank = |state, liveness| ServerRank { state, heartbeat_sequence: 8, liveness };
     let servers = [
-        ("i-1", rank(ServerState::Ready, Liveness::Alive)),
-        ("i-2", rank(ServerState::Draining, Liveness::TimedOut)),
-        ("i-3", rank(ServerState::Terminated, Liveness::DeclaredTimedOut(term()))),
+        ("i-1", server_rank(ServerState::Ready, Liveness::Alive)),
+        ("i-2", server_rank(ServerState::Draining, Liveness::TimedOut)),
+        ("i-3", server_rank(ServerState::Terminated, Liveness::DeclaredTimedOut(term()))),
     ];
     Message::Summary(RankSummary {
         buckets: BucketSet::from_bits(0x8000_0001),
         nodes: [("control-1".into(), (1, 17, false).into())].into(),
         servers: servers.into_iter().map(|(id, rank)| (id.into(), rank)).collect(),
         epoch: 4,
-        orphan_monitor_term: hearing,
+        orphan_monitor_term,
     })
 }
 
-fn digest(alone: bool) -> Digest {
-    Digest { entries: u64::MAX, epoch: 4, version: 9, lacks_quorum: alone }
+fn digest(lacks_quorum: bool) -> Digest {
+    Digest { entries: u64::MAX, epoch: 4, version: 9, lacks_quorum }
 }
 
-/// Each case under a name of its own.
+/// Returns the message of each case, with the name of its golden file.
 pub(crate) fn cases() -> Vec<(&'static str, Message)> {
     let update = |number, updates| Message::Update { number, updates };
-    let (known, base) = (Some(KnownValue { epoch: 4, number: numbered(6) }), numbered(6));
-    let prepare = |known| request(Request::Prepare { epoch: 4, number: numbered(7), known });
-    let install = Request::Install { membership: membership(), accepted: accepted(None) };
+    let (known, base) = (Some(KnownValue { epoch: 4, number: proposal_number(6) }), proposal_number(6));
+    let prepare = |known| request(Request::Prepare { epoch: 4, number: proposal_number(7), known });
+    let install = Request::Install { membership: membership(), accepted: accepted_proposal(None) };
     let report = ReplicaReport { progress: ReplicaProgress { epoch: 4, version: 9 }, is_shutting_down: true };
     vec![
         ("hello-gateway", Message::Hello(gateway())),
@@ -162,12 +162,12 @@
         ("read", request(Request::Read { known: None })),
         ("read-known", request(Request::Read { known })),
         ("prepare", prepare(None)),
-        ("prepare-known", prepare(Some(numbered(6)))),
-        ("accept-whole", accept(ProposedValue::Complete(accepted(None).value), None)),
+        ("prepare-known", prepare(Some(proposal_number(6)))),
+        ("accept-whole", accept(ProposedValue::Complete(accepted_proposal(None).value), None)),
         ("accept-same", accept(ProposedValue::Unchanged { base: base.clone() }, Some(membership()))),
         ("accept-with", accept(ProposedValue::Extended { base, config: config(10) }, None)),
         ("install", request(install)),
-        ("learn", request(Request::Learn { epoch: 4, accepted: accepted(Some(membership())) })),
+        ("learn", request(Request::Learn { epoch: 4, accepted: accepted_proposal(Some(membership())) })),
         ("response", response(None)),
         ("response-other-epoch", response(Some(Rejection::EpochMismatch))),
         ("response-not-a-member", response(Some(Rejection::NotAMember))),
@@ -181,8 +181,8 @@
     ]
 }
 
-/// The number of a message's variant: without an arm here a new one does not compile, and needs its case.
-fn variant(message: &Message) -> usize {
+/// Index of a message's variant. A new variant does not compile without an arm here, and then needs a case.
+fn variant_index(message: &Message) -> usize {
     match message {
         Message::Hello(_) => 0,
         Message::Update { .. } => 1,
@@ -204,37 +204,41 @@
 
 #[test]
 fn every_variant_has_a_case() {
-    let covered: std::collections::BTreeSet<usize> = cases().iter().map(|(_, m)| variant(m)).collect();
+    let covered: std::collections::BTreeSet<usize> = cases().iter().map(|(_, m)| variant_index(m)).collect();
     assert_eq!(covered.into_iter().collect::<Vec<_>>(), (0..15).collect::<Vec<_>>());
 }
 
 #[test]
 fn messages_are_written_as_earlier_releases_write_them() {
     for (case, message) in cases() {
-        let text = serde_json::to_string(&message).expect("a message") + "\n";
+        let text = serde_json::to_string(&message).expect("a message can be serialized") + "\n";
         assert_golden(&format!("messages/{case}.json"), &text);
     }
 }
 
 #[test]
-fn messages_of_earlier_releases_are_read_and_lose_nothing() {
+fn messages_of_earlier_releases_are_read_without_loss() {
     for (case, _) in cases() {
         let text = golden(&format!("messages/{case}.json"));
         let message: Message = serde_json::from_str(&text).unwrap_or_else(|e| panic!("{case}: {e}"));
-        assert_eq!(serde_json::to_string(&message).expect("a message") + "\n", text, "{case}");
+        assert_eq!(
+            serde_json::to_string(&message).expect("a message can be serialized") + "\n",
+            text,
+            "{case}"
+        );
     }
 }
 
-/// Fields that a still earlier release did not know may be missing.
+/// A message is read without the fields that the earliest releases did not have.
 #[test]
-fn fields_that_came_later_may_be_missing() {
-    let without = |case: &str, field: &str| {
+fn fields_added_by_later_releases_may_be_missing() {
+    let is_read_without = |case: &str, field: &str| {
         let text = golden(&format!("messages/{case}.json"));
-        let at = text.find(field).unwrap_or_else(|| panic!("{case}: {field}"));
-        let rest = &text[at + field.len()..];
-        serde_json::from_str::<Message>(&format!("{}{rest}", &text[..at])).is_ok()
+        let start = text.find(field).unwrap_or_else(|| panic!("{case}: the golden file lacks {field}"));
+        let rest = &text[start + field.len()..];
+        serde_json::from_str::<Message>(&format!("{}{rest}", &text[..start])).is_ok()
     };
-    assert!(without("summary-no-term", r#","hearing":{"epoch":0,"round":0,"holder":""}"#));
-    assert!(without("update-server-draining", r#","silence":"missed""#));
-    assert!(without("digest-alone", r#","alone":true"#));
+    assert!(is_read_without("summary-no-term", r#","hearing":{"epoch":0,"round":0,"holder":""}"#));
+    assert!(is_read_without("update-server-draining", r#","silence":"missed""#));
+    assert!(is_read_without("digest-alone", r#","alone":true"#));
 }
--- a/crates/node/tests/golden/on_disk.rs
+++ b/crates/node/tests/golden/on_disk.rs
@@ -1,4 +1,5 @@
-//! A data folder as an earlier release left it: two stores, the newer one and the one before it.
+//! A data folder written by an earlier release: two stores, of which one holds the newest state and the other
+//! one the state before it.
 
 use std::path::{Path, PathBuf};
 
@@ -17,7 +18,7 @@
     VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
 }
 
-fn state(versions: &[u64]) -> ReplicaState {
+fn replica(versions: &[u64]) -> ReplicaState {
     let member =
         |n: u32| Member { disk: format!("d-{n}").into(), address: format!("10.1.0.{n}:7080").into() };
     let value =
@@ -39,24 +40,24 @@
     vec![server(ServerState::Ready, Liveness::Alive), server(ServerState::Draining, Liveness::TimedOut)]
 }
 
-fn copy(from: &Path, to: &Path) {
-    std::fs::create_dir_all(to).expect("a folder");
-    for entry in std::fs::read_dir(from).expect("a folder").flatten() {
+fn copy_folder(from: &Path, to: &Path) {
+    std::fs::create_dir_all(to).expect("the target folder can be created");
+    for entry in std::fs::read_dir(from).expect("the source folder can be read").flatten() {
         let (from, to) = (entry.path(), to.join(entry.file_name()));
         match from.is_dir() {
-            true => copy(&from, &to),
-            false => assert!(std::fs::copy(from, to).is_ok(), "copied"),
+            true => copy_folder(&from, &to),
+            false => assert!(std::fs::copy(from, to).is_ok(), "the file can be copied"),
         }
     }
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn scratch_folder(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     dir
 }
 
-/// Opens a folder once the process's thread that had it before has let go of it.
+/// Opens a data folder, waiting until the thread that used it before has released its lock.
 fn open(dir: &Path) -> (Disk, RecoveredState) {
     for _ in 0..1_000_000 {
         if let Ok(opened) = Disk::open(&dir.to_string_lossy()) {
@@ -64,46 +65,46 @@
         }
         std::thread::yield_now();
     }
-    panic!("the folder is never free");
+    panic!("the lock of the folder is not released");
 }
 
-fn write_once() {
+fn write_missing_golden_folder() {
     if !is_writing() || path("data-folder").exists() {
         return;
     }
-    let dir = scratch("golden-written");
+    let dir = scratch_folder("golden-written");
     let (disk, _) = open(&dir);
-    disk.save_replica(Some(state(&[5]))).blocking_recv().expect("kept");
+    disk.save_replica(Some(replica(&[5]))).blocking_recv().expect("the disk confirms the write");
     disk.save_servers(servers());
-    disk.save_replica(Some(state(&[5, 9]))).blocking_recv().expect("kept");
+    disk.save_replica(Some(replica(&[5, 9]))).blocking_recv().expect("the disk confirms the write");
     disk.close();
     drop(open(&dir));
-    copy(&dir, &path("data-folder"));
+    copy_folder(&dir, &path("data-folder"));
 }
 
 #[test]
-fn a_data_folder_of_an_earlier_release_is_read_whole() {
-    write_once();
-    let dir = scratch("golden-read");
-    copy(&path("data-folder"), &dir);
+fn a_data_folder_of_an_earlier_release_is_read_completely() {
+    write_missing_golden_folder();
+    let dir = scratch_folder("golden-read");
+    copy_folder(&path("data-folder"), &dir);
     let (disk, found) = open(&dir);
     assert!(found.unreadable.is_empty(), "{:?}", found.unreadable);
-    assert_eq!(found.replica, Some(state(&[5, 9])));
+    assert_eq!(found.replica, Some(replica(&[5, 9])));
     assert_eq!(found.servers, servers());
     disk.close();
 }
 
-/// Each store alone: the newer one has all, the other one what was safe before it.
+/// Reads each store without the other one: one holds the newest state, the other one the state before it.
 #[test]
-fn either_store_of_an_earlier_release_is_read_alone() {
+fn either_store_of_an_earlier_release_is_read_without_the_other() {
     let mut versions = Vec::new();
     for missing in ["cells-a", "cells-b"] {
-        let dir = scratch(&format!("golden-without-{missing}"));
-        copy(&path("data-folder"), &dir);
-        std::fs::remove_dir_all(dir.join(missing)).expect("a store");
+        let dir = scratch_folder(&format!("golden-without-{missing}"));
+        copy_folder(&path("data-folder"), &dir);
+        std::fs::remove_dir_all(dir.join(missing)).expect("the store can be removed");
         let (disk, found) = open(&dir);
         assert!(found.unreadable.is_empty(), "{:?}", found.unreadable);
-        let replica = found.replica.expect("a replica");
+        let replica = found.replica.expect("the store holds a replica");
         versions.push(replica.accepted.value.config.as_ref().map(|config| config.version));
         disk.close();
     }
@@ -111,14 +112,14 @@
     assert_eq!(versions, [Some(5), Some(9)]);
 }
 
-/// The text within a store: an earlier release reads what this one writes only if it has this form.
+/// Checks the text within a store: earlier releases can read what this release writes only in this form.
 #[test]
 fn the_state_is_written_in_the_form_that_earlier_releases_read() {
-    let mut whole = StoredState::default();
-    whole.replica = Some(state(&[5, 9]));
-    whole.servers = servers().into();
-    let text = serde_json::to_string(&whole).expect("a state") + "\n";
+    let mut stored = StoredState::default();
+    stored.replica = Some(replica(&[5, 9]));
+    stored.servers = servers().into();
+    let text = serde_json::to_string(&stored).expect("a state can be serialized") + "\n";
     super::assert_golden("stored-state.json", &text);
-    let read: StoredState = serde_json::from_str(&text).expect("a state");
-    assert_eq!((read.replica, read.servers), (whole.replica, whole.servers));
+    let read: StoredState = serde_json::from_str(&text).expect("a serialized state can be read");
+    assert_eq!((read.replica, read.servers), (stored.replica, stored.servers));
 }
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -1,4 +1,5 @@
-//! What operators and servers give and get: settings, configurations, answers of the control calls, what `show` prints.
+//! The interface to operators and servers: settings, configurations, answers to control calls, and the output
+//! of `show`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +10,20 @@
 
 use super::{assert_golden, golden, path};
 
-#[allow(dead_code, reason = "each test uses its part")]
+#[allow(dead_code, reason = "each test uses its part of the shared code")]
 #[path = "../common/mod.rs"]
 mod common;
 
 use common::{TestSystem, put_request, run_test, send_request};
 
 fn address(text: &str) -> Option<SocketAddr> {
-    Some(text.parse().expect("an address"))
+    Some(text.parse().expect("the text is an address"))
 }
 
-/// Every key that is read, none at its default.
+/// The settings file sets every key to a value other than its default.
 #[test]
-fn settings_are_read_under_the_names_that_they_have() {
-    let read = Settings::parse(&golden("settings.toml"), "settings.toml").expect("settings");
+fn every_setting_is_read_under_its_name() {
+    let read = Settings::parse(&golden("settings.toml"), "settings.toml").expect("the settings are valid");
     let expected = Settings {
         node: "c-3".to_owned(),
         ip: "10.1.0.3".to_owned(),
@@ -49,41 +50,44 @@
 }
 
 #[test]
-fn all_faults_of_settings_are_told_in_the_same_words() {
+fn errors_in_settings_keep_their_messages() {
     let text = golden("settings-faulty.toml");
-    let told = Settings::parse(&text, "settings-faulty.toml").expect_err("it is faulty").to_string();
-    assert_golden("settings-faulty.txt", &(told + "\n"));
-    let told = Settings::parse("node = ", "cut-short.toml").expect_err("it is no TOML").to_string();
-    assert_golden("settings-cut-short.txt", &(told + "\n"));
+    let messages =
+        Settings::parse(&text, "settings-faulty.toml").expect_err("the settings are invalid").to_string();
+    assert_golden("settings-faulty.txt", &(messages + "\n"));
+    let messages =
+        Settings::parse("node = ", "cut-short.toml").expect_err("the text is not valid TOML").to_string();
+    assert_golden("settings-cut-short.txt", &(messages + "\n"));
 }
 
 #[test]
-fn all_faults_of_configurations_are_told_in_the_same_words() {
+fn errors_in_configurations_keep_their_messages() {
     let folder = path("../configurations");
     let mut files: Vec<_> =
-        std::fs::read_dir(folder).expect("a folder").flatten().map(|e| e.path()).collect();
+        std::fs::read_dir(folder).expect("the folder can be read").flatten().map(|e| e.path()).collect();
     files.sort();
-    let mut told = String::new();
+    let mut messages = String::new();
     for file in files {
-        let name = file.file_name().expect("a name").to_string_lossy().into_owned();
-        let faults = Config::parse(&std::fs::read(&file).expect("a file")).err();
+        let name = file.file_name().expect("a file has a name").to_string_lossy().into_owned();
+        let faults = Config::parse(&std::fs::read(&file).expect("the file can be read")).err();
         let faults = faults.map(|faults| faults.lines()).unwrap_or_default();
-        told += &format!("{name}: {faults:?}\n");
+        messages += &format!("{name}: {faults:?}\n");
     }
-    assert_golden("configurations.txt", &told);
+    assert_golden("configurations.txt", &messages);
 }
 
 const CONFIGURATION: &str = r#"{"version":4,"routes":[{"name":"r","host":"h.example","path-prefix":"/r/",
     "kind":"idempotent","deadline-ms":2000,"target-ms":400,"service":"s","max-tries":2}],
     "services":[{"name":"s","max-conns":64}]}"#;
 
-/// Headers that differ from run to run: the length that of the address within the body.
+/// Headers that differ between runs. The length varies with the address in the body.
 const VARYING: [&str; 2] = ["date", "content-length"];
 
-/// An answer as text; addresses, which differ from run to run, by name.
-async fn exchange(system: &TestSystem, what: &str, request: &str) -> String {
-    let answer = send_request(system.control, request).await.expect("an answer");
-    let mut text = format!("== {what}\n{}\n", answer.start_line);
+/// Sends a request and returns the answer as text. Addresses, which differ between runs, are replaced by
+/// names.
+async fn exchange(system: &TestSystem, label: &str, request: &str) -> String {
+    let answer = send_request(system.control, request).await.expect("the control address answers");
+    let mut text = format!("== {label}\n{}\n", answer.start_line);
     for (name, value) in answer.headers.iter().filter(|(name, _)| !VARYING.contains(&name.as_str())) {
         text += &format!("{name}: {value}\n");
     }
@@ -99,15 +103,15 @@
     format!("DELETE {path} HTTP/1.1\r\nHost: c\r\n\r\n")
 }
 
-fn instance(state: &str, seq: u64) -> String {
+fn put_server(state: &str, sequence: u64) -> String {
     let body = format!(
-        r#"{{"service":"s","address":"127.0.0.1:9","zone":"a","capacity":4,"state":"{state}","call-seq":{seq}}}"#
+        r#"{{"service":"s","address":"127.0.0.1:9","zone":"a","capacity":4,"state":"{state}","call-seq":{sequence}}}"#
     );
     put_request("/api/instances/i-1", &body)
 }
 
 #[test]
-fn control_calls_are_answered_as_before() {
+fn answers_to_control_calls_are_unchanged() {
     run_test(async {
         let system = TestSystem::start("golden-api");
         system.wait_for_status(system.control, &get("/api/configuration"), 404).await;
@@ -123,9 +127,9 @@
             ),
             ("no configuration at all", put_request("/api/configuration", "[]")),
             ("the newest", get("/api/configuration")),
-            ("a server", instance("ready", 1)),
-            ("a server that drains", instance("draining", 2)),
-            ("a server of no known state", instance("asleep", 3)),
+            ("a server", put_server("ready", 1)),
+            ("a server that drains", put_server("draining", 2)),
+            ("a server of no known state", put_server("asleep", 3)),
             ("a server that is nowhere", put_request("/api/instances/i-2", r#"{"address":"nowhere"}"#)),
             ("a server that ends", delete("/api/instances/i-1")),
             ("a server that nobody knows ends", delete("/api/instances/i-9")),
@@ -133,48 +137,48 @@
             ("no such call", get("/api/nothing")),
         ];
         let mut text = String::new();
-        for (what, request) in calls {
-            text += &exchange(&system, what, &request).await;
+        for (label, request) in calls {
+            text += &exchange(&system, label, &request).await;
         }
         assert_golden("control-calls.txt", &text);
     });
 }
 
 #[test]
-fn the_operators_client_prints_what_it_printed() {
+fn the_output_of_the_operator_client_is_unchanged() {
     run_test(async {
         let system = TestSystem::start("golden-client");
         system.wait_for_status(system.control, &get("/api/configuration"), 404).await;
         let control = system.control.to_string();
         let calls = tokio::task::spawn_blocking(move || {
-            let at = vec![control.clone()];
+            let addresses = vec![control.clone()];
             let other = CONFIGURATION.replace("2000", "1500");
             let older = CONFIGURATION.replace("\"version\":4", "\"version\":2");
-            let printed = [
-                operator_client::get(&at),
-                operator_client::put(&at, CONFIGURATION.into()),
-                operator_client::put(&at, other.into()),
-                operator_client::put(&at, older.into()),
-                operator_client::put(&at, b"{\"version\":1}".to_vec()),
-                operator_client::get(&at),
-                operator_client::show(&at, "duties", Format::Tables),
-                operator_client::show(&at, "duties", Format::Json),
-                operator_client::show(&at, "disks", Format::Tables),
-                operator_client::show(&at, "servers", Format::Tables),
-                operator_client::show(&at, "nothing", Format::Tables),
+            let results = [
+                operator_client::get(&addresses),
+                operator_client::put(&addresses, CONFIGURATION.into()),
+                operator_client::put(&addresses, other.into()),
+                operator_client::put(&addresses, older.into()),
+                operator_client::put(&addresses, b"{\"version\":1}".to_vec()),
+                operator_client::get(&addresses),
+                operator_client::show(&addresses, "duties", Format::Tables),
+                operator_client::show(&addresses, "duties", Format::Json),
+                operator_client::show(&addresses, "disks", Format::Tables),
+                operator_client::show(&addresses, "servers", Format::Tables),
+                operator_client::show(&addresses, "nothing", Format::Tables),
             ];
             let text = |result: Result<String, ClientError>| match result {
                 Ok(text) => format!("ok: {text}\n"),
-                Err(fault) => format!("error: {fault}\n"),
+                Err(error) => format!("error: {error}\n"),
             };
             let ip = control.split(':').next().unwrap_or_default().to_owned();
-            let text: String = printed.into_iter().map(text).collect();
+            let text: String = results.into_iter().map(text).collect();
             let text = text.replace(&control, "CONTROL").replace(&ip, "IP");
-            // Columns are as wide as the addresses in them.
+            // The width of columns varies with the addresses in them.
             text.lines()
                 .map(|line| line.split_whitespace().collect::<Vec<_>>().join(" ") + "\n")
                 .collect::<String>()
         });
-        assert_golden("client.txt", &calls.await.expect("no panic"));
+        assert_golden("client.txt", &calls.await.expect("the calls do not panic"));
     });
 }
--- a/crates/node/tests/golden/simulated_day.rs
+++ b/crates/node/tests/golden/simulated_day.rs
@@ -1,6 +1,6 @@
-//! One simulated day of whole processes: what they log, what they tell operators and what they say to each other, to the
-//! byte. A change of names or of shape leaves it as it is; a change of behaviour on purpose records it anew, and its
-//! commit says what has changed and why.
+//! One simulated day of whole processes: the exact bytes that they log, report to operators and send to each
+//! other. Renames and refactorings leave them unchanged. An intended change of behaviour records them again,
+//! and its commit says what has changed and why.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -20,10 +20,10 @@
 const CONTROL_NODES: usize = 5;
 const GATEWAYS: usize = 4;
 const SERVERS: usize = 12;
-/// How long a caller waits for its answer.
-const PATIENCE: std::time::Duration = ms(1000);
+/// Time after which the caller of a control node gives up.
+const CALL_TIMEOUT: std::time::Duration = ms(1000);
 
-fn heartbeat(n: usize, state: ServerState, seq: u64) -> Heartbeat {
+fn heartbeat(n: usize, state: ServerState, sequence: u64) -> Heartbeat {
     Heartbeat {
         id: format!("i-{n}").into(),
         service: "s".to_owned().into(),
@@ -31,54 +31,55 @@
         zone: format!("z{}", n % 3).into(),
         capacity: 4,
         state,
-        sequence: seq,
+        sequence,
     }
 }
 
-async fn beat(machine: &Rc<Machine>, heartbeat: Heartbeat) -> Option<Result<(), NoQuorum>> {
-    machine.call(PATIENCE, |agent| async move { agent.record_heartbeat(heartbeat).await }).await
+async fn send_heartbeat(machine: &Rc<Machine>, heartbeat: Heartbeat) -> Option<Result<(), NoQuorum>> {
+    machine.call(CALL_TIMEOUT, |agent| async move { agent.record_heartbeat(heartbeat).await }).await
 }
 
 async fn put(machine: &Rc<Machine>, version: u64, salt: u64) {
     let text = configuration(version, salt);
-    machine.call(PATIENCE, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
+    machine.call(CALL_TIMEOUT, move |agent| async move { drop(agent.put(text.as_bytes()).await) }).await;
 }
 
-/// All servers say each second that they are there, at the control nodes that are up.
-async fn beats(simulation: &Simulation, seconds: u64, seq: &mut u64) {
+/// Sends a heartbeat of every server each second, spread over the running control nodes.
+async fn send_heartbeats(simulation: &Simulation, seconds: u64, sequence: &mut u64) {
     for _ in 0..seconds {
-        *seq += 1;
-        let up: Vec<_> = simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()).collect();
+        *sequence += 1;
+        let running: Vec<_> =
+            simulation.control_nodes().into_iter().filter(|m| m.agent().is_some()).collect();
         for n in 0..SERVERS {
-            beat(&up[n % up.len()], heartbeat(n, ServerState::Ready, *seq)).await;
+            send_heartbeat(&running[n % running.len()], heartbeat(n, ServerState::Ready, *sequence)).await;
         }
         sleep(ms(1000)).await;
     }
 }
 
-async fn day() -> String {
+async fn simulate_day() -> String {
     fastrand::seed(11);
     let simulation = Simulation::new(CONTROL_NODES, GATEWAYS, 1);
-    let (mut seq, machines) = (0, simulation.all_machines());
+    let (mut sequence, machines) = (0, simulation.all_machines());
     sleep(ms(4000)).await;
-    beats(&simulation, 3, &mut seq).await;
+    send_heartbeats(&simulation, 3, &mut sequence).await;
     put(&machines[0], 3, 1).await;
-    // The same number with another text, an older one, and one that is no configuration.
+    // The same version with another text, an older version, and an invalid configuration.
     put(&machines[1], 3, 2).await;
     put(&machines[2], 2, 1).await;
-    machines[3].call(PATIENCE, |agent| async move { drop(agent.put(b"{}").await) }).await;
-    // A server drains and ends, another ends without a word.
-    beat(&machines[1], heartbeat(0, ServerState::Draining, seq + 1)).await;
-    machines[1].call(PATIENCE, |agent| async move { agent.deregister(&"i-0".into()).await }).await;
-    machines[2].call(PATIENCE, |agent| async move { agent.deregister(&"i-1".into()).await }).await;
-    beats(&simulation, 4, &mut seq).await;
-    // A control node is lost for good, and another machine takes its place.
+    machines[3].call(CALL_TIMEOUT, |agent| async move { drop(agent.put(b"{}").await) }).await;
+    // One server drains and deregisters, another one deregisters without draining.
+    send_heartbeat(&machines[1], heartbeat(0, ServerState::Draining, sequence + 1)).await;
+    machines[1].call(CALL_TIMEOUT, |agent| async move { agent.deregister(&"i-0".into()).await }).await;
+    machines[2].call(CALL_TIMEOUT, |agent| async move { agent.deregister(&"i-1".into()).await }).await;
+    send_heartbeats(&simulation, 4, &mut sequence).await;
+    // A control node fails for good, and another machine replaces it.
     machines[4].kill(&simulation.network);
     machines[4].is_removed.set(true);
     let new = simulation.add_control_node();
     new.start(&simulation.network, false);
-    beats(&simulation, 16, &mut seq).await;
-    faults(&simulation, &machines, &mut seq).await;
+    send_heartbeats(&simulation, 16, &mut sequence).await;
+    inject_faults(&simulation, &machines, &mut sequence).await;
     let states = simulation.all_machines().into_iter().filter_map(|machine| {
         let agent = machine.agent()?;
         Some(format!("{}\n{:#}\n", machine.name, agent.status()))
@@ -86,42 +87,46 @@
     states.collect()
 }
 
-/// A cut, a wiped disk, an orderly restart, a loss of all power, and a control node that goes with its servers.
-async fn faults(simulation: &Simulation, machines: &[Rc<Machine>], seq: &mut u64) {
-    // Two that are cut off for a while, and orders at both sides.
-    let far = [machines[0].ip.clone(), machines[7].ip.clone()];
-    let cut = simulation.network.partition(Direction::Both, far);
+/// Injects a partition, a wiped disk, a graceful restart, a power loss everywhere, and the failure of a
+/// control node together with its servers.
+async fn inject_faults(simulation: &Simulation, machines: &[Rc<Machine>], sequence: &mut u64) {
+    // Two machines are cut off for a while, and configurations are written on both sides.
+    let isolated = [machines[0].ip.clone(), machines[7].ip.clone()];
+    let partition = simulation.network.partition(Direction::Both, isolated);
     sleep(ms(3500)).await;
     put(&machines[0], 5, 1).await;
     put(&machines[1], 5, 2).await;
     sleep(ms(6000)).await;
-    simulation.network.heal_partition(cut);
-    beats(simulation, 4, seq).await;
-    // One is wiped and back, one is told to end and comes back, a gateway starts anew.
+    simulation.network.heal_partition(partition);
+    send_heartbeats(simulation, 4, sequence).await;
+    // One control node restarts with a wiped disk, another one shuts down gracefully and restarts, a gateway
+    // is restarted.
     machines[1].kill(&simulation.network);
     machines[1].wipe();
     machines[1].start(&simulation.network, false);
-    beats(simulation, 6, seq).await;
+    send_heartbeats(simulation, 6, sequence).await;
     machines[2].terminate(&simulation.network).await;
     sleep(ms(2000)).await;
     machines[2].start(&simulation.network, false);
     machines[6].kill(&simulation.network);
     machines[6].start(&simulation.network, false);
     put(&machines[0], 8, 4).await;
-    beats(simulation, 5, seq).await;
-    // Power fails everywhere.
+    send_heartbeats(simulation, 5, sequence).await;
+    // Power fails on all machines.
     let all = simulation.all_machines();
     all.iter().for_each(|machine| machine.kill(&simulation.network));
     all.iter().for_each(|machine| machine.start(&simulation.network, false));
     sleep(ms(500)).await;
-    beats(simulation, 8, seq).await;
-    // A control node goes with the servers that it heard: another process says that those are silent.
+    send_heartbeats(simulation, 8, sequence).await;
+    // A control node fails together with the servers that it monitors: another process reports them as
+    // silent.
     machines[3].kill(&simulation.network);
     sleep(ms(22_000)).await;
 }
 
-/// What passed, by way: lines, bytes, their digest, and how many of each kind.
-fn traffic(recording: &Recording) -> String {
+/// Summarizes the traffic between each pair of processes: its bytes, their digest, and the number of messages
+/// of each kind.
+fn summarize_traffic(recording: &Recording) -> String {
     let mut text = String::new();
     for ((from, to), bytes) in &recording.traffic {
         let mut kinds: BTreeMap<String, u32> = BTreeMap::new();
@@ -131,18 +136,19 @@
             *kinds.entry(kind.unwrap_or_else(|| "unread".to_owned())).or_default() += 1;
         }
         let len = bytes.len();
-        let digest = serde_json::to_string(&ContentDigest::of(bytes)).expect("a number");
-        writeln!(text, "{from} > {to}: {len} bytes, {digest}, {kinds:?}").expect("a line");
+        let digest = serde_json::to_string(&ContentDigest::of(bytes)).expect("a digest can be serialized");
+        writeln!(text, "{from} > {to}: {len} bytes, {digest}, {kinds:?}")
+            .expect("a string accepts every write");
     }
     text
 }
 
 #[test]
-fn a_simulated_day_is_as_it_was() {
+fn a_simulated_day_is_unchanged() {
     start_recording();
-    let states = run_simulation(day());
+    let states = run_simulation(simulate_day());
     let recording = finish_recording();
     assert_golden("day-states.txt", &states);
     assert_golden("day-log.txt", &recording.log);
-    assert_golden("day-traffic.txt", &traffic(&recording));
+    assert_golden("day-traffic.txt", &summarize_traffic(&recording));
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -1,5 +1,5 @@
-//! Answers between the system's own processes: an answer counts only on the link on which it was requested, and thereby
-//! only from the same incarnation of the process.
+//! Answers between the system's own processes: an answer counts only on the link on which it was requested,
+//! and thereby only from the same incarnation of the process.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -119,8 +119,8 @@
     LocalSet::new().block_on(&runtime.expect("the runtime can be built"), test);
 }
 
-/// Two links lead to one peer, the first one to its previous incarnation. A configuration arrives without a request, on
-/// the wrong link, and twice.
+/// Two links lead to one peer, the first one to its previous incarnation. A configuration arrives without a
+/// request, on the wrong link, and twice.
 #[test]
 fn an_answer_counts_once_and_only_on_the_link_of_its_request() {
     run_test(async {
@@ -147,7 +147,8 @@
     });
 }
 
-/// An answer for a link that is closed, or that led to an earlier incarnation of the peer, must not match a later link.
+/// An answer for a link that is closed, or that led to an earlier incarnation of the peer, must not match a
+/// later link.
 #[test]
 fn link_numbers_are_never_reused() {
     run_test(async {
@@ -171,22 +172,21 @@
     });
 }
 
-/// A response is counted for its operation only on the link of the request: not on a second link to the same process, and
-/// not from the next incarnation of that process, whose link has another number.
+/// A response is counted for its operation only on the link of the request: not on a second link to the same
+/// process, and not from the next incarnation of that process, whose link has another number.
 #[test]
 fn a_register_response_counts_only_on_the_link_of_its_request() {
     run_test(async {
-        let member =
-            |number: u64| Member { disk: format!("d{number}").into(), address: format!("{number}:1").into() };
+        let member = |id: u64| Member { disk: format!("d{id}").into(), address: format!("{id}:1").into() };
         let membership = Membership::new(1, (1..=3).map(member).collect());
-        let replica = |number: u64| Replica::empty(member(number).disk, membership.clone());
+        let replica = |id: u64| Replica::empty(member(id).disk, membership.clone());
         let mut register = Register::new(replica(1), 1);
         let mut others = [replica(2), replica(3)];
         let now = Duration::ZERO;
         let StartedOperation { commands, mut outcome } = register.write(membership.clone(), config(1), now);
-        let mut pending_commands = vec![commands];
+        let mut pending = vec![commands];
         let mut wrong_path_count = 0;
-        while let Some(RegisterCommands { requests, .. }) = pending_commands.pop() {
+        while let Some(RegisterCommands { requests, .. }) = pending.pop() {
             for outgoing in requests {
                 let number = outgoing.number;
                 if outgoing.member == member(1) {
@@ -195,12 +195,7 @@
                     let wrong = RequestPath::Link(LinkId::from(1));
                     let ignored = register.response_received(number, wrong, response.clone(), now);
                     assert!(ignored.requests.is_empty());
-                    pending_commands.push(register.response_received(
-                        number,
-                        RequestPath::Local,
-                        response,
-                        now,
-                    ));
+                    pending.push(register.response_received(number, RequestPath::Local, response, now));
                     continue;
                 }
                 let index = usize::from(outgoing.member == member(3));
@@ -214,16 +209,8 @@
                     assert!(is_ignored, "a response on another path is ignored");
                     wrong_path_count += 1;
                 }
-                assert!(
-                    outcome.try_recv().is_err(),
-                    "responses on other paths do not complete the operation"
-                );
-                pending_commands.push(register.response_received(
-                    number,
-                    request_path,
-                    response.clone(),
-                    now,
-                ));
+                assert!(outcome.try_recv().is_err(), "wrong paths complete nothing");
+                pending.push(register.response_received(number, request_path, response.clone(), now));
                 let again = register.response_received(number, request_path, response, now);
                 assert!(again.requests.is_empty() && again.membership.is_none(), "a response counts once");
                 if let Ok(outcome) = outcome.try_recv() {
--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -1,5 +1,6 @@
-//! Failures, replacements and shutdowns of control nodes in quick succession, with whole processes in the simulation.
-//! Acknowledged configurations stay readable, each epoch has one membership, and writes are acknowledged in time.
+//! Failures, replacements and shutdowns of control nodes in quick succession, with whole processes in the
+//! simulation. Acknowledged configurations stay readable, each epoch has one membership, and writes are
+//! acknowledged in time.
 
 #[allow(dead_code)]
 mod simulation;
@@ -14,7 +15,8 @@
 
 /// The users' limit for the acknowledgement of a configuration at the small sites.
 const ACKNOWLEDGEMENT_LIMIT: Duration = ms(6000);
-/// The users' `catch-up-s` at the small sites: after a loss, the cluster tolerates the next one within this time.
+/// The users' `catch-up-s` at the small sites: after a loss, the cluster tolerates the next one within this
+/// time.
 const RECOVERY_LIMIT: Duration = ms(4000);
 /// Time after which the caller of a control node gives up.
 const CALL_TIMEOUT: Duration = ms(1000);
@@ -56,7 +58,8 @@
         self.epochs.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Number of running control nodes that may fail without losing the quorum. None while not all of them are members.
+    /// Number of running control nodes that may fail without losing the quorum. None while not all of them
+    /// are members.
     fn tolerable_losses(&self) -> Option<usize> {
         let (running, majority) = (self.simulation.control_nodes(), self.members().len() / 2 + 1);
         running.iter().all(|m| self.is_disk_member(m)).then(|| running.len().saturating_sub(majority))
@@ -122,8 +125,8 @@
         }
     }
 
-    /// Writes the next configuration, trying the control nodes in turn until one acknowledges it. Returns that control
-    /// node, or none if the time is up.
+    /// Writes the next configuration, trying the control nodes in turn until one acknowledges it. Returns
+    /// that control node, or none if the time is up.
     async fn put(&mut self) -> Option<Rc<Machine>> {
         self.version += 1;
         let (began, text) = (Instant::now(), configuration(self.version, 0));
@@ -132,7 +135,7 @@
                 let text = text.clone();
                 let put = async move |agent: Rc<ashvane_node::agent::Agent>| agent.put(text.as_bytes()).await;
                 if matches!(node.call(CALL_TIMEOUT, put).await, Some(PutOutcome::Accepted { version: _ })) {
-                    log_line(&format!("HELD {} at {}", self.version, node.name));
+                    log_line(&format!("acknowledged version {} at {}", self.version, node.name));
                     return Some(node);
                 }
             }
@@ -141,6 +144,7 @@
         None
     }
 
+    /// Writes the next configuration, and fails the test if it is not acknowledged in time.
     async fn put_in_time(&mut self) -> Rc<Machine> {
         let version = self.version + 1;
         self.put().await.unwrap_or_else(|| {
@@ -179,6 +183,7 @@
         machine.start(&self.simulation.network, false);
     }
 
+    /// Starts an additional, empty control node.
     fn add(&self) -> Rc<Machine> {
         let new = self.simulation.add_control_node();
         self.start(&new);
@@ -199,16 +204,16 @@
     Planned,
 }
 
-/// Loses the tolerated number of members at once, and others as soon as `catch-up-s` allows it, in three rounds. A
-/// configuration is acknowledged right before and right after each loss.
+/// Loses the tolerated number of members at once, and others as soon as `catch-up-s` allows it, in three
+/// rounds. A configuration is acknowledged right before and right after each loss.
 #[expect(clippy::cognitive_complexity, reason = "one scenario in sequence; not split yet")]
 async fn lose_repeatedly(members: usize, losses: usize, loss: Loss) {
     let mut cluster = Cluster::new(members, losses).await;
-    let mut longest = ms(0);
+    let mut max_recovery = ms(0);
     for round in 0..3 {
         cluster.put_in_time().await;
-        // The first and third rounds take the longest-serving control nodes, which hold the duties; the second round
-        // takes the newest ones.
+        // The first and third rounds take the longest-serving control nodes, which hold the duties; the
+        // second round takes the newest ones.
         let all = cluster.simulation.control_nodes();
         let first = if round == 1 { all.len() - losses } else { 0 };
         let lost: Vec<_> = all.into_iter().skip(first).take(losses).collect();
@@ -237,8 +242,8 @@
                 new.extend(lost.iter().map(|_| cluster.add()));
                 cluster.advance(ms(1000)).await;
                 for machine in &lost {
-                    let took = machine.terminate(&cluster.simulation.network).await;
-                    assert!(took.is_some(), "{} shuts down within its grace period", machine.name);
+                    let shutdown_time = machine.terminate(&cluster.simulation.network).await;
+                    assert!(shutdown_time.is_some(), "{} shuts down within its grace period", machine.name);
                     machine.is_removed.set(true);
                 }
             }
@@ -254,7 +259,7 @@
             );
             cluster.advance(ms(50)).await;
         }
-        longest = longest.max(restored.elapsed());
+        max_recovery = max_recovery.max(restored.elapsed());
         cluster.advance(RECOVERY_LIMIT.saturating_sub(restored.elapsed())).await;
     }
     cluster.put_in_time().await;
@@ -262,7 +267,7 @@
     cluster.assert_all_read_newest().await;
     log_line(&format!(
         "ROW {members} {losses} {loss:?} redundancy restored after {} ms at most",
-        longest.as_millis()
+        max_recovery.as_millis()
     ));
 }
 
@@ -296,7 +301,8 @@
     lose_at_each_size(Loss::Planned);
 }
 
-/// Without a quorum nothing is acknowledged and nothing is read: an old configuration would be worse than none.
+/// Without a quorum nothing is acknowledged and nothing is read: an old configuration would be worse than
+/// none.
 #[test]
 fn a_minority_neither_acknowledges_nor_reads() {
     run_simulation(async {
@@ -319,8 +325,8 @@
     });
 }
 
-/// The second loss, which hits each moment around the membership change that readmits a wiped member: before the
-/// change, during its votes, during the install, and after it.
+/// The second loss, which hits each moment around the membership change that readmits a wiped member: before
+/// the change, during its votes, during the install, and after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SecondLoss {
     /// The process that proposes the change is killed, and restarts with its disk.
@@ -447,11 +453,15 @@
             let mut cluster = Cluster::new(5, 1).await;
             let epoch = cluster.epoch();
             for machine in cluster.simulation.control_nodes() {
-                let took = machine
+                let shutdown_time = machine
                     .terminate(&cluster.simulation.network)
                     .await
                     .expect("it shuts down within its grace period");
-                assert!(took < ms(1000), "{} shuts down within a second: {took:?}", machine.name);
+                assert!(
+                    shutdown_time < ms(1000),
+                    "{} shuts down within a second: {shutdown_time:?}",
+                    machine.name
+                );
                 cluster.advance(ms(gap)).await;
                 cluster.start(&machine);
                 cluster.put_in_time().await;
@@ -473,22 +483,23 @@
             cluster.add();
             cluster.advance(ms(1500)).await;
             assert_eq!(cluster.members().len(), 6, "the replacement is a member before the old one leaves");
-            let took = old
+            let shutdown_time = old
                 .terminate(&cluster.simulation.network)
                 .await
                 .expect("it shuts down within its grace period");
             old.is_removed.set(true);
             cluster.advance(ms(0)).await;
             assert!(!cluster.has_member_at(&old) && cluster.members().len() == 5, "{:?}", cluster.epochs);
-            assert!(took < GRACE_PERIOD / 3, "shutdown took {took:?}");
+            assert!(shutdown_time < GRACE_PERIOD / 3, "shutdown took {shutdown_time:?}");
         }
         cluster.put_in_time().await;
         cluster.assert_all_read_newest().await;
     });
 }
 
-/// Two members are cut off while the other three choose a configuration. Two of these three are then lost for good, and
-/// the last one is told to shut down while the two members without the configuration reconnect and two empty ones start.
+/// Two members are cut off while the other three choose a configuration. Two of these three are then lost for
+/// good, and the last one is told to shut down while the two members without the configuration reconnect and
+/// two empty ones start.
 #[test]
 fn shutdown_waits_while_the_node_holds_the_only_copy() {
     run_simulation(async {
@@ -506,9 +517,12 @@
         for _ in [&b, &c] {
             cluster.add();
         }
-        let took = last.terminate(&cluster.simulation.network).await;
+        let shutdown_time = last.terminate(&cluster.simulation.network).await;
         last.is_removed.set(true);
-        assert!(took.is_some(), "it hands the configuration over and shuts down within its grace period");
+        assert!(
+            shutdown_time.is_some(),
+            "it hands the configuration over and shuts down within its grace period"
+        );
         cluster.advance(RECOVERY_LIMIT).await;
         cluster.assert_all_read_newest().await;
     });
@@ -540,8 +554,8 @@
     });
 }
 
-/// A member whose disk no longer stores anything counts as failed, whatever its process reports: it must not block the
-/// replacement of another member.
+/// A member whose disk no longer stores anything counts as failed, whatever its process reports: it must not
+/// block the replacement of another member.
 #[test]
 fn a_hanging_disk_does_not_block_the_replacement_of_another_member() {
     run_simulation(async {
@@ -568,7 +582,8 @@
     });
 }
 
-/// A member that was cut off during a membership change learns the new epoch once it is reachable, without any write.
+/// A member that was cut off during a membership change learns the new epoch once it is reachable, without
+/// any write.
 #[test]
 fn a_member_behind_in_epoch_catches_up_without_a_write() {
     run_simulation(async {
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -1,5 +1,5 @@
-//! All machines start at once, with processors that are slow to read messages. The traffic must not grow into a storm that
-//! sustains itself.
+//! All machines start at once, with processors that are slow to read messages. The traffic must not grow into
+//! a storm that sustains itself.
 
 #[allow(dead_code)]
 mod simulation;
@@ -71,9 +71,9 @@
     run_simulation(async {
         let simulation = start_all(3);
         sleep(ms(3000)).await;
-        // Each control node reads the register at its start, and a few membership changes follow. Asking only the member
-        // on the new link takes 2,052 messages, most of them for membership changes; asking all members again at each
-        // new link takes 3,832.
+        // Each control node reads the register at its start, and a few membership changes follow. Asking only
+        // the member on the new link takes 2,052 messages, most of them for membership changes; asking all
+        // members again at each new link takes 3,832.
         let (messages, _) = sent(&simulation, "register");
         assert!(messages < 3000, "{messages} messages for the register");
     });
@@ -113,7 +113,8 @@
         sleep(ms(4000)).await;
         let (_, before) = sent(&simulation, "gaps");
         let control_nodes = simulation.control_nodes();
-        // A control node that was cut off while many servers started lacks all of them, so that it differs from each peer.
+        // A control node that was cut off while many servers started lacks all of them, so that it differs
+        // from each peer.
         let isolated = control_nodes[CONTROL_NODES - 1].clone();
         let cut = simulation.network.partition(Direction::Both, [isolated.ip.clone()]);
         sleep(ms(4000)).await;
@@ -123,7 +124,8 @@
             assert_eq!(control_nodes[n % 8].call(ms(1000), record).await, Some(Ok(())));
         }
         simulation.network.heal_partition(cut);
-        // The wait is shorter than five heartbeat intervals, after which servers with a single heartbeat would time out.
+        // The wait is shorter than five heartbeat intervals, after which servers with a single heartbeat
+        // would time out.
         sleep(ms(4500)).await;
         let agent = isolated.agent().expect("the process runs");
         let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -1,5 +1,5 @@
-//! Hundreds of configurations in quick succession, and members that have missed them. Whole processes run on a simulated
-//! network with simulated time.
+//! Hundreds of configurations in quick succession, and members that have missed them. Whole processes run on
+//! a simulated network with simulated time.
 
 #[allow(dead_code, reason = "each test uses its part of the simulation")]
 mod simulation;
@@ -114,13 +114,17 @@
         self.assert_up_to_date(APPLY_LIMIT);
     }
 
-    /// Asserts that each process without a recent fault has applied the newest version acknowledged at least `age` ago, or
-    /// a newer one.
+    /// Asserts that each process without a recent fault has applied the newest version acknowledged at least
+    /// `age` ago, or a newer one.
     fn assert_up_to_date(&self, age: Duration) {
         let cutoff = Instant::now() - age;
         let acknowledged = self.acknowledged.borrow();
-        let due =
-            acknowledged.iter().filter(|(_, (_, when))| *when < cutoff).map(|(v, _)| *v).max().unwrap_or(0);
+        let due = acknowledged
+            .iter()
+            .filter(|(_, (_, acknowledged_at))| *acknowledged_at < cutoff)
+            .map(|(v, _)| *v)
+            .max()
+            .unwrap_or(0);
         for machine in self.simulation.all_machines() {
             let version = applied_version(&machine);
             let is_settled =
@@ -135,9 +139,9 @@
 
     /// Median and longest time until a configuration was acknowledged.
     fn acknowledgement_times(&self) -> (Duration, Duration) {
-        let mut took: Vec<Duration> = self.acknowledged.borrow().values().map(|(a, b)| *b - *a).collect();
-        took.sort();
-        (took[took.len() / 2], took[took.len() - 1])
+        let mut elapsed: Vec<Duration> = self.acknowledged.borrow().values().map(|(a, b)| *b - *a).collect();
+        elapsed.sort();
+        (elapsed[elapsed.len() / 2], elapsed[elapsed.len() - 1])
     }
 }
 
@@ -163,7 +167,7 @@
     let began = Instant::now();
     load.write_all(1..=300, ms(100)).await;
     load.wait_for_acknowledgements().await;
-    let took = began.elapsed();
+    let elapsed = began.elapsed();
     sleep(ms(1500)).await;
     load.assert_up_to_date(Duration::ZERO);
     let applied = load.applied.borrow();
@@ -172,13 +176,13 @@
     assert_no_panics();
     let (median, longest) = load.acknowledgement_times();
     println!(
-        "seed {seed}: 300 acknowledged within {took:?}, median {median:?}, longest {longest:?}; versions applied by gateways: {counts:?}"
+        "seed {seed}: 300 acknowledged within {elapsed:?}, median {median:?}, longest {longest:?}; versions applied by gateways: {counts:?}"
     );
     assert!(counts.len() == 6 && load.acknowledged.borrow().len() == 300);
 }
 
-/// With ten configurations per second for half a minute, all are acknowledged, and every gateway applies the newest one
-/// within the limit.
+/// With ten configurations per second for half a minute, all are acknowledged, and every gateway applies the
+/// newest one within the limit.
 #[test]
 fn gateways_keep_up_with_frequent_configurations() {
     run_simulation(run_with_faults(0, 0, async |_| {}));
@@ -187,8 +191,8 @@
 /// Bandwidth of a gateway's link: enough for six of the configurations per second.
 const LINK_BYTES_PER_SECOND: u64 = 64_000;
 
-/// The links of the gateways are too slow for ten configurations per second. Each gateway skips superseded versions, and
-/// is never behind by more than the one in flight.
+/// The links of the gateways are too slow for ten configurations per second. Each gateway skips superseded
+/// versions, and is never behind by more than the one in flight.
 #[test]
 fn gateways_with_slow_links_keep_up_by_skipping_superseded_configurations() {
     run_simulation(run_with_faults(0, 200, async |simulation: Rc<Simulation>| {
@@ -200,8 +204,8 @@
     }));
 }
 
-/// During frequent configurations a control node restarts, a gateway freezes, another one is cut off, a disk is slow and
-/// another one is wiped. Each process then skips the versions it has missed.
+/// During frequent configurations a control node restarts, a gateway freezes, another one is cut off, a disk
+/// is slow and another one is wiped. Each process then skips the versions it has missed.
 #[test]
 fn processes_catch_up_after_faults_during_frequent_configurations() {
     let faults = async |simulation: Rc<Simulation>| {
@@ -248,15 +252,16 @@
 
 /// Number of changes that a member misses: more than the register keeps chosen versions of.
 const MISSED_CHANGES: u64 = 1200;
-/// Maximum size of the stored state of the register: 28 bytes for each chosen version that it keeps, and 600 bytes for a
-/// small configuration and the names of five members.
+/// Maximum size of the stored state of the register: 28 bytes for each chosen version that it keeps, and 600
+/// bytes for a small configuration and the names of five members.
 const MAX_STATE_BYTES: u64 = MAX_CHOSEN_VERSIONS as u64 * 28 + 600;
-/// Maximum traffic until a member is up to date, in multiples of its state. Each of the other four members may send the
-/// state for each of the first reads of the register, and again when the member is readmitted with a new disk.
+/// Maximum traffic until a member is up to date, in multiples of its state. Each of the other four members
+/// may send the state for each of the first reads of the register, and again when the member is readmitted
+/// with a new disk.
 const MAX_TRANSFERS: u64 = 24;
 
-/// A member that is down during a number of changes, and may also lose its disk, is up to date soon after its restart. The
-/// traffic for this depends on the size of the state, not on the number of missed changes.
+/// A member that is down during a number of changes, and may also lose its disk, is up to date soon after its
+/// restart. The traffic for this depends on the size of the state, not on the number of missed changes.
 async fn rejoin_after(changes: u64, wiped: bool) {
     let load = WriteLoad::start_load(7, 5, 1, 0).await;
     load.write_all(1..=3, ms(50)).await;
@@ -284,12 +289,12 @@
         );
         sleep(ms(10)).await;
     }
-    let took = began.elapsed();
+    let elapsed = began.elapsed();
     // Traffic that follows right after the member is up to date is counted as well.
     sleep(ms(3000)).await;
     let (bytes, state) = (sent_bytes(&load.simulation) - before, state_bytes_on_disk(&member));
     println!(
-        "{changes} changes missed, wiped {wiped}: {bytes} bytes sent, state of {state} bytes, up to date after {took:?}"
+        "{changes} changes missed, wiped {wiped}: {bytes} bytes sent, state of {state} bytes, up to date after {elapsed:?}"
     );
     assert!(state <= MAX_STATE_BYTES, "state of {state} bytes after {changes} changes");
     assert!(bytes <= MAX_TRANSFERS * state, "{bytes} bytes sent for a state of {state} bytes");
