--- a/crates/node/examples/slopes/entries.rs
+++ b/crates/node/examples/slopes/entries.rs
@@ -90,7 +90,7 @@
         drop(updates);
         let memory = resident_bytes() - before;
         let summary = directory.summary(BucketSet::from_bits(1));
-        let ranks = compress(&serde_json::to_vec(&summary).unwrap_or_default()).len();
+        let summary_bytes = compress(&serde_json::to_vec(&summary).unwrap_or_default()).len();
         let now = Duration::from_secs(2);
         let figures = [
             memory / size as f64,
@@ -98,7 +98,7 @@
             min_time_ms(|| directory.tick(&LivenessAuthority::Monitored, now).len()),
             min_time_ms(|| directory.digest(1)),
             min_time_ms(|| directory.summary(BucketSet::from_bits(1))),
-            ranks as f64,
+            summary_bytes as f64,
             min_time_ms(|| (directory.updates_missing_from(&summary), directory.is_behind(&summary))),
             compress(&text).len() as f64,
             text.len() as f64,
@@ -111,7 +111,8 @@
     plot::draw("tick", "servers known", &all[2]);
 }
 
-/// Prints the cost of the entries of processes. It runs first, before freed memory distorts the measurement.
+/// Prints the cost of the entries of processes. It runs first, since the reuse of
+/// freed memory would hide the cost.
 fn print_node_entries() {
     let before = resident_bytes();
     let mut directory = Directory::new(node(0), Duration::from_secs(1), Duration::ZERO);
--- a/crates/node/examples/slopes/processes.rs
+++ b/crates/node/examples/slopes/processes.rs
@@ -70,8 +70,8 @@
     format!("r{}-z{}", n % 16 % 5, n % 16)
 }
 
-/// Builds a simulation. `shares` are the shares of a core that a control node and a gateway get; without
-/// them, processors are not limited.
+/// Builds a simulation. `core_shares` are the shares of a core that a control node and a gateway get;
+/// without them, processors are not limited.
 fn build_simulation(
     control_nodes: usize, gateways: usize, core_shares: Option<(f64, f64)>,
 ) -> Rc<Simulation> {
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -24,7 +24,7 @@
     VersionedConfig { version, digest: ContentDigest::of(text.as_bytes()), compressed_text: text.into() }
 }
 
-/// Returns a replica that has accepted a small configuration of a version.
+/// Returns a replica that has accepted a small configuration with a given version.
 fn replica(version: u64) -> ReplicaState {
     replica_with(config(version))
 }
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -69,9 +69,9 @@
     let mut messages = String::new();
     for file in files {
         let name = file.file_name().expect("a file has a name").to_string_lossy().into_owned();
-        let faults = Config::parse(&std::fs::read(&file).expect("the file can be read")).err();
-        let faults = faults.map(|faults| faults.lines()).unwrap_or_default();
-        messages += &format!("{name}: {faults:?}\n");
+        let errors = Config::parse(&std::fs::read(&file).expect("the file can be read")).err();
+        let errors = errors.map(|errors| errors.lines()).unwrap_or_default();
+        messages += &format!("{name}: {errors:?}\n");
     }
     assert_golden("configurations.txt", &messages);
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -209,7 +209,7 @@
                     assert!(is_ignored, "a response on another path is ignored");
                     wrong_path_count += 1;
                 }
-                assert!(outcome.try_recv().is_err(), "wrong paths complete nothing");
+                assert!(outcome.try_recv().is_err(), "a wrong path completes nothing");
                 pending.push(register.response_received(number, request_path, response.clone(), now));
                 let again = register.response_received(number, request_path, response, now);
                 assert!(again.requests.is_empty() && again.membership.is_none(), "a response counts once");
--- a/crates/node/tests/replacements.rs
+++ b/crates/node/tests/replacements.rs
@@ -325,8 +325,8 @@
     });
 }
 
-/// The second loss, which hits each moment around the membership change that readmits a wiped member: before
-/// the change, during its votes, during the install, and after it.
+/// How a second member is lost around the membership change that readmits a wiped one: the loss is injected
+/// before the change, during its votes, during the install, and after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SecondLoss {
     /// The process that proposes the change is killed, and restarts with its disk.
--- a/crates/node/tests/start.rs
+++ b/crates/node/tests/start.rs
@@ -61,7 +61,7 @@
         simulation.all_machines().iter().for_each(|m| simulation.network.break_connections(&m.ip));
         sleep(ms(3000)).await;
         let calls = simulation.network.bounds.traffic().connection_attempts - before;
-        // Opening another connection at each tick while one is pending takes 6,943.
+        // Opening another connection at each tick while one is pending takes 6,943 attempts.
         assert!(calls < 3500, "{calls} connections opened");
     });
 }
@@ -100,7 +100,7 @@
             let known = (0..SERVERS).filter(|n| agent.is_server_available(&format!("i-{n}").into())).count();
             assert_eq!(known, SERVERS, "on {}", machine.name);
         }
-        // One message per server to each control node and each subscribed gateway takes 60,858.
+        // One message per server to each control node and each subscribed gateway takes 60,858 messages.
         let (after, _) = sent(&simulation, "updates");
         assert!(after - before < 8_000, "{} messages for updates", after - before);
     });
--- a/crates/node/tests/storms.rs
+++ b/crates/node/tests/storms.rs
@@ -139,7 +139,8 @@
 
     /// Median and longest time until a configuration was acknowledged.
     fn acknowledgement_times(&self) -> (Duration, Duration) {
-        let mut elapsed: Vec<Duration> = self.acknowledged.borrow().values().map(|(a, b)| *b - *a).collect();
+        let mut elapsed: Vec<Duration> =
+            self.acknowledged.borrow().values().map(|(began, end)| *end - *began).collect();
         elapsed.sort();
         (elapsed[elapsed.len() / 2], elapsed[elapsed.len() - 1])
     }
@@ -226,12 +227,12 @@
         .await;
         sleep(ms(3000)).await;
         inject(&all[6], ms(4000), &|| all[6].freeze(true), &|| all[6].freeze(false)).await;
-        let cut = &all[7];
+        let isolated = &all[7];
         inject(
-            cut,
+            isolated,
             ms(4000),
             &|| {
-                network.partition(Direction::Both, [cut.ip.clone()]);
+                network.partition(Direction::Both, [isolated.ip.clone()]);
             },
             &|| network.heal_all(),
         )
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/whole.rs
@@ -1,8 +1,8 @@
 //! Whole processes under randomly drawn schedules of faults, in simulated time, with continuous checks of the
 //! system's guarantees.
 //!
-//! To run other days: `SIMULATION_FROM=0 SIMULATION_DAYS=1000 cargo test --release -p ashvane-node --test
-//! whole`. The name of a test after `--` selects its days; `NODE_LOG=1` prints all log lines.
+//! `SIMULATION_FROM=0 SIMULATION_DAYS=1000 cargo test --release -p ashvane-node --test whole` runs other days.
+//! The name of a test after `--` selects its days; `NODE_LOG=1` prints all log lines.
 
 mod days;
 #[allow(dead_code, reason = "each test uses its part of the simulation")]
@@ -34,7 +34,7 @@
 }
 
 /// The first three days, and days that reproduce past faults: a disk was wiped and restarted before its
-/// failure was detected (64, 100), a wiped node restarted with removed seeds only (70, 302), and a
+/// failure was detected (64, 100), a wiped node restarted after all of its seeds had been removed (70, 302), and a
 /// deregistered server reappeared after a restart of all processes (365).
 const FIXED_DAYS: [u64; 8] = [1, 2, 3, 64, 70, 100, 302, 365];
 
