--- a/crates/node/src/disk/medium.rs
+++ b/crates/node/src/disk/medium.rs
@@ -15,7 +15,7 @@
     /// # Errors
     ///
     /// Where the disk takes none for now.
-    fn admits(&self, store: &Path, bytes: u64) -> io::Result<()>;
+    fn check_write(&self, store: &Path, bytes: u64) -> io::Result<()>;
 
     /// Makes a file's content, or a folder's names, outlast a loss of power.
     ///
@@ -25,7 +25,7 @@
     fn sync(&self, path: &Path) -> io::Result<()>;
 
     /// Passes the time until a disk that refused is tried again.
-    fn pause(&self) {
+    fn wait_before_retry(&self) {
         std::thread::sleep(RETRY_DELAY);
     }
 }
@@ -34,7 +34,7 @@
 pub struct FileSystem;
 
 impl Medium for FileSystem {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
         Ok(())
     }
 
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -139,7 +139,7 @@
                 Written::default().with(value).unwrap_or_default()
             }
         };
-        self.medium.admits(&self.dir, value.len() as u64)?;
+        self.medium.check_write(&self.dir, value.len() as u64)?;
         catch_panic(|| {
             let db = self.db()?;
             db.insert(VALUE_KEY, value)?;
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -48,7 +48,7 @@
         while store.write(&encoded).is_err() {
             // Where that fails too, the next write says so.
             let _ = store.renew();
-            self.medium.pause();
+            self.medium.wait_before_retry();
         }
     }
 }
@@ -65,13 +65,13 @@
             },
             Err(StoreError::Refused { .. }) => {
                 store.drop_handle();
-                medium.pause();
+                medium.wait_before_retry();
                 continue;
             }
             Err(reason) => reason.into(),
         };
         while store.renew().is_err() {
-            medium.pause();
+            medium.wait_before_retry();
         }
         return Err(reason);
     }
--- a/crates/node/src/program/graceful_shutdown.rs
+++ b/crates/node/src/program/graceful_shutdown.rs
@@ -29,7 +29,7 @@
     }
 
     /// Goes on with it. Whether the process is to end now.
-    pub fn is_complete(&mut self, agent: &Rc<Agent>, clients: &ClientConnections) -> bool {
+    pub fn advance(&mut self, agent: &Rc<Agent>, clients: &ClientConnections) -> bool {
         let Some(began_at) = self.began_at else { return false };
         agent.shut_down();
         let has_clients = agent.settings.listen.gateway.is_some();
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -195,7 +195,7 @@
             agent.log_counters();
             reload_settings(agent, file);
         }
-        if shutdown.is_complete(agent, clients) {
+        if shutdown.advance(agent, clients) {
             return;
         }
     }
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -190,7 +190,7 @@
 }
 
 impl Medium for Counting {
-    fn admits(&self, _store: &Path, bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, bytes: u64) -> io::Result<()> {
         self.written.fetch_add(bytes, Ordering::Relaxed);
         Ok(())
     }
@@ -244,7 +244,7 @@
 }
 
 impl Medium for Shadow {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
         Ok(())
     }
 
@@ -312,7 +312,7 @@
 }
 
 impl Medium for Filling {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
         if self.full.load(Ordering::SeqCst) { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
@@ -320,7 +320,7 @@
         Ok(())
     }
 
-    fn pause(&self) {
+    fn wait_before_retry(&self) {
         self.in_vain.fetch_add(1, Ordering::SeqCst);
         std::thread::yield_now();
     }
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -575,7 +575,7 @@
             Some(job) = orders.todo.recv() => job(agent.clone()),
             () = orders.terminated.notified() => shutdown.begin(),
         }
-        if shutdown.is_complete(&agent, &clients) {
+        if shutdown.advance(&agent, &clients) {
             return;
         }
     }
