--- a/crates/node/src/agent/operator_calls.rs
+++ b/crates/node/src/agent/operator_calls.rs
@@ -58,7 +58,7 @@
             compressed_text: compression::compress(text).into(),
         };
         let started = self.handle(|engine, now| engine.start_write(submission, now));
-        let Ok(Outcome::Written(status, chosen)) = in_time(started).await else {
+        let Ok(Outcome::Written(status, chosen)) = await_outcome(started).await else {
             return PutOutcome::Unknown(NoQuorum);
         };
         self.handle(|engine, now| engine.write_ended(&chosen, now));
@@ -79,7 +79,7 @@
     /// Where no quorum answers.
     pub async fn read_newest(self: &Rc<Self>) -> Result<Option<VersionedConfig>, NoQuorum> {
         let started = self.handle(|engine, now| engine.start_read(now));
-        let Outcome::Read(chosen) = in_time(started).await? else { return Err(NoQuorum) };
+        let Outcome::Read(chosen) = await_outcome(started).await? else { return Err(NoQuorum) };
         self.handle(|engine, now| engine.read_ended(&chosen, now));
         Ok(chosen.config().cloned())
     }
@@ -91,9 +91,9 @@
     ///
     /// Where no quorum has applied in time that the server drains. It may know all the same.
     pub async fn record_heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) -> Result<(), NoQuorum> {
-        let (id, is_leaving) = (heartbeat.id.clone(), heartbeat.state > ServerState::Ready);
+        let (id, needs_acknowledgement) = (heartbeat.id.clone(), heartbeat.state > ServerState::Ready);
         self.handle(|engine, now| engine.record_heartbeat(heartbeat, now));
-        if is_leaving { self.await_server_known(&id).await } else { Ok(()) }
+        if needs_acknowledgement { self.await_server_update(&id).await } else { Ok(()) }
     }
 
     /// A server has said that it ends.
@@ -103,10 +103,10 @@
     /// Where no quorum has applied that in time. It may know all the same.
     pub async fn deregister(self: &Rc<Self>, id: &ServerId) -> Result<(), NoQuorum> {
         self.handle(|engine, now| engine.deregister(id, now));
-        self.await_server_known(id).await
+        self.await_server_update(id).await
     }
 
-    async fn await_server_known(self: &Rc<Self>, id: &ServerId) -> Result<(), NoQuorum> {
+    async fn await_server_update(self: &Rc<Self>, id: &ServerId) -> Result<(), NoQuorum> {
         let server = self.engine.borrow().directory().server(id).cloned();
         self.await_quorum(Update::Server(server.ok_or(NoQuorum)?)).await
     }
@@ -122,11 +122,11 @@
 
 /// The outcome of an operation, if it was started and ends in time. What ends after that, since this process was stalled, is
 /// no outcome either.
-async fn in_time(started: Option<oneshot::Receiver<Outcome>>) -> Result<Outcome, NoQuorum> {
-    let began = Instant::now();
+async fn await_outcome(started: Option<oneshot::Receiver<Outcome>>) -> Result<Outcome, NoQuorum> {
+    let began_at = Instant::now();
     let outcome = timeout(OPERATION_TIMEOUT, started.ok_or(NoQuorum)?).await;
     match outcome {
-        Ok(Ok(outcome)) if began.elapsed() <= OPERATION_TIMEOUT => Ok(outcome),
+        Ok(Ok(outcome)) if began_at.elapsed() <= OPERATION_TIMEOUT => Ok(outcome),
         _ => Err(NoQuorum),
     }
 }
--- a/crates/node/src/control_api/call.rs
+++ b/crates/node/src/control_api/call.rs
@@ -43,7 +43,7 @@
             }
             ControlCall::PutConfig(text, reply) => {
                 let outcome = agent.put(&text).await;
-                log_put(&agent.log, &outcome);
+                log_put_outcome(&agent.log, &outcome);
                 let _ = reply.send(outcome);
             }
             ControlCall::GetConfig(reply) => {
@@ -56,7 +56,7 @@
     }
 }
 
-fn log_put(log: &Logger, outcome: &PutOutcome) {
+fn log_put_outcome(log: &Logger, outcome: &PutOutcome) {
     match outcome {
         PutOutcome::Accepted { version } => info!(log, "configuration taken"; "version" => version),
         PutOutcome::Invalid(faults) => {
--- a/crates/node/src/control_api/mod.rs
+++ b/crates/node/src/control_api/mod.rs
@@ -24,12 +24,12 @@
 use tokio::sync::{mpsc, oneshot};
 
 use self::call::ControlCall;
-use self::response::{ApiResponse, faults, json_text, json_value, no_quorum};
+use self::response::{ApiResponse, faults_response, json_text, json_value, no_quorum_response};
 use crate::agent::{Agent, PutOutcome};
 use crate::compression;
 
 /// The longest configuration that is read, in bytes.
-const MAX_BODY: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 /// Time in which a head must be complete, and for which an idle connection is kept.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause after a failed accept: descriptors may be free by then.
@@ -57,7 +57,7 @@
             .layer(middleware::from_fn_with_state(self.clone(), redirect))
             .route("/api/state", get(get_state))
             .route("/api/readiness", get(get_readiness))
-            .layer(DefaultBodyLimit::max(MAX_BODY))
+            .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
             .with_state(self)
     }
 }
@@ -108,41 +108,41 @@
 ) -> ApiResponse {
     let heartbeat = match heartbeat_request::parse(id.into(), &body) {
         Ok(heartbeat) => heartbeat,
-        Err(found) => return faults(StatusCode::BAD_REQUEST, &found),
+        Err(faults) => return faults_response(StatusCode::BAD_REQUEST, &faults),
     };
     match api.call(|reply| ControlCall::Heartbeat(heartbeat, reply)).await {
         Some(Ok(())) => json_value(StatusCode::OK, &json!({"beat-target": api.heartbeat_target})),
-        _ => no_quorum(),
+        _ => no_quorum_response(),
     }
 }
 
 async fn delete_instance(State(api): State<Arc<ControlApi>>, Path(id): Path<String>) -> ApiResponse {
     match api.call(|reply| ControlCall::Deregister(id.into(), reply)).await {
         Some(Ok(())) => json_text(StatusCode::OK, "{}"),
-        _ => no_quorum(),
+        _ => no_quorum_response(),
     }
 }
 
 async fn put_configuration(State(api): State<Arc<ControlApi>>, body: Bytes) -> ApiResponse {
     match api.call(|reply| ControlCall::PutConfig(body, reply)).await {
         Some(PutOutcome::Accepted { version }) => json_value(StatusCode::OK, &json!({"version": version})),
-        Some(PutOutcome::Invalid(found)) => faults(StatusCode::BAD_REQUEST, &found),
+        Some(PutOutcome::Invalid(faults)) => faults_response(StatusCode::BAD_REQUEST, &faults),
         Some(PutOutcome::Conflict { version, in_force }) => {
             let fault = format!("version {version} was decided with another text; version {in_force} holds");
             json_value(StatusCode::CONFLICT, &json!({"faults": [fault], "version": in_force}))
         }
-        Some(PutOutcome::Unknown(_)) | None => no_quorum(),
+        Some(PutOutcome::Unknown(_)) | None => no_quorum_response(),
     }
 }
 
 async fn get_configuration(State(api): State<Arc<ControlApi>>) -> ApiResponse {
-    let Some(Ok(newest)) = api.call(ControlCall::GetConfig).await else { return no_quorum() };
+    let Some(Ok(newest)) = api.call(ControlCall::GetConfig).await else { return no_quorum_response() };
     let Some(config) = newest else {
         return json_value(StatusCode::NOT_FOUND, &json!({"faults": ["there is none yet"]}));
     };
     match compression::decompress(&config.compressed_text) {
         Ok(text) => json_text(StatusCode::OK, text),
-        Err(_) => no_quorum(),
+        Err(_) => no_quorum_response(),
     }
 }
 
--- a/crates/node/src/disk/mod.rs
+++ b/crates/node/src/disk/mod.rs
@@ -29,7 +29,7 @@
 use write_queue::SharedQueue;
 
 /// The folders of the two stores.
-const STORES: [&str; 2] = ["cells-a", "cells-b"];
+const STORE_DIRS: [&str; 2] = ["cells-a", "cells-b"];
 /// The file whose lock keeps a second process off the disk.
 const LOCK_FILE: &str = "lock";
 
@@ -75,8 +75,8 @@
     pub fn open_on(dir: &str, medium: Arc<dyn Medium>) -> Result<(Disk, RecoveredState), OpenDiskError> {
         let dir = PathBuf::from(dir);
         std::fs::create_dir_all(&dir)?;
-        let lock = lock(&dir)?;
-        let stores = STORES.map(|name| Store::new(dir.join(name), medium.clone()));
+        let lock = acquire_lock(&dir)?;
+        let stores = STORE_DIRS.map(|name| Store::new(dir.join(name), medium.clone()));
         let mut writer = writer::DiskWriter::new(stores, medium);
         let recovered = writer.recover();
         let (disk, queue) = Disk::new();
@@ -108,7 +108,7 @@
     }
 }
 
-fn lock(dir: &Path) -> Result<File, OpenDiskError> {
+fn acquire_lock(dir: &Path) -> Result<File, OpenDiskError> {
     let lock = File::options().create(true).append(true).open(dir.join(LOCK_FILE))?;
     lock.try_lock()?;
     Ok(lock)
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -15,22 +15,22 @@
 /// The file that sled writes in place; all others it writes once, under a name of their own.
 const SLED_DATA_FILE: &str = "db";
 /// How the name of a snapshot ends while it is written.
-const UNFINISHED_SNAPSHOT: &str = "generating";
+const UNFINISHED_SNAPSHOT_EXTENSION: &str = "generating";
 /// What sled may hold of a store in memory, in bytes: the whole state is smaller.
-const CACHE_CAPACITY: u64 = 1 << 20;
+const CACHE_CAPACITY_BYTES: u64 = 1 << 20;
 /// The pieces that sled sets its file up in, in bytes: a few states fit into one.
-const SEGMENT_SIZE: usize = 512 << 10;
+const SEGMENT_BYTES: usize = 512 << 10;
 /// What is written to a store before it is made anew, in bytes: with its own heads it stays within its first segment.
 /// Sled uses a segment again once all in it is replaced, and from then on finds nothing without its newest snapshot, a
 /// file that it renames and removes as it opens and that a loss of power may take.
-const MAX_WRITTEN: u64 = (SEGMENT_SIZE - (64 << 10)) as u64;
+const MAX_WRITTEN_BYTES: u64 = (SEGMENT_BYTES - (64 << 10)) as u64;
 /// A value that sled keeps in a file of its own, of which it removes none, fills no segment: after so many the store is
 /// made anew all the same.
 const MAX_LARGE_VALUES: u32 = 8;
 /// The least value of that kind, in bytes: half a segment.
-const LARGE_VALUE_FROM: u64 = (SEGMENT_SIZE / 2) as u64;
+const MIN_LARGE_VALUE_BYTES: u64 = (SEGMENT_BYTES / 2) as u64;
 /// What sled writes around a value, in bytes; in fact it is some ten.
-const VALUE_OVERHEAD: u64 = 256;
+const VALUE_OVERHEAD_BYTES: u64 = 256;
 
 /// Why a store could not be read or written.
 #[derive(Debug, Display, Error)]
@@ -59,11 +59,11 @@
 impl From<io::Error> for StoreError {
     fn from(reason: io::Error) -> Self {
         // A file that is cut off, or whose bytes mean nothing, stays so however often it is read.
-        let corrupt = matches!(
+        let is_corrupt = matches!(
             reason.kind(),
             io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput
         );
-        if corrupt { StoreError::corrupt(&reason.to_string()) } else { StoreError::Refused { reason } }
+        if is_corrupt { StoreError::corrupt(&reason.to_string()) } else { StoreError::Refused { reason } }
     }
 }
 
@@ -82,10 +82,10 @@
 }
 
 /// A folder's names and the lengths of its files.
-type Listing = BTreeMap<PathBuf, u64>;
+type DirListing = BTreeMap<PathBuf, u64>;
 
 /// What has been synced of a folder, by its path.
-type Synced = BTreeMap<PathBuf, Listing>;
+type SyncedListings = BTreeMap<PathBuf, DirListing>;
 
 /// A store; its handle is none while it has to be opened anew.
 pub(super) struct Store {
@@ -93,35 +93,43 @@
     medium: Arc<dyn Medium>,
     db: Option<sled::Db>,
     /// What its folders held when they were synced last, since it was opened.
-    synced: Synced,
+    synced_listings: SyncedListings,
     /// What was written to it since it was made anew; none where that was not by this process.
-    written: Option<Written>,
+    written: Option<WrittenAmount>,
     /// Whether its own name is known to outlast a loss of power.
     is_name_synced: bool,
 }
 
 /// What a store has taken since it was made anew.
 #[derive(Clone, Copy, Default)]
-struct Written {
+struct WrittenAmount {
     large_values: u32,
     /// Bytes of its first segment.
     bytes: u64,
 }
 
-impl Written {
+impl WrittenAmount {
     /// With one value more; none if that is too much.
-    fn with(self, value: &[u8]) -> Option<Written> {
+    fn after_write(self, value: &[u8]) -> Option<WrittenAmount> {
         let len = value.len() as u64;
-        let is_large = len + VALUE_OVERHEAD >= LARGE_VALUE_FROM;
+        let is_large = len + VALUE_OVERHEAD_BYTES >= MIN_LARGE_VALUE_BYTES;
         let large_values = self.large_values + u32::from(is_large);
-        let bytes = self.bytes + VALUE_OVERHEAD + if is_large { 0 } else { len };
-        (large_values <= MAX_LARGE_VALUES && bytes <= MAX_WRITTEN).then_some(Written { large_values, bytes })
+        let bytes = self.bytes + VALUE_OVERHEAD_BYTES + if is_large { 0 } else { len };
+        (large_values <= MAX_LARGE_VALUES && bytes <= MAX_WRITTEN_BYTES)
+            .then_some(WrittenAmount { large_values, bytes })
     }
 }
 
 impl Store {
     pub(super) fn new(dir: PathBuf, medium: Arc<dyn Medium>) -> Self {
-        Store { dir, medium, db: None, synced: Synced::new(), written: None, is_name_synced: false }
+        Store {
+            dir,
+            medium,
+            db: None,
+            synced_listings: SyncedListings::new(),
+            written: None,
+            is_name_synced: false,
+        }
     }
 
     /// The value that it holds.
@@ -132,11 +140,11 @@
     /// Puts a value in place of the one before; it is safe once this has returned. Whatever the store held may be gone
     /// from the moment this is called.
     pub(super) fn write(&mut self, value: &[u8]) -> Result<(), StoreError> {
-        let written = match self.written.and_then(|written| written.with(value)) {
+        let written = match self.written.and_then(|written| written.after_write(value)) {
             Some(written) => written,
             None => {
-                self.renew()?;
-                Written::default().with(value).unwrap_or_default()
+                self.clear()?;
+                WrittenAmount::default().after_write(value).unwrap_or_default()
             }
         };
         self.medium.check_write(&self.dir, value.len() as u64)?;
@@ -157,7 +165,7 @@
     }
 
     /// Empties it.
-    pub(super) fn renew(&mut self) -> Result<(), StoreError> {
+    pub(super) fn clear(&mut self) -> Result<(), StoreError> {
         self.drop_handle();
         (self.written, self.is_name_synced) = (None, false);
         match std::fs::remove_dir_all(&self.dir) {
@@ -169,7 +177,7 @@
     /// Drops the handle: one that has failed once may panic at its end too.
     pub(super) fn drop_handle(&mut self) {
         let db = self.db.take();
-        self.synced.clear();
+        self.synced_listings.clear();
         let _ = catch_panic(|| {
             drop(db);
             Ok(())
@@ -180,8 +188,8 @@
         if self.db.is_none() {
             std::fs::create_dir_all(&self.dir)?;
             self.remove_unfinished_snapshots()?;
-            let config = sled::Config::new().path(&self.dir).cache_capacity(CACHE_CAPACITY);
-            let config = config.segment_size(SEGMENT_SIZE).flush_every_ms(None);
+            let config = sled::Config::new().path(&self.dir).cache_capacity(CACHE_CAPACITY_BYTES);
+            let config = config.segment_size(SEGMENT_BYTES).flush_every_ms(None);
             self.db = Some(config.open()?);
         }
         self.db.as_ref().ok_or_else(|| StoreError::corrupt("not open"))
@@ -191,7 +199,7 @@
     fn remove_unfinished_snapshots(&self) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.dir)? {
             let path = entry?.path();
-            if path.extension().is_some_and(|e| e == UNFINISHED_SNAPSHOT) {
+            if path.extension().is_some_and(|e| e == UNFINISHED_SNAPSHOT_EXTENSION) {
                 std::fs::remove_file(path)?;
             }
         }
@@ -201,26 +209,26 @@
     /// Syncs what may have changed within a folder of the store: of its files those that are new or of another length,
     /// and sled's own file, which is written in place; the folder itself where its names have changed.
     fn sync(&mut self, dir: &Path) -> Result<(), StoreError> {
-        let before = self.synced.remove(dir);
-        let mut now = Listing::new();
+        let previous = self.synced_listings.remove(dir);
+        let mut current = DirListing::new();
         for entry in std::fs::read_dir(dir)? {
             let (path, metadata) = {
                 let entry = entry?;
                 (entry.path(), entry.metadata()?)
             };
             let length = if metadata.is_dir() { 0 } else { metadata.len() };
-            let changed = before.as_ref().and_then(|b| b.get(&path)) != Some(&length);
+            let is_changed = previous.as_ref().and_then(|listing| listing.get(&path)) != Some(&length);
             if metadata.is_dir() {
                 self.sync(&path)?;
-            } else if changed || path.ends_with(SLED_DATA_FILE) {
+            } else if is_changed || path.ends_with(SLED_DATA_FILE) {
                 self.medium.sync(&path)?;
             }
-            now.insert(path, length);
+            current.insert(path, length);
         }
-        if before.is_none_or(|before| !before.keys().eq(now.keys())) {
+        if previous.is_none_or(|previous| !previous.keys().eq(current.keys())) {
             self.medium.sync(dir)?;
         }
-        self.synced.insert(dir.to_owned(), now);
+        self.synced_listings.insert(dir.to_owned(), current);
         Ok(())
     }
 }
--- a/crates/node/src/disk/write_queue.rs
+++ b/crates/node/src/disk/write_queue.rs
@@ -15,7 +15,7 @@
 pub struct PendingWrite {
     replica: Option<ReplicaState>,
     servers: Option<Arc<Vec<Server>>>,
-    waiting: VecDeque<oneshot::Sender<()>>,
+    waiters: VecDeque<oneshot::Sender<()>>,
 }
 
 impl PendingWrite {
@@ -23,7 +23,7 @@
         if replica.is_some() {
             self.replica = replica;
         }
-        self.waiting.push_back(done);
+        self.waiters.push_back(done);
     }
 
     pub(super) fn add_servers(&mut self, servers: Vec<Server>) {
@@ -31,7 +31,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.servers.is_none()
+        self.waiters.is_empty() && self.servers.is_none()
     }
 
     /// Puts it into what a disk holds. Whether that has changed, and so has to be written.
@@ -49,7 +49,7 @@
 
     /// It is on disk: whoever waits for it is notified.
     pub fn notify_synced(self) {
-        for done in self.waiting {
+        for done in self.waiters {
             // Whoever waited may have given up.
             let _ = done.send(());
         }
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -21,7 +21,7 @@
     pub(super) fn recover(&mut self) -> RecoveredState {
         let mut unreadable = Vec::new();
         for store in &mut self.stores {
-            match read_or_renew(store, &*self.medium) {
+            match read_or_clear(store, &*self.medium) {
                 Ok(Some(state)) if state.sequence >= self.state.sequence => self.state = state,
                 Ok(_) => {}
                 Err(reason) => unreadable.push(reason),
@@ -47,7 +47,7 @@
         let encoded = self.state.encode();
         while store.write(&encoded).is_err() {
             // Where that fails too, the next write says so.
-            let _ = store.renew();
+            let _ = store.clear();
             self.medium.wait_before_retry();
         }
     }
@@ -55,7 +55,7 @@
 
 /// What a store holds at start, or why it cannot be used; then it begins anew, empty. A disk that refuses is waited for:
 /// sled writes as it opens, and a store that is intact must not be given up because the disk is full.
-fn read_or_renew(store: &mut Store, medium: &dyn Medium) -> Result<Option<StoredState>, UnreadableStore> {
+fn read_or_clear(store: &mut Store, medium: &dyn Medium) -> Result<Option<StoredState>, UnreadableStore> {
     loop {
         let reason = match store.read() {
             Ok(None) => return Ok(None),
@@ -70,7 +70,7 @@
             }
             Err(reason) => reason.into(),
         };
-        while store.renew().is_err() {
+        while store.clear().is_err() {
             medium.wait_before_retry();
         }
         return Err(reason);
--- a/crates/node/src/links/codec.rs
+++ b/crates/node/src/links/codec.rs
@@ -11,7 +11,7 @@
 use crate::compression::{self, DecompressError};
 
 /// Messages longer than this are compressed, in bytes.
-const COMPRESSED_FROM: usize = 1200;
+const MAX_UNCOMPRESSED_BYTES: usize = 1200;
 
 /// Why a line is no message.
 #[derive(Debug, Display, Error, From)]
@@ -31,8 +31,8 @@
 /// None that is known: all fields of messages have a form in JSON.
 pub fn encode(message: &Message) -> Result<Rc<str>, serde_json::Error> {
     let mut text = serde_json::to_string(message)?;
-    let is_compressed_already = matches!(message, Message::Config(_));
-    if text.len() > COMPRESSED_FROM && !is_compressed_already {
+    let has_compressed_content = matches!(message, Message::Config(_));
+    if text.len() > MAX_UNCOMPRESSED_BYTES && !has_compressed_content {
         text = serde_json::to_string(&Message::Compressed(compression::compress(text.as_bytes())))?;
     }
     text.push('\n');
--- a/crates/node/src/links/codec/tests.rs
+++ b/crates/node/src/links/codec/tests.rs
@@ -1,10 +1,10 @@
 use ashvane_gossip::{Liveness, RankSummary, ServerRank, ServerState};
 
-use super::{COMPRESSED_FROM, decode, encode};
+use super::{MAX_UNCOMPRESSED_BYTES, decode, encode};
 use crate::links::Message;
 
 #[test]
-fn long_messages_are_compressed_and_read_as_they_were() {
+fn long_messages_are_compressed_and_decoded_unchanged() {
     let rank = |heartbeat_sequence| ServerRank {
         state: ServerState::Ready,
         heartbeat_sequence,
@@ -15,7 +15,7 @@
     for (message, is_compressed) in [(Message::Summary(summary), true), (Message::Subscribe(true), false)] {
         let line = encode(&message).expect("encoded");
         assert!(line.ends_with('\n') && line.contains("packed") == is_compressed);
-        assert!(line.len() < COMPRESSED_FROM);
+        assert!(line.len() < MAX_UNCOMPRESSED_BYTES);
         let decoded = decode(line.as_bytes()).expect("decoded");
         let text = |message: &Message| serde_json::to_string(message).expect("JSON");
         assert_eq!(text(&decoded), text(&message));
--- a/crates/node/src/links/connection.rs
+++ b/crates/node/src/links/connection.rs
@@ -19,13 +19,13 @@
 /// Time for a connection to come up, and for its first message.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest line that is read, in bytes: a configuration and some.
-const MAX_LINE: usize = 8 << 20;
+const MAX_LINE_BYTES: usize = 8 << 20;
 /// Messages that may wait to be written: a peer that does not read is disconnected.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 /// Buffer of the reader, in bytes: most lines are digests of less than a hundred.
-const READ_BUFFER: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 /// A line buffer that a long line has made larger than this, in bytes, is given back.
-const MAX_KEPT_LINE_BUFFER: usize = 64 << 10;
+const MAX_KEPT_LINE_BUFFER_BYTES: usize = 64 << 10;
 
 /// Which side connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,8 +91,8 @@
 pub async fn run<H: ConnectionHandler>(
     read: impl AsyncRead + Unpin, mut write: impl AsyncWrite + Unpin, direction: Direction, handler: Rc<H>,
 ) -> ConnectionEnd {
-    let mut reader = BufReader::with_capacity(READ_BUFFER, read);
-    let Some(peer) = shake_hands(&mut reader, &mut write, &*handler).await else {
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, read);
+    let Some(peer) = handshake(&mut reader, &mut write, &*handler).await else {
         return ConnectionEnd::NeverLinked;
     };
     let (queue, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
@@ -108,7 +108,7 @@
 }
 
 /// Says hello and waits for the peer's.
-async fn shake_hands<H: ConnectionHandler>(
+async fn handshake<H: ConnectionHandler>(
     reader: &mut BufReader<impl AsyncRead + Unpin>, write: &mut (impl AsyncWrite + Unpin), handler: &H,
 ) -> Option<Node> {
     // Never compressed: it is read before anything is known of the peer.
@@ -133,7 +133,7 @@
     let mut line = Vec::new();
     while matches!(timeout(PEER_TIMEOUT, read_line(&mut reader, &mut line)).await, Ok(true)) {
         let message = codec::decode(&line);
-        if line.capacity() > MAX_KEPT_LINE_BUFFER {
+        if line.capacity() > MAX_KEPT_LINE_BUFFER_BYTES {
             line = Vec::new();
         }
         if handler.line_received(link, message) == ConnectionState::Closed {
@@ -158,6 +158,6 @@
 /// Reads a line; whether there was a complete one.
 async fn read_line(reader: &mut BufReader<impl AsyncRead + Unpin>, line: &mut Vec<u8>) -> bool {
     line.clear();
-    let mut limited = reader.take(MAX_LINE as u64);
+    let mut limited = reader.take(MAX_LINE_BYTES as u64);
     matches!(limited.read_until(b'\n', line).await, Ok(read) if read > 0 && line.ends_with(b"\n"))
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -119,8 +119,8 @@
 }
 
 fn run_role(role: Role, matches: &Matches, level: Level) -> Result<(), CommandError> {
-    let named = matches.opt_str("settings").or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
-    let file = named.ok_or(CommandError::NoSettingsFile)?;
+    let settings_file = matches.opt_str("settings").or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
+    let file = settings_file.ok_or(CommandError::NoSettingsFile)?;
     let settings = Settings::load(&file)?;
     program::run(role, settings, &file, program::logger(level))?;
     Ok(())
--- a/crates/node/src/operator_client.rs
+++ b/crates/node/src/operator_client.rs
@@ -125,7 +125,7 @@
 ///
 /// Where no address answers, or there is none yet.
 pub fn get(addresses: &[String]) -> Result<String, ClientError> {
-    let answer = call_in_turn(addresses, &Method::GET, "/api/configuration", &Bytes::new())?;
+    let answer = call_first_responding(addresses, &Method::GET, "/api/configuration", &Bytes::new())?;
     if !answer.status.is_success() {
         return Err(ClientError::Rejected(answer.faults()));
     }
@@ -139,7 +139,7 @@
 /// Where it is invalid or rejected, or no address answers; then it may be in force all the same.
 pub fn put(addresses: &[String], text: Vec<u8>) -> Result<String, ClientError> {
     let config = Config::parse(&text)?;
-    let answer = call_in_turn(addresses, &Method::PUT, "/api/configuration", &text.into())?;
+    let answer = call_first_responding(addresses, &Method::PUT, "/api/configuration", &text.into())?;
     if !answer.status.is_success() {
         return Err(ClientError::Rejected(answer.faults()));
     }
@@ -158,7 +158,7 @@
 ///
 /// Where no address answers, or there is no such part.
 pub fn show(addresses: &[String], part: &str, format: Format) -> Result<String, ClientError> {
-    let answer = call_in_turn(addresses, &Method::GET, "/api/state", &Bytes::new())?;
+    let answer = call_first_responding(addresses, &Method::GET, "/api/state", &Bytes::new())?;
     if !answer.status.is_success() {
         return Err(ClientError::NoState(answer.status));
     }
@@ -170,19 +170,19 @@
     }
     Ok(match (format, shown) {
         (Format::Json, _) => shown.to_string(),
-        (Format::Tables, Value::Object(parts)) if part == ALL_PARTS => sections(parts),
-        (Format::Tables, _) => section(shown),
+        (Format::Tables, Value::Object(parts)) if part == ALL_PARTS => format_sections(parts),
+        (Format::Tables, _) => format_section(shown),
     })
 }
 
 /// Calls each address in turn until one answers for good.
-fn call_in_turn(
+fn call_first_responding(
     addresses: &[String], method: &Method, path: &str, body: &Bytes,
 ) -> Result<Answer, ClientError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut failed = Vec::new();
     for address in addresses {
-        match call_in_time(&runtime, address, method, path, body) {
+        match call_with_timeout(&runtime, address, method, path, body) {
             Ok(answer) => return Ok(answer),
             Err(failure) => failed.push(FailedCall { address: address.clone(), failure }),
         }
@@ -190,7 +190,7 @@
     Err(ClientError::NoAnswer(failed))
 }
 
-fn call_in_time(
+fn call_with_timeout(
     runtime: &Runtime, address: &str, method: &Method, path: &str, body: &Bytes,
 ) -> Result<Answer, CallFailure> {
     let answer = runtime.block_on(async {
@@ -213,26 +213,26 @@
     Ok(Answer { status, body })
 }
 
-fn sections(parts: &Map<String, Value>) -> String {
-    parts.iter().map(|(name, part)| format!("== {name}\n{}", section(part))).collect()
+fn format_sections(parts: &Map<String, Value>) -> String {
+    parts.iter().map(|(name, part)| format!("== {name}\n{}", format_section(part))).collect()
 }
 
-fn section(part: &Value) -> String {
+fn format_section(part: &Value) -> String {
     match part {
-        Value::Array(rows) => table(rows),
+        Value::Array(rows) => format_table(rows),
         Value::Object(pairs) => {
-            pairs.iter().map(|(key, value)| format!("{key}  {}\n", cell(value))).collect()
+            pairs.iter().map(|(key, value)| format!("{key}  {}\n", format_cell(value))).collect()
         }
-        other => cell(other) + "\n",
+        other => format_cell(other) + "\n",
     }
 }
 
 /// A table of objects that are alike, its columns as wide as needed.
-fn table(rows: &[Value]) -> String {
+fn format_table(rows: &[Value]) -> String {
     let Some(first) = rows.first().and_then(Value::as_object) else { return "none\n".to_owned() };
     let columns: Vec<&String> = first.keys().collect();
     let heading: Vec<String> = columns.iter().map(|column| (*column).clone()).collect();
-    let cells = |row: &Value| columns.iter().map(|column| cell(&row[column.as_str()])).collect();
+    let cells = |row: &Value| columns.iter().map(|column| format_cell(&row[column.as_str()])).collect();
     let mut lines: Vec<Vec<String>> = vec![heading];
     lines.extend(rows.iter().map(cells));
     let width = |column: usize| lines.iter().map(|line| line[column].len()).max().unwrap_or(0);
@@ -246,11 +246,11 @@
     text
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
-        Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(" "),
+        Value::Array(items) => items.iter().map(format_cell).collect::<Vec<_>>().join(" "),
         other => other.to_string(),
     }
 }
--- a/crates/node/src/program/first_start.rs
+++ b/crates/node/src/program/first_start.rs
@@ -19,11 +19,11 @@
         return Replica::from_state(state);
     }
     let is_first_start = settings.is_first_start && recovered.unreadable.is_empty();
-    let membership = if is_first_start { first_membership(settings) } else { Membership::default() };
+    let membership = if is_first_start { initial_membership(settings) } else { Membership::default() };
     let control = settings.listen.control.map(|address| address.to_string()).unwrap_or_default();
     let is_first_member = is_first_start && settings.seeds.contains(&control);
     let id = match is_first_member {
-        true => first_disk_id(&control),
+        true => initial_disk_id(&control),
         false => format!("{:016x}", fastrand::u64(..)).into(),
     };
     let replica = Replica::empty(id, membership);
@@ -33,15 +33,15 @@
 }
 
 /// The membership with which the whole system starts: the disks of the seeds, of which all processes know.
-fn first_membership(settings: &Settings) -> Membership {
+fn initial_membership(settings: &Settings) -> Membership {
     let member = |seed: &String| {
         let (host, _) = seed.rsplit_once(':')?;
         let address = format!("{host}:{}", settings.internal_ports.first).into();
-        Some(Member { disk: first_disk_id(seed), address })
+        Some(Member { disk: initial_disk_id(seed), address })
     };
     Membership::new(1, settings.seeds.iter().filter_map(member).collect())
 }
 
-fn first_disk_id(seed: &str) -> DiskId {
+fn initial_disk_id(seed: &str) -> DiskId {
     format!("first:{seed}").into()
 }
--- a/crates/node/src/program/graceful_shutdown.rs
+++ b/crates/node/src/program/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 
 /// Time in which clients are sent elsewhere before the last connections are asked to end: whoever asks for readiness does so
 /// each second and goes by two answers.
-const NOT_READY_BEFORE_CLOSE: Duration = Duration::from_millis(2500);
+const CLIENT_CLOSE_DELAY: Duration = Duration::from_millis(2500);
 /// What is kept of the grace time, for the end itself.
 const RESERVED_GRACE: Duration = Duration::from_millis(700);
 
@@ -33,12 +33,12 @@
         let Some(began_at) = self.began_at else { return false };
         agent.shut_down();
         let has_clients = agent.settings.listen.gateway.is_some();
-        let may_close_clients = !has_clients || began_at.elapsed() >= NOT_READY_BEFORE_CLOSE;
+        let may_close_clients = !has_clients || began_at.elapsed() >= CLIENT_CLOSE_DELAY;
         if may_close_clients && !self.has_closed_clients {
             self.has_closed_clients = true;
             clients.close_gracefully();
         }
-        let is_late = began_at.elapsed() + RESERVED_GRACE >= agent.settings.grace;
-        self.has_closed_clients && (is_late || (clients.open_count() == 0 && agent.may_shut_down()))
+        let is_grace_ending = began_at.elapsed() + RESERVED_GRACE >= agent.settings.grace;
+        self.has_closed_clients && (is_grace_ending || (clients.open_count() == 0 && agent.may_shut_down()))
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -171,11 +171,11 @@
             max_fds: limits.get("max-fds").or(1024, Field::unsigned) as usize,
             memory_mb: limits.get("memory-mb").or(256, Field::unsigned),
             max_failures: root.get("fault-budget").get("machine-losses").or(1, Field::unsigned) as usize,
-            catch_up: read_seconds(&bounds.get("catch-up-s"), 4.0, 0.0),
-            grace: read_seconds(&bounds.get("grace-s"), 6.0, 0.0),
+            catch_up: read_duration(&bounds.get("catch-up-s"), 4.0, 0.0),
+            grace: read_duration(&bounds.get("grace-s"), 6.0, 0.0),
             retry_budget: RetryBudgetSettings {
                 ratio: bounds.get("retry-ratio").or(0.1, Field::number),
-                window: read_seconds(&bounds.get("retry-window-s"), 10.0, MIN_WINDOW_SECONDS),
+                window: read_duration(&bounds.get("retry-window-s"), 10.0, MIN_WINDOW_SECONDS),
                 slack: bounds.get("retry-slack").or(10.0, Field::number),
             },
         }
@@ -209,6 +209,6 @@
     address
 }
 
-fn read_seconds(field: &Field<'_>, default: f64, min: f64) -> Duration {
+fn read_duration(field: &Field<'_>, default: f64, min: f64) -> Duration {
     Duration::from_secs_f64(field.or(default, Field::number).clamp(min, MAX_SECONDS))
 }
