--- a/crates/node/src/agent/log.rs
+++ b/crates/node/src/agent/log.rs
@@ -1,4 +1,4 @@
-//! The lines that a process logs about itself and the system. The operators' page explains each.
+//! Log lines of a process about itself and the system. The operators' documentation explains each line.
 
 use ashvane_identifiers::DiskId;
 use slog::{info, warn};
@@ -7,45 +7,45 @@
 use crate::engine::{LogEvent, UnusableConfig};
 
 impl Agent {
+    /// Logs a change of state that the engine has reported.
     pub(super) fn log_event(&self, event: &LogEvent) {
         let log = &self.log;
         match event {
             LogEvent::ConfigInForce { version } => info!(log, "configuration in force"; "version" => version),
             LogEvent::ConfigUnusable { version, reason: UnusableConfig::Compression(_) } => {
-                warn!(log, "a configuration that others hold cannot be unpacked"; "version" => version);
+                warn!(log, "chosen configuration cannot be decompressed; keeping the one in force"; "version" => version);
             }
             LogEvent::ConfigUnusable { version, reason: UnusableConfig::Content(faults) } => {
-                warn!(log, "a configuration that others hold cannot be read here";
+                warn!(log, "chosen configuration is not valid for this release; keeping the one in force";
                     "version" => version, "faults" => faults.to_string());
             }
             LogEvent::CaughtUp { version } => {
-                info!(log, "compared with a control node in contact with a majority"; "version" => version);
+                info!(log, "caught up with a control node in contact with a quorum"; "version" => version);
             }
             LogEvent::QuorumWaitTimedOut => {
-                warn!(
-                    log,
-                    "no control node has found a majority: the newest that is known is used from here on"
-                );
+                warn!(log, "no control node verified its quorum in time; using the newest known state");
+            }
+            LogEvent::NodeFailed { name } => {
+                info!(log, "process has had no link for 3 s; marked as down"; "node" => name.as_str())
             }
-            LogEvent::NodeFailed { name } => info!(log, "does not answer"; "node" => name.as_str()),
             LogEvent::MembershipChanging { epoch, disks } => {
                 let disks: Vec<&str> = disks.iter().map(DiskId::as_str).collect();
-                info!(log, "the set of disks is to change"; "epoch" => epoch, "disks" => disks.join(" "));
+                info!(log, "membership change started"; "epoch" => epoch, "disks" => disks.join(" "));
             }
             LogEvent::MembershipChanged { epoch } => {
-                info!(log, "the set of disks has changed"; "epoch" => epoch);
+                info!(log, "membership change completed"; "epoch" => epoch);
             }
             LogEvent::OrphanMonitorClaimed { term } => {
-                info!(log, "holds the duty of hearing"; "epoch" => term.epoch, "round" => term.round);
+                info!(log, "acquired the orphan monitor role"; "epoch" => term.epoch, "round" => term.round);
             }
-            LogEvent::ShuttingDown => info!(log, "leaving"),
+            LogEvent::ShuttingDown => info!(log, "graceful shutdown started"),
             LogEvent::SeedsChanged { seeds } => {
-                info!(log, "other machines to begin with"; "seeds" => seeds.join(" "));
+                info!(log, "seeds changed"; "seeds" => seeds.join(" "));
             }
         }
     }
 
-    /// Logs a line of counters.
+    /// Logs the counters of the agent, then those of the data plane.
     pub fn log_counters(&self) {
         let engine = self.engine.borrow();
         let (directory, counters) = (engine.directory(), &engine.links().counters);
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The core of a process: the one owner of its [`Engine`], which carries out the engine's commands.
+//! Core of a process: owns its [`Engine`] and executes the engine's commands.
 //!
-//! Tasks hand events to the agent: connections, timers, the disk, control calls, the tick. Each borrows the engine for as
-//! long as it takes to handle the event, never across an await; then its commands are carried out in their order. All tasks
-//! run on one thread.
+//! Connections, timers, disk, control calls and the tick are tasks that pass events to the agent. A task borrows
+//! the engine only while the engine handles the event, never across an await; then the agent executes the
+//! resulting commands in order. All tasks run on one thread.
 
 mod commands;
 mod log;
@@ -30,48 +30,48 @@
 
 pub use operator_calls::{NoQuorum, PutOutcome};
 
-/// What a control node has on its disk.
+/// Replica of a control node, with the disk that stores it.
 pub struct LocalReplica {
-    /// The replica as the disk has it.
+    /// Replica in the state that is stored on the disk.
     pub replica: Replica,
-    /// The disk.
+    /// Handle to the thread that writes the disk.
     pub disk: Disk,
 }
 
-/// What a process is made of.
+/// Components from which an [`Agent`] is created.
 pub struct AgentParts {
-    /// Its settings file.
+    /// Settings of the process.
     pub settings: Settings,
-    /// The process as others know it.
+    /// Entry of this process that is sent to other processes.
     pub own: Node,
-    /// None at a gateway.
+    /// Replica and disk; `None` at a gateway.
     pub local_replica: Option<LocalReplica>,
-    /// None at a process that takes no clients' requests.
+    /// Data plane; `None` at a process that accepts no client requests.
     pub data_plane: Option<Rc<DataPlane>>,
-    /// What lies between processes.
+    /// Network over which processes connect to each other.
     pub transport: Rc<dyn Transport>,
-    /// Where it logs.
+    /// Logger of the process.
     pub log: Logger,
 }
 
-/// The core of a process.
+/// Core of a process.
 pub struct Agent {
-    /// The settings with which the process started.
+    /// Settings with which the process was started.
     pub settings: Settings,
-    /// Where it logs.
+    /// Logger of the process.
     pub log: Logger,
     started_at: Instant,
     disk: Option<Disk>,
     data_plane: Option<Rc<DataPlane>>,
     transport: Rc<dyn Transport>,
-    /// Shared by all tasks of the process; see the module.
+    /// State shared by all tasks of the process; never borrowed across an await.
     engine: RefCell<Engine>,
-    /// Where encoded messages are queued for each link. Without its queue a connection ends.
+    /// Queue of encoded messages for each link. Removing a queue closes its connection.
     queues: RefCell<BTreeMap<LinkId, MessageQueue>>,
 }
 
 impl Agent {
-    /// A process that starts now.
+    /// Creates the agent of a process that starts at this moment.
     #[must_use]
     pub fn new(parts: AgentParts) -> Rc<Self> {
         let AgentParts { settings, own, local_replica, data_plane, transport, log } = parts;
@@ -89,12 +89,12 @@
         })
     }
 
-    /// Time since the start of the process.
+    /// Returns the time since the start of the process.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Hands an event to the engine, and carries out what it wants done.
+    /// Passes an event to the engine and executes the resulting commands.
     fn handle<T>(self: &Rc<Self>, event: impl FnOnce(&mut Engine, Duration) -> T) -> T {
         let (result, commands) = {
             let mut engine = self.engine.borrow_mut();
@@ -105,26 +105,26 @@
         result
     }
 
-    /// The data plane; none at a process that takes no clients' requests.
+    /// Returns the data plane; `None` at a process that accepts no client requests.
     #[must_use]
     pub fn data_plane(&self) -> Option<Rc<DataPlane>> {
         self.data_plane.clone()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Option<Rc<Config>> {
         self.engine.borrow().config().cloned()
     }
 
-    /// Whether what is known here, a configuration among it, is that of a control node in contact with a quorum, or the
-    /// newest that could be had.
+    /// Whether the state of this process is recent enough to serve requests: it has a configuration, and has
+    /// caught up with a control node in contact with a quorum or has stopped waiting for one.
     #[must_use]
     pub fn is_current(&self) -> bool {
         self.engine.borrow().is_current()
     }
 
-    /// Whether clients' requests can be served here.
+    /// Whether this process can serve client requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_current()
@@ -132,63 +132,66 @@
             && self.data_plane.as_ref().is_some_and(|data_plane| data_plane.has_ready_server())
     }
 
-    /// Whether the process shuts down.
+    /// Whether the process is shutting down.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
         self.engine.borrow().is_shutting_down()
     }
 
-    /// The process is to end: it is not ready any more, and the other control nodes are told.
+    /// Starts the graceful shutdown: the process is no longer ready, and the other control nodes are notified.
     pub fn shut_down(self: &Rc<Self>) {
         self.handle(|engine, _| engine.shut_down());
     }
 
-    /// Whether the process, which is shutting down, leaves nothing undone in the membership.
+    /// Whether this process, which is shutting down, may exit: it has left the membership where possible, and a
+    /// quorum of the remaining members holds its state.
     #[must_use]
     pub fn may_shut_down(&self) -> bool {
         self.engine.borrow().may_shut_down(self.now())
     }
 
-    /// To be called each [`TICK_INTERVAL`](crate::engine::TICK_INTERVAL).
+    /// Advances all timers of the engine. Must be called once every
+    /// [`TICK_INTERVAL`](crate::engine::TICK_INTERVAL).
     pub fn tick(self: &Rc<Self>) {
         self.handle(Engine::tick);
     }
 
-    /// The settings file has changed: of it only the seeds hold from now on.
+    /// Applies a settings file that was read again. Only its seeds take effect without a restart.
     pub fn settings_reloaded(self: &Rc<Self>, settings: &Settings) {
         self.handle(|engine, _| engine.settings_reloaded(settings));
     }
 
-    /// The servers that were known before a restart.
+    /// Adds the servers that were stored on the disk before a restart.
     pub fn restore_servers(self: &Rc<Self>, servers: Vec<Server>) {
         self.handle(|engine, now| engine.restore_servers(servers, now));
     }
 
-    /// All that is known here, and the version in force, in a few bytes: alike where they are.
+    /// Returns a digest of the directory and of the configuration version in force. Processes with equal state
+    /// have equal digests.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.engine.borrow().digest(self.now())
     }
 
-    /// Whether a server is known here as one that is ready and alive.
+    /// Whether this process knows a server as ready and alive.
     #[must_use]
     pub fn is_server_available(&self, id: &ServerId) -> bool {
         self.engine.borrow().is_server_available(id)
     }
 
-    /// Where control calls are answered, if not here.
+    /// Returns the control address to which control calls are redirected; `None` if this process answers them.
     #[must_use]
     pub fn control_redirect(&self) -> Option<Address> {
         self.engine.borrow().control_redirect()
     }
 
-    /// What this process has sent to others, by topic.
+    /// Returns the counts of messages and bytes sent to other processes, by topic.
     #[must_use]
     pub fn traffic(&self) -> BTreeMap<&'static str, Traffic> {
         self.engine.borrow().links().counters.sent.clone()
     }
 
-    /// All that this process knows, for operators.
+    /// Returns the status report for operators.
     #[must_use]
     pub fn status(&self) -> Value {
         let allotments = match &self.data_plane {
--- a/crates/node/src/control_api/call.rs
+++ b/crates/node/src/control_api/call.rs
@@ -58,14 +58,14 @@
 
 fn log_put_outcome(log: &Logger, outcome: &PutOutcome) {
     match outcome {
-        PutOutcome::Accepted { version } => info!(log, "configuration taken"; "version" => version),
+        PutOutcome::Accepted { version } => info!(log, "configuration accepted"; "version" => version),
         PutOutcome::Invalid(faults) => {
-            warn!(log, "configuration refused"; "faults" => faults.to_string());
+            warn!(log, "configuration rejected: it is not valid"; "faults" => faults.to_string());
         }
         PutOutcome::Conflict { version, in_force } => {
-            warn!(log, "configuration refused, its version was decided with another text";
+            warn!(log, "configuration rejected: its version was chosen with other content";
                 "version" => version, "held" => in_force);
         }
-        PutOutcome::Unknown(_) => warn!(log, "no majority of disks answers"),
+        PutOutcome::Unknown(_) => warn!(log, "no quorum answered; the configuration may have been chosen"),
     }
 }
--- a/crates/node/src/program/first_start.rs
+++ b/crates/node/src/program/first_start.rs
@@ -13,7 +13,7 @@
     settings: &Settings, disk: &Disk, recovered: RecoveredState, log: &Logger,
 ) -> Replica {
     for reason in &recovered.unreadable {
-        warn!(log, "a store on the disk could not be read and begins anew"; "why" => reason.to_string());
+        warn!(log, "store on the disk cannot be read; cleared it"; "why" => reason.to_string());
     }
     if let Some(state) = recovered.replica {
         return Replica::from_state(state);
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -106,7 +106,7 @@
         Disk::open(dir).map_err(|reason| StartError::Disk { dir: dir.clone(), reason })?;
     let servers = std::mem::take(&mut recovered.servers);
     let replica = recover_replica(settings, &disk, recovered, log).await;
-    info!(log, "disk"; "name" => replica.state().disk.as_str(),
+    info!(log, "disk opened"; "name" => replica.state().disk.as_str(),
         "epoch" => replica.state().membership.epoch,
         "version" => replica.accepted_config().map_or(0, |config| config.version));
     Ok((Some(LocalReplica { replica, disk }), servers))
@@ -206,7 +206,7 @@
     match file.map(Settings::load) {
         Some(Ok(settings)) => agent.settings_reloaded(&settings),
         Some(Err(reason)) => {
-            warn!(agent.log, "the settings file has changed and cannot be used"; "why" => reason.to_string());
+            warn!(agent.log, "settings file cannot be used; keeping the current settings"; "why" => reason.to_string());
         }
         None => {}
     }
