--- a/crates/node/src/agent/commands.rs
+++ b/crates/node/src/agent/commands.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the engine wants done.
+//! Execution of the commands that the engine issues.
 
 use std::rc::Rc;
 
@@ -16,6 +16,7 @@
 use crate::links::{self, LinkId, Message, codec};
 
 impl Agent {
+    /// Executes commands in order.
     pub(super) fn execute(self: &Rc<Self>, commands: Vec<Command>) {
         for command in commands {
             self.execute_one(command);
@@ -42,7 +43,7 @@
                 agent.handle(Engine::flush_updates);
             }),
             Command::ReadRegister => self.spawn(async move |agent| {
-                // Whatever it finds is in force by then.
+                // `read_newest` has already passed its result to the engine; a failed read is repeated later.
                 let _ = agent.read_newest().await;
                 agent.handle(|engine, _| engine.background_read_ended());
             }),
@@ -76,12 +77,13 @@
         }
     }
 
-    /// Runs a task that ends by itself, or with the process's set of local tasks.
+    /// Spawns a task on the local set of the process, with which it ends at the latest.
     fn spawn<F: Future<Output = ()> + 'static>(self: &Rc<Self>, task: impl FnOnce(Rc<Self>) -> F) {
         spawn_local(task(self.clone()));
     }
 
-    /// Queues a message for each of these links. A link whose peer does not read is closed.
+    /// Queues a message for each of these links. Closes a link whose queue is full because the peer does not
+    /// read.
     fn send(self: &Rc<Self>, links: &[LinkId], message: &Message) {
         let Ok(line) = codec::encode(message) else { return };
         for link in links {
@@ -99,6 +101,7 @@
         }
     }
 
+    /// Connects to a process and reports the end of the connection to the engine.
     fn connect(self: &Rc<Self>, address: Address) {
         self.spawn(async move |agent| {
             let end = links::connect(address.clone(), agent.clone()).await;
@@ -106,13 +109,14 @@
         });
     }
 
-    /// Hands the replica's state to the disk at once, and the response to the engine once that is synced.
+    /// Queues the replica's state for the disk immediately, and passes the response to the engine once the
+    /// state is synced.
     fn sync_replica(self: &Rc<Self>, unsynced: UnsyncedResponse, then: AfterSync) {
         let Some(disk) = &self.disk else { return };
         let UnsyncedResponse { response, state, progress } = unsynced;
         let synced = disk.save_replica(state);
         self.spawn(async move |agent| {
-            // A disk that was closed syncs nothing more.
+            // The sender is dropped without a notification if the disk was closed first.
             if synced.await.is_ok() {
                 let synced = SyncedResponse { then, response, progress };
                 agent.handle(|engine, now| engine.response_synced(synced, now));
@@ -120,6 +124,7 @@
         });
     }
 
+    /// Reports the outcome of a membership change to the engine once it is known.
     fn await_membership_change(self: &Rc<Self>, outcome: oneshot::Receiver<Outcome>) {
         self.spawn(async move |agent| {
             let membership = match outcome.await {
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -1,8 +1,8 @@
 //! Core of a process: owns its [`Engine`] and executes the engine's commands.
 //!
-//! Connections, timers, disk, control calls and the tick are tasks that pass events to the agent. A task borrows
-//! the engine only while the engine handles the event, never across an await; then the agent executes the
-//! resulting commands in order. All tasks run on one thread.
+//! Connections, timers, disk, control calls and the tick are tasks that pass events to the agent. A task
+//! borrows the engine only while the engine handles the event, never across an await; then the agent
+//! executes the resulting commands in order. All tasks run on one thread.
 
 mod commands;
 mod log;
@@ -138,13 +138,14 @@
         self.engine.borrow().is_shutting_down()
     }
 
-    /// Starts the graceful shutdown: the process is no longer ready, and the other control nodes are notified.
+    /// Starts the graceful shutdown: the process is no longer ready, and the other control nodes are
+    /// notified.
     pub fn shut_down(self: &Rc<Self>) {
         self.handle(|engine, _| engine.shut_down());
     }
 
-    /// Whether this process, which is shutting down, may exit: it has left the membership where possible, and a
-    /// quorum of the remaining members holds its state.
+    /// Whether this process, which is shutting down, may exit: it has left the membership where possible,
+    /// and a quorum of the remaining members holds its state.
     #[must_use]
     pub fn may_shut_down(&self) -> bool {
         self.engine.borrow().may_shut_down(self.now())
@@ -166,8 +167,8 @@
         self.handle(|engine, now| engine.restore_servers(servers, now));
     }
 
-    /// Returns a digest of the directory and of the configuration version in force. Processes with equal state
-    /// have equal digests.
+    /// Returns a digest of the directory and of the configuration version in force. Processes with equal
+    /// state have equal digests.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.engine.borrow().digest(self.now())
@@ -179,7 +180,8 @@
         self.engine.borrow().is_server_available(id)
     }
 
-    /// Returns the control address to which control calls are redirected; `None` if this process answers them.
+    /// Returns the control address to which control calls are redirected; `None` if this process answers
+    /// them.
     #[must_use]
     pub fn control_redirect(&self) -> Option<Address> {
         self.engine.borrow().control_redirect()
--- a/crates/node/src/agent/operator_calls.rs
+++ b/crates/node/src/agent/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and servers, each from its request to its answer.
+//! Calls of operators and servers to a control node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,37 +16,40 @@
 use crate::document::Faults;
 use crate::engine::OPERATION_TIMEOUT;
 
-/// Time in which a quorum must have applied that a server leaves, for its call to be acknowledged.
+/// Time within which a quorum must apply that a server is draining or has terminated, for the server's call
+/// to be acknowledged.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// No quorum of the members has answered in time. What was called for may have taken effect, may yet, or may not.
+/// No quorum of the members answered in time. The requested operation may have taken effect, may still take
+/// effect, or may never do so.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("no majority of the disks answers")]
 pub struct NoQuorum;
 
-/// What becomes of an operator's configuration.
+/// Result of writing an operator's configuration.
 #[derive(Debug)]
 pub enum PutOutcome {
-    /// It is chosen, or superseded by a newer version: the one that is in force.
+    /// The configuration is chosen, or is superseded by a newer version.
     Accepted {
-        /// The version in force.
+        /// Version in force.
         version: u64,
     },
-    /// It is none that could be used. Nothing has changed.
+    /// The configuration is not valid. Nothing has changed.
     Invalid(Faults),
-    /// Its version was chosen with other content: it is not in force and never will be under this version.
+    /// The version was already chosen with other content. This content can never be put in force under this
+    /// version.
     Conflict {
-        /// Its version.
+        /// Version of the rejected configuration.
         version: u64,
-        /// The version in force.
+        /// Version in force.
         in_force: u64,
     },
-    /// Whether it is chosen is not known.
+    /// It is unknown whether the configuration is chosen.
     Unknown(NoQuorum),
 }
 
 impl Agent {
-    /// An operator's configuration: checked completely, then chosen by a quorum, then in force.
+    /// Validates an operator's configuration, has a quorum choose it, and puts it in force.
     pub async fn put(self: &Rc<Self>, text: &[u8]) -> PutOutcome {
         let version = match Config::parse(text) {
             Ok(config) => config.version,
@@ -72,11 +75,11 @@
         }
     }
 
-    /// The newest configuration that is chosen; none before the first one.
+    /// Reads the newest chosen configuration from a quorum; `None` before the first one.
     ///
     /// # Errors
     ///
-    /// Where no quorum answers.
+    /// If no quorum answers in time.
     pub async fn read_newest(self: &Rc<Self>) -> Result<Option<VersionedConfig>, NoQuorum> {
         let started = self.handle(|engine, now| engine.start_read(now));
         let Outcome::Read(chosen) = await_outcome(started).await? else { return Err(NoQuorum) };
@@ -84,34 +87,36 @@
         Ok(chosen.config().cloned())
     }
 
-    /// A server has sent a heartbeat. One that is draining is acknowledged only once a quorum of the members knows it, so
-    /// that it does not depend on this process.
+    /// Records the heartbeat of a server. If the server is draining, waits until a quorum of the members has
+    /// applied this, so that the acknowledged state survives a failure of this process.
     ///
     /// # Errors
     ///
-    /// Where no quorum has applied in time that the server drains. It may know all the same.
+    /// If no quorum has applied the draining state in time. A quorum may still apply it later.
     pub async fn record_heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) -> Result<(), NoQuorum> {
         let (id, needs_acknowledgement) = (heartbeat.id.clone(), heartbeat.state > ServerState::Ready);
         self.handle(|engine, now| engine.record_heartbeat(heartbeat, now));
         if needs_acknowledgement { self.await_server_update(&id).await } else { Ok(()) }
     }
 
-    /// A server has said that it ends.
+    /// Records that a server has terminated, and waits until a quorum of the members has applied this.
     ///
     /// # Errors
     ///
-    /// Where no quorum has applied that in time. It may know all the same.
+    /// If no quorum has applied it in time. A quorum may still apply it later.
     pub async fn deregister(self: &Rc<Self>, id: &ServerId) -> Result<(), NoQuorum> {
         self.handle(|engine, now| engine.deregister(id, now));
         self.await_server_update(id).await
     }
 
+    /// Waits until a quorum of the members has applied the known entry of a server.
     async fn await_server_update(self: &Rc<Self>, id: &ServerId) -> Result<(), NoQuorum> {
         let server = self.engine.borrow().directory().server(id).cloned();
         self.await_quorum(Update::Server(server.ok_or(NoQuorum)?)).await
     }
 
-    /// Waits until a quorum of the members has applied an update. Where none is in contact the answer comes at once.
+    /// Waits until a quorum of the members has applied an update. Fails immediately without contact with a
+    /// quorum.
     pub(super) async fn await_quorum(self: &Rc<Self>, update: Update) -> Result<(), NoQuorum> {
         let pending = self.handle(|engine, now| engine.await_quorum(update, now)).ok_or(NoQuorum)?;
         let applied = timeout(ACKNOWLEDGEMENT_TIMEOUT, pending.applied).await;
@@ -120,8 +125,8 @@
     }
 }
 
-/// The outcome of an operation, if it was started and ends in time. What ends after that, since this process was stalled, is
-/// no outcome either.
+/// Waits for the outcome of an operation that was started. The elapsed time is checked again afterwards: if
+/// this process was stalled, an outcome may become available after the time-out and must not count.
 async fn await_outcome(started: Option<oneshot::Receiver<Outcome>>) -> Result<Outcome, NoQuorum> {
     let began_at = Instant::now();
     let outcome = timeout(OPERATION_TIMEOUT, started.ok_or(NoQuorum)?).await;
--- a/crates/node/src/links/codec.rs
+++ b/crates/node/src/links/codec.rs
@@ -1,4 +1,4 @@
-//! A message as a line of JSON, and back.
+//! Encoding of messages as lines of JSON.
 
 #[cfg(test)]
 mod tests;
@@ -10,25 +10,25 @@
 use super::Message;
 use crate::compression::{self, DecompressError};
 
-/// Messages longer than this are compressed, in bytes.
+/// Size of the longest message that is sent uncompressed.
 const MAX_UNCOMPRESSED_BYTES: usize = 1200;
 
-/// Why a line is no message.
+/// Reason why a line cannot be decoded.
 #[derive(Debug, Display, Error, From)]
 pub enum DecodeError {
-    /// It is not JSON, or no message that this release knows.
-    #[display("no message: {_0}")]
+    /// The line is not JSON, or not a message that this release knows.
+    #[display("not a message: {_0}")]
     Json(serde_json::Error),
-    /// It is a compressed message that cannot be decompressed.
-    #[display("no compressed message: {_0}")]
+    /// The line is a compressed message that cannot be decompressed.
+    #[display("not a compressed message: {_0}")]
     Compression(DecompressError),
 }
 
-/// A message as a line, with its end.
+/// Encodes a message as a line, including the line end.
 ///
 /// # Errors
 ///
-/// None that is known: all fields of messages have a form in JSON.
+/// Fails if a field cannot be represented in JSON, which no existing message contains.
 pub fn encode(message: &Message) -> Result<Rc<str>, serde_json::Error> {
     let mut text = serde_json::to_string(message)?;
     let has_compressed_content = matches!(message, Message::Config(_));
@@ -39,11 +39,11 @@
     Ok(text.into())
 }
 
-/// The message in a line.
+/// Decodes the message in a line.
 ///
 /// # Errors
 ///
-/// Where the line is none.
+/// If the line is not a message.
 pub fn decode(line: &[u8]) -> Result<Message, DecodeError> {
     match serde_json::from_slice(line)? {
         Message::Compressed(text) => Ok(serde_json::from_slice(&compression::decompress(&text)?)?),
--- a/crates/node/src/links/connection.rs
+++ b/crates/node/src/links/connection.rs
@@ -1,4 +1,5 @@
-//! The life of one connection: hello both ways, then messages until one side closes it or falls silent.
+//! Connection to a peer: a handshake in which both sides send `Hello`, then messages until one side closes
+//! the connection or times out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,71 +15,72 @@
 use super::codec::{self, DecodeError};
 use super::{LinkId, Message, Transport};
 
-/// A peer that sends nothing for this long is taken for lost: it sends digests each second.
+/// Time without a message from a peer after which its connection is closed. Peers send a digest every second.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(2600);
-/// Time for a connection to come up, and for its first message.
+/// Time limit for establishing a connection, and for receiving the first message on it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The longest line that is read, in bytes: a configuration and some.
+/// Longest line that is read: larger than any configuration.
 const MAX_LINE_BYTES: usize = 8 << 20;
-/// Messages that may wait to be written: a peer that does not read is disconnected.
+/// Messages queued for a peer. If the queue is full because the peer does not read, the connection is closed.
 const MAX_QUEUED_MESSAGES: usize = 4096;
-/// Buffer of the reader, in bytes: most lines are digests of less than a hundred.
+/// Size of the read buffer. Most lines are digests of less than 100 bytes.
 const READ_BUFFER_BYTES: usize = 4096;
-/// A line buffer that a long line has made larger than this, in bytes, is given back.
+/// Largest line buffer that is kept for the next line. A buffer that a long line has grown beyond this is
+/// freed.
 const MAX_KEPT_LINE_BUFFER_BYTES: usize = 64 << 10;
 
-/// Which side connected.
+/// Which side opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// This process did.
+    /// This process opened the connection.
     Outgoing,
-    /// The peer did.
+    /// The peer opened the connection.
     Incoming,
 }
 
-/// Whether a connection goes on.
+/// Whether a connection is kept open after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It goes on.
+    /// The connection is kept open.
     Open,
-    /// It is to be closed.
+    /// The connection must be closed.
     Closed,
 }
 
-/// Encoded messages on their way to a peer. The connection is closed once this is dropped.
+/// Queue of encoded messages to a peer. Dropping it closes the connection.
 pub type MessageQueue = mpsc::Sender<Rc<str>>;
 
-/// What a process does with its connections.
+/// Receiver of the events of connections.
 pub trait ConnectionHandler: 'static {
-    /// This process, as it presents itself.
+    /// Returns the entry of this process that is sent in the handshake.
     fn own_node(&self) -> Node;
 
-    /// What connections are made of.
+    /// Returns the network over which connections are opened.
     fn transport(&self) -> &dyn Transport;
 
-    /// The first line of a connection was no hello.
+    /// Records that the first line on a connection was not a valid `Hello`.
     fn handshake_failed(&self);
 
-    /// A peer has presented itself.
+    /// Registers a connection after its handshake, and returns the identifier of its link.
     fn connection_opened(self: &Rc<Self>, peer: Node, direction: Direction, queue: MessageQueue) -> LinkId;
 
-    /// A line has come.
+    /// Handles a line received over a link, and returns whether to keep the connection open.
     fn line_received(self: &Rc<Self>, link: LinkId, line: Result<Message, DecodeError>) -> ConnectionState;
 
-    /// The connection has ended, whoever ended it.
+    /// Records that a connection was closed by either side.
     fn connection_closed(self: &Rc<Self>, link: LinkId);
 }
 
-/// How a connection, or an attempt to make one, has ended.
+/// How a connection, or an attempt to open one, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The peer never presented itself.
+    /// The connection failed before the handshake was complete.
     NeverLinked,
-    /// It was linked, and is no longer.
+    /// The connection completed the handshake, and was closed later.
     Unlinked,
 }
 
-/// Connects to a process and carries the connection to its end.
+/// Connects to a process and runs the connection until it is closed.
 pub async fn connect<H: ConnectionHandler>(address: Address, handler: Rc<H>) -> ConnectionEnd {
     let connecting = handler.transport().connect(address);
     let Ok(Some((read, write))) = timeout(CONNECT_TIMEOUT, connecting).await else {
@@ -87,7 +89,7 @@
     run(read, write, Direction::Outgoing, handler).await
 }
 
-/// Carries a connection to its end.
+/// Runs an established connection until it is closed.
 pub async fn run<H: ConnectionHandler>(
     read: impl AsyncRead + Unpin, mut write: impl AsyncWrite + Unpin, direction: Direction, handler: Rc<H>,
 ) -> ConnectionEnd {
@@ -97,7 +99,7 @@
     };
     let (queue, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let link = handler.connection_opened(peer, direction, queue);
-    // In this order, so that a simulated day is the same each time.
+    // Polled in a fixed order, so that simulations are deterministic.
     tokio::select! {
         biased;
         () = receive(reader, link, &handler) => {}
@@ -107,11 +109,11 @@
     ConnectionEnd::Unlinked
 }
 
-/// Says hello and waits for the peer's.
+/// Sends the own `Hello` and waits for that of the peer. Returns `None` if the handshake fails.
 async fn handshake<H: ConnectionHandler>(
     reader: &mut BufReader<impl AsyncRead + Unpin>, write: &mut (impl AsyncWrite + Unpin), handler: &H,
 ) -> Option<Node> {
-    // Never compressed: it is read before anything is known of the peer.
+    // `Hello` is never compressed, because peers parse the first line as plain JSON.
     let hello = serde_json::to_string(&Message::Hello(handler.own_node())).ok()? + "\n";
     write.write_all(hello.as_bytes()).await.ok()?;
     let mut line = Vec::new();
@@ -126,7 +128,8 @@
     Some(peer)
 }
 
-/// Hands over what comes, until the peer closes the connection or sends nothing for [`PEER_TIMEOUT`].
+/// Passes received lines to the handler, until the handler or the peer closes the connection or the peer
+/// sends nothing for [`PEER_TIMEOUT`].
 async fn receive<H: ConnectionHandler>(
     mut reader: BufReader<impl AsyncRead + Unpin>, link: LinkId, handler: &Rc<H>,
 ) {
@@ -142,7 +145,7 @@
     }
 }
 
-/// Writes what is queued, as much at once as there is, until the queue is dropped or the peer is gone.
+/// Writes queued messages, all that are available in one batch, until the queue is dropped or a write fails.
 async fn send(mut write: impl AsyncWrite + Unpin, mut queued: mpsc::Receiver<Rc<str>>) {
     while let Some(first) = queued.recv().await {
         let mut batch = String::from(&*first);
@@ -155,7 +158,7 @@
     }
 }
 
-/// Reads a line; whether there was a complete one.
+/// Reads a line into the buffer. Returns whether a complete line was read.
 async fn read_line(reader: &mut BufReader<impl AsyncRead + Unpin>, line: &mut Vec<u8>) -> bool {
     line.clear();
     let mut limited = reader.take(MAX_LINE_BYTES as u64);
--- a/crates/node/src/links/link_id.rs
+++ b/crates/node/src/links/link_id.rs
@@ -1,8 +1,9 @@
-//! The identity of a link.
+//! Identifier of a link.
 
 use std::fmt;
 
-/// Identifies a link: one connection to one incarnation of a peer. Never given again within an incarnation of this process.
+/// Identifier of a link, which is one connection to one incarnation of a peer. Never reused within an
+/// incarnation of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(u64);
 
--- a/crates/node/src/links/message.rs
+++ b/crates/node/src/links/message.rs
@@ -1,92 +1,95 @@
-//! What processes send each other.
+//! Messages between processes.
 
 use ashvane_gossip::{BucketDigests, Digest, Node, RankSummary, Update};
 use ashvane_quorum::membership_manager::ReplicaReport;
 use ashvane_quorum::{Request, Response, VersionedConfig};
 use serde::{Deserialize, Serialize};
 
-/// What processes send each other. The serialized names are those of the first release: a fleet is upgraded machine by
-/// machine.
+/// Message between two processes. The serialized names are those of the first release, because processes of
+/// different releases communicate while machines are upgraded one by one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The first message both ways: who sends it.
+    /// First message in both directions: entry of the sender.
     Hello(Node),
-    /// Entries that rose.
+    /// Changed entries of the directory.
     Update {
-        /// Above 0 where [`Message::UpdateApplied`] is wanted in return.
+        /// Number for the [`Message::UpdateApplied`] that is requested in return; 0 if none is requested.
         number: u64,
-        /// The entries.
+        /// Changed entries.
         updates: Vec<Update>,
     },
-    /// The answer to a numbered [`Message::Update`].
+    /// Response to a numbered [`Message::Update`].
     #[serde(rename = "got")]
     UpdateApplied {
-        /// The number of the update.
+        /// Number of the update.
         number: u64,
-        /// Whether all its entries are in force at the sender.
+        /// Whether the sender has applied all entries of the update.
         #[serde(rename = "taken")]
         is_applied: bool,
-        /// The epoch of the membership that the sender knows.
+        /// Epoch of the membership known to the sender.
         epoch: u64,
     },
-    /// All that the sender knows, in a few bytes.
+    /// Digest of the sender's directory and configuration version.
     Digest(Digest),
-    /// Where digests differ: those of each bucket.
+    /// Digest of each bucket of the directory, sent if the digests of two processes differ.
     Buckets(BucketDigests),
-    /// Whether the sender is to be sent updates as they come.
+    /// Starts or stops a subscription of the sender to updates.
     #[serde(rename = "feed")]
     Subscribe(bool),
-    /// Where digests of buckets differ: the ranks of the entries in them.
+    /// Ranks of the entries in the buckets whose digests differ.
     Summary(RankSummary),
-    /// The configuration is requested if its version is above this.
+    /// Requests the configuration if the receiver has a newer version than the sender.
     #[serde(rename = "want")]
     RequestConfig {
-        /// The version that the sender has.
+        /// Version that the sender has.
         above: u64,
     },
-    /// A configuration that was requested.
+    /// Response to [`Message::RequestConfig`].
     Config(VersionedConfig),
-    /// What an operation requests of the receiver's replica.
+    /// Request of a register operation to the receiver's replica.
     #[serde(rename = "request")]
     ReplicaRequest {
-        /// Names the request in the response.
+        /// Number that identifies the request in the response.
         number: u64,
-        /// The request.
+        /// Request to the replica.
         request: Request,
     },
-    /// The response to a [`Message::ReplicaRequest`], on the link on which that came.
+    /// Response to a [`Message::ReplicaRequest`], sent over the link on which the request was received.
     #[serde(rename = "response")]
     ReplicaResponse {
-        /// The number of the request.
+        /// Number of the request.
         number: u64,
-        /// The response.
+        /// Response of the replica.
         response: Response,
     },
-    /// A gateway that starts asks a control node to verify that it is in contact with a quorum.
+    /// Request of a starting gateway that a control node verify its contact with a quorum.
     #[serde(rename = "verify")]
     VerifyQuorum {
-        /// Names the question in the answer.
+        /// Number that identifies the request in the response.
         number: u64,
     },
-    /// The answer to [`Message::VerifyQuorum`], after a read of the register that began after the question.
+    /// Response to [`Message::VerifyQuorum`], sent after a read of the register that began after the request
+    /// arrived.
     #[serde(rename = "verified")]
     QuorumVerified {
-        /// The number of the question.
+        /// Number of the request.
         number: u64,
-        /// What the sender knows now.
+        /// Digest of the sender's directory and configuration version.
         digest: Digest,
     },
-    /// What a control node reports of its own disk to the others: at first, and whenever it changes.
+    /// Report of a control node on its replica, sent to the other control nodes when a link opens and on each
+    /// change.
     #[serde(rename = "disk")]
     ReplicaReport(ReplicaReport),
-    /// Another message, compressed: where many entries go at once they are much alike.
+    /// Compressed encoding of another message. Messages with many entries compress well, because the
+    /// entries are similar.
     #[serde(rename = "packed")]
     Compressed(String),
 }
 
 impl Message {
-    /// What it is about, for counting. Operators see these words (`show said`).
+    /// Returns the topic under which the message is counted. Operators see the topics in `show said`.
     #[must_use]
     pub fn topic(&self) -> &'static str {
         match self {
--- a/crates/node/src/links/mod.rs
+++ b/crates/node/src/links/mod.rs
@@ -1,11 +1,11 @@
-//! Connections between the system's own processes: lines of JSON both ways.
+//! Connections between processes of the system, which exchange messages as lines of JSON.
 //!
-//! | module | what it holds |
+//! | item | purpose |
 //! | --- | --- |
-//! | [`Message`] | what processes send each other |
-//! | [`codec`] | a message as a line, and back |
-//! | [`Transport`] | what connections are made of: sockets, or a simulated network |
-//! | [`ConnectionHandler`], [`run`], [`connect`] | the life of one connection |
+//! | [`Message`] | messages between processes |
+//! | [`codec`] | encoding of messages as lines |
+//! | [`Transport`] | network below the connections: sockets, or a simulated network |
+//! | [`ConnectionHandler`], [`run`], [`connect`] | handshake, sending and receiving on one connection |
 
 pub mod codec;
 
--- a/crates/node/src/links/transport.rs
+++ b/crates/node/src/links/transport.rs
@@ -1,4 +1,4 @@
-//! What connections are made of.
+//! Network below the connections between processes.
 
 use std::pin::Pin;
 
@@ -9,19 +9,19 @@
 
 use super::PEER_TIMEOUT;
 
-/// The two halves of a connection, whatever carries it.
+/// Read half and write half of a connection.
 pub type Halves = (Box<dyn AsyncRead + Unpin>, Box<dyn AsyncWrite + Unpin>);
 
-/// A connection that is coming up; none where it could not.
+/// Connection attempt in progress. Resolves to `None` if it fails.
 pub type Connecting = Pin<Box<dyn Future<Output = Option<Halves>>>>;
 
-/// What lies between processes: sockets in service, a simulated network in tests.
+/// Network between processes: sockets in production, a simulated network in tests.
 pub trait Transport {
-    /// Connects to a process. The caller bounds the time.
+    /// Connects to a process. The caller sets the time-out.
     fn connect(&self, address: Address) -> Connecting;
 }
 
-/// The network that the system's own machines are on.
+/// TCP connections between the machines of the system.
 pub struct TcpTransport;
 
 impl Transport for TcpTransport {
@@ -33,8 +33,9 @@
     }
 }
 
-/// The halves of a socket, set up so that a machine that is gone is noticed. A socket that refuses these options still
-/// works: the peer then times out by its own messages.
+/// Disables Nagle's algorithm on a socket, sets a time-out for unacknowledged data so that the failure of
+/// the peer's machine is detected, and splits the socket. Failures to set these options are ignored:
+/// without them, a failed peer is still detected by [`PEER_TIMEOUT`].
 pub fn split_socket(stream: TcpStream) -> (OwnedReadHalf, OwnedWriteHalf) {
     let _ = stream.set_nodelay(true);
     let timeout_ms = PEER_TIMEOUT.as_millis() as u32;
