--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -180,8 +180,8 @@
         self.engine.borrow().is_server_available(id)
     }
 
-    /// Returns the control address to which control calls are redirected; `None` if this process answers
-    /// them.
+    /// Returns the control address to which control calls are redirected; `None` at a control node, which
+    /// answers them itself, and where no control node is linked.
     #[must_use]
     pub fn control_redirect(&self) -> Option<Address> {
         self.engine.borrow().control_redirect()
--- a/crates/node/src/control_api/call.rs
+++ b/crates/node/src/control_api/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way to the agent.
+//! Calls that the handlers pass to the agent.
 
 use std::rc::Rc;
 
@@ -12,24 +12,25 @@
 
 use crate::agent::{Agent, NoQuorum, PutOutcome};
 
-/// A call, and where its answer goes.
+/// Call to the agent, with the channel for its answer.
 pub(super) enum ControlCall {
-    /// Where control calls are answered, if not here.
+    /// Request for the control address to which calls are redirected; the answer is `None` if this process
+    /// answers them, or knows no control node that does.
     Redirect(oneshot::Sender<Option<Address>>),
-    /// A server says that it is there, or that it drains.
+    /// Heartbeat of a server, which is ready or draining.
     Heartbeat(Heartbeat, oneshot::Sender<Result<(), NoQuorum>>),
-    /// A server says that it ends.
+    /// Deregistration of a server that is terminating.
     Deregister(ServerId, oneshot::Sender<Result<(), NoQuorum>>),
-    /// An operator sends a configuration.
+    /// Write of an operator's configuration.
     PutConfig(Bytes, oneshot::Sender<PutOutcome>),
-    /// An operator reads the newest one.
+    /// Read of the newest chosen configuration.
     GetConfig(oneshot::Sender<Result<Option<VersionedConfig>, NoQuorum>>),
-    /// An operator asks for all that the process knows.
+    /// Request for the status report.
     Status(oneshot::Sender<Value>),
 }
 
 impl ControlCall {
-    /// Has the agent answer the call. A caller that has left gets no answer.
+    /// Executes the call and sends the answer. The answer is dropped if the caller no longer waits for it.
     pub(super) async fn answer(self, agent: Rc<Agent>) {
         match self {
             ControlCall::Redirect(reply) => {
--- a/crates/node/src/control_api/heartbeat_request.rs
+++ b/crates/node/src/control_api/heartbeat_request.rs
@@ -1,4 +1,4 @@
-//! The body of a server's heartbeat.
+//! Parsing of a server's heartbeat request.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::document::{Faults, Field};
 
-/// Reads a heartbeat, with all that is wrong with it otherwise.
+/// Parses the body of a heartbeat request. Returns all of its faults if it is not valid.
 pub(super) fn parse(id: ServerId, body: &[u8]) -> Result<Heartbeat, Faults> {
     let document: Value = serde_json::from_slice(body).map_err(Faults::unreadable)?;
     let root = Field::root(&document);
--- a/crates/node/src/control_api/mod.rs
+++ b/crates/node/src/control_api/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP calls of servers and operators, each declared beside its handler.
+//! HTTP interface for servers and operators.
 //!
-//! Handlers run in tasks of their own and have to be `Send`; the agent is not. They hand a [`ControlCall`] to one task beside
-//! the agent, which answers it.
+//! Handlers have to be `Send`, which the agent is not. They pass each call as a [`ControlCall`] through a
+//! channel to a task on the agent's thread, which sends back the answer.
 
 mod call;
 mod heartbeat_request;
@@ -28,22 +28,23 @@
 use crate::agent::{Agent, PutOutcome};
 use crate::compression;
 
-/// The longest configuration that is read, in bytes.
+/// Longest request body, which limits the size of a configuration.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Time in which a head must be complete, and for which an idle connection is kept.
+/// Time within which the head of a request must be complete, and after which an idle connection is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a failed accept: descriptors may be free by then.
+/// Delay after a failed accept; file descriptors may have been freed by then.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What handlers share.
+/// State shared by the handlers.
 struct ControlApi {
     calls: mpsc::UnboundedSender<ControlCall>,
-    /// Where servers are asked to send their later heartbeats.
+    /// Address to which servers are told to send their next heartbeats.
     heartbeat_target: String,
 }
 
 impl ControlApi {
-    /// Hands a call to the agent; none where the process ends meanwhile.
+    /// Passes a call to the agent and waits for the answer. Returns `None` if the process exits in the
+    /// meantime.
     async fn call<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> ControlCall) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.calls.send(call(reply)).ok()?;
@@ -62,7 +63,7 @@
     }
 }
 
-/// Answers the calls that come to this listener, as long as it is polled.
+/// Serves the control calls on a listener until the returned future is dropped.
 pub async fn run(listener: TcpListener, heartbeat_target: String, agent: Rc<Agent>) {
     let (calls, mut queue) = mpsc::unbounded_channel();
     let router = Arc::new(ControlApi { calls, heartbeat_target }).router();
@@ -80,19 +81,19 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // A socket that refuses this is only slower.
+        // If the option cannot be set, responses are only delayed.
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(router.clone());
         tokio::task::spawn_local(async move {
             let mut http = hyper::server::conn::http1::Builder::new();
             http.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
-            // However the connection ends, its client knows.
+            // The client notices if the connection ends with an error.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// A process without a disk accepts every call and sends the caller on to one that can answer it.
+/// Redirects calls to a linked control node if this process is a gateway, which cannot answer them itself.
 async fn redirect(State(api): State<Arc<ControlApi>>, request: Request, next: Next) -> ApiResponse {
     let Some(Some(address)) = api.call(ControlCall::Redirect).await else { return next.run(request).await };
     let location = format!("http://{address}{}", request.uri().path());
--- a/crates/node/src/control_api/response.rs
+++ b/crates/node/src/control_api/response.rs
@@ -1,4 +1,4 @@
-//! Responses to control calls: JSON, and when to call again.
+//! Responses to control calls.
 
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode, header};
@@ -7,12 +7,13 @@
 use crate::agent::NoQuorum;
 use crate::document::Faults;
 
-/// When a call that found no quorum is best made again, in seconds.
+/// Value of the `Retry-After` header for calls that found no quorum.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// A response to a control call.
+/// Response to a control call.
 pub(super) type ApiResponse = Response<Body>;
 
+/// Creates a response with a body that is already JSON text.
 pub(super) fn json_text(status: StatusCode, body: impl Into<Body>) -> ApiResponse {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
@@ -24,16 +25,17 @@
     response
 }
 
+/// Creates a response with a JSON value as its body.
 pub(super) fn json_value(status: StatusCode, body: &Value) -> ApiResponse {
     json_text(status, body.to_string())
 }
 
-/// All that is wrong with a call's body.
+/// Creates a response that lists all faults of a request body.
 pub(super) fn faults_response(status: StatusCode, faults: &Faults) -> ApiResponse {
     json_value(status, &json!({"faults": faults.lines()}))
 }
 
-/// No quorum has answered: the call may have taken effect or not.
+/// Creates the response to a call for which no quorum answered in time. The call may have taken effect.
 pub(super) fn no_quorum_response() -> ApiResponse {
     json_value(StatusCode::SERVICE_UNAVAILABLE, &json!({"faults": [NoQuorum.to_string()]}))
 }
--- a/crates/node/src/disk/medium.rs
+++ b/crates/node/src/disk/medium.rs
@@ -1,36 +1,36 @@
-//! What lies below a store.
+//! File system operations below a store, replaceable in tests.
 
 use std::fs::File;
 use std::io;
 use std::path::Path;
 use std::time::Duration;
 
-/// Pause before a disk that refused is tried again.
+/// Delay before a failed disk operation is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a disk does that a test may want to refuse, or to remember.
+/// Disk operations that tests can make fail, or record.
 pub trait Medium: Send + Sync {
-    /// Whether so many more bytes may be written to a store.
+    /// Checks whether this number of bytes may be written to a store.
     ///
     /// # Errors
     ///
-    /// Where the disk takes none for now.
+    /// If the disk does not accept the write at present.
     fn check_write(&self, store: &Path, bytes: u64) -> io::Result<()>;
 
-    /// Makes a file's content, or a folder's names, outlast a loss of power.
+    /// Syncs the content of a file, or the entries of a folder, so that they survive a power failure.
     ///
     /// # Errors
     ///
-    /// Where the disk does not say that they will.
+    /// If the disk does not confirm the sync.
     fn sync(&self, path: &Path) -> io::Result<()>;
 
-    /// Passes the time until a disk that refused is tried again.
+    /// Blocks until a failed disk operation should be retried.
     fn wait_before_retry(&self) {
         std::thread::sleep(RETRY_DELAY);
     }
 }
 
-/// The machine's own file system.
+/// File system of the machine.
 pub struct FileSystem;
 
 impl Medium for FileSystem {
--- a/crates/node/src/disk/mod.rs
+++ b/crates/node/src/disk/mod.rs
@@ -1,8 +1,8 @@
-//! What a process keeps on its disk, written by sled on a thread of its own: a disk that hangs holds up nothing else. What
-//! was handed over counts as kept only once a sync has covered it.
+//! Durable state of a process. A separate thread writes it with sled, so that a disk that hangs blocks
+//! nothing else. State counts as stored only after it has been synced.
 //!
-//! There are two stores, written in turn, each with the complete state under a sequence number. What a loss of power tears
-//! is the one that was being written; the other one was synced before and is intact.
+//! The complete state is written with a sequence number to two stores in turn. A power failure can only
+//! corrupt the store that is being written; the other one was synced before and is intact.
 
 mod medium;
 mod store;
@@ -28,50 +28,52 @@
 use store::Store;
 use write_queue::SharedQueue;
 
-/// The folders of the two stores.
+/// Folders of the two stores.
 const STORE_DIRS: [&str; 2] = ["cells-a", "cells-b"];
-/// The file whose lock keeps a second process off the disk.
+/// File that is locked so that no second process uses the disk.
 const LOCK_FILE: &str = "lock";
 
-/// Why a disk cannot be opened.
+/// Reason why a disk cannot be opened.
 #[derive(Debug, Display, Error, From)]
 pub enum OpenDiskError {
-    /// The folder, the lock file or the thread cannot be made.
+    /// The folder, the lock file or the thread cannot be created.
     #[display("{_0}")]
     Io(io::Error),
-    /// Two processes on one disk would take each other's stores for unreadable.
-    #[display("another process has this disk: {_0}")]
+    /// The lock file is locked by another process. Two processes on one disk would find each other's stores
+    /// corrupt.
+    #[display("another process is using this disk: {_0}")]
     InUse(TryLockError),
 }
 
-/// A handle to the thread that writes a disk.
+/// Handle to the thread that writes a disk.
 #[derive(Clone)]
 pub struct Disk {
     queue: Arc<SharedQueue>,
 }
 
 impl Disk {
-    /// A disk that is written by whoever has the other side.
+    /// Creates a disk without a thread. The owner of the returned queue performs the writes.
     #[must_use]
     pub fn new() -> (Disk, DiskQueue) {
         let queue = Arc::new(SharedQueue::default());
         (Disk { queue: queue.clone() }, DiskQueue::new(queue))
     }
 
-    /// Opens the disk in a folder and starts its thread. Waits until it is read, and as long as the disk refuses.
+    /// Opens the disk in a folder, reads the stored state and starts the writer thread. Blocks until the
+    /// state is read, for as long as the disk fails temporarily.
     ///
     /// # Errors
     ///
-    /// Where the folder cannot be used, or another process has it.
+    /// If the folder cannot be used or another process is using it.
     pub fn open(dir: &str) -> Result<(Disk, RecoveredState), OpenDiskError> {
         Disk::open_on(dir, Arc::new(FileSystem))
     }
 
-    /// As [`Disk::open`], on a medium of the caller's.
+    /// Opens a disk on the given medium; see [`Disk::open`].
     ///
     /// # Errors
     ///
-    /// As [`Disk::open`].
+    /// The same as for [`Disk::open`].
     pub fn open_on(dir: &str, medium: Arc<dyn Medium>) -> Result<(Disk, RecoveredState), OpenDiskError> {
         let dir = PathBuf::from(dir);
         std::fs::create_dir_all(&dir)?;
@@ -88,8 +90,9 @@
         Ok((disk, recovered))
     }
 
-    /// Keeps the replica's state; the receiver is notified once it is safe, and never while the disk goes on refusing. With
-    /// none, it is notified once all that was handed over before is safe.
+    /// Queues the replica's state to be stored. The receiver is notified once the state is synced, which
+    /// does not happen while the disk fails. With `None`, it is notified once all state queued before is
+    /// synced.
     #[must_use]
     pub fn save_replica(&self, replica: Option<ReplicaState>) -> oneshot::Receiver<()> {
         let (done, synced) = oneshot::channel();
@@ -97,17 +100,18 @@
         synced
     }
 
-    /// Keeps the servers that are known, when there is time.
+    /// Queues the list of servers to be stored, without a notification.
     pub fn save_servers(&self, servers: Vec<Server>) {
         self.queue.update(|pending| pending.add_servers(servers));
     }
 
-    /// Ends the thread once what it was handed is safe.
+    /// Stops the thread once all queued state is synced.
     pub fn close(&self) {
         self.queue.close();
     }
 }
 
+/// Locks the disk for this process; the lock is released when the file is dropped.
 fn acquire_lock(dir: &Path) -> Result<File, OpenDiskError> {
     let lock = File::options().create(true).append(true).open(dir.join(LOCK_FILE))?;
     lock.try_lock()?;
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! One sled store with one value in it, and what it takes for that value to outlast a loss of power.
+//! Sled store with a single value that survives a power failure.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,41 +10,42 @@
 
 use super::Medium;
 
-/// The key of the one value.
+/// Key of the single value.
 const VALUE_KEY: &[u8] = b"cell";
-/// The file that sled writes in place; all others it writes once, under a name of their own.
+/// File that sled writes in place. All its other files are written once, each under a new name.
 const SLED_DATA_FILE: &str = "db";
-/// How the name of a snapshot ends while it is written.
+/// Extension of a sled snapshot that is still being written.
 const UNFINISHED_SNAPSHOT_EXTENSION: &str = "generating";
-/// What sled may hold of a store in memory, in bytes: the whole state is smaller.
+/// Memory that sled may use as a cache for a store; larger than the complete state.
 const CACHE_CAPACITY_BYTES: u64 = 1 << 20;
-/// The pieces that sled sets its file up in, in bytes: a few states fit into one.
+/// Size of the segments in sled's file. A segment holds several versions of the state.
 const SEGMENT_BYTES: usize = 512 << 10;
-/// What is written to a store before it is made anew, in bytes: with its own heads it stays within its first segment.
-/// Sled uses a segment again once all in it is replaced, and from then on finds nothing without its newest snapshot, a
-/// file that it renames and removes as it opens and that a loss of power may take.
+/// Bytes that may be written to a store before it is cleared, so that its content and sled's headers stay
+/// within the first segment. Sled reuses a segment once all of its content is replaced. From then on it
+/// cannot recover the content without its newest snapshot, a file that it renames and removes while opening
+/// and that a power failure may destroy.
 const MAX_WRITTEN_BYTES: u64 = (SEGMENT_BYTES - (64 << 10)) as u64;
-/// A value that sled keeps in a file of its own, of which it removes none, fills no segment: after so many the store is
-/// made anew all the same.
+/// Large values that may be written to a store before it is cleared. Sled writes each of them to a separate
+/// file that it never removes, so they do not fill the segment.
 const MAX_LARGE_VALUES: u32 = 8;
-/// The least value of that kind, in bytes: half a segment.
+/// Size from which sled writes a value to a separate file: half a segment.
 const MIN_LARGE_VALUE_BYTES: u64 = (SEGMENT_BYTES / 2) as u64;
-/// What sled writes around a value, in bytes; in fact it is some ten.
+/// Upper bound for the bytes that sled adds to a value; it adds about ten.
 const VALUE_OVERHEAD_BYTES: u64 = 256;
 
-/// Why a store could not be read or written.
+/// Reason why a store could not be read or written.
 #[derive(Debug, Display, Error)]
 pub enum StoreError {
-    /// The disk takes nothing, or gives nothing, for now: what the store holds may be intact.
-    #[display("the disk refuses: {reason}")]
+    /// The disk cannot be read or written at present. The content of the store may be intact.
+    #[display("the disk cannot be read or written at present: {reason}")]
     Refused {
-        /// What the system says.
+        /// Error of the operating system.
         reason: io::Error,
     },
-    /// What the store holds means nothing, and stays so however often it is read.
-    #[display("the store is not sound: {reason}")]
+    /// The content of the store is corrupt; reading it again cannot succeed.
+    #[display("the store is corrupt: {reason}")]
     Corrupt {
-        /// What sled says.
+        /// Error of sled.
         #[error(not(source))]
         reason: String,
     },
@@ -58,7 +59,7 @@
 
 impl From<io::Error> for StoreError {
     fn from(reason: io::Error) -> Self {
-        // A file that is cut off, or whose bytes mean nothing, stays so however often it is read.
+        // Truncated or invalid files cannot be read on a retry either.
         let is_corrupt = matches!(
             reason.kind(),
             io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput
@@ -76,40 +77,41 @@
     }
 }
 
-/// Runs what may panic on bytes that it did not expect.
+/// Runs an operation of sled, which may panic on corrupt files, and returns a panic as an error.
 fn catch_panic<T>(run: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    catch_unwind(AssertUnwindSafe(run)).unwrap_or_else(|_| Err(StoreError::corrupt("a panic within")))
+    catch_unwind(AssertUnwindSafe(run)).unwrap_or_else(|_| Err(StoreError::corrupt("sled panicked")))
 }
 
-/// A folder's names and the lengths of its files.
+/// Entries of a folder, with the lengths of files.
 type DirListing = BTreeMap<PathBuf, u64>;
 
-/// What has been synced of a folder, by its path.
+/// Listing of each folder at its last sync, by path.
 type SyncedListings = BTreeMap<PathBuf, DirListing>;
 
-/// A store; its handle is none while it has to be opened anew.
+/// Store with a single value.
 pub(super) struct Store {
     dir: PathBuf,
     medium: Arc<dyn Medium>,
+    /// Open database; `None` if it has to be opened first.
     db: Option<sled::Db>,
-    /// What its folders held when they were synced last, since it was opened.
+    /// Folders synced since the database was opened, as they were at their last sync.
     synced_listings: SyncedListings,
-    /// What was written to it since it was made anew; none where that was not by this process.
+    /// Amount written since the store was cleared; `None` if this process has not cleared it.
     written: Option<WrittenAmount>,
-    /// Whether its own name is known to outlast a loss of power.
+    /// Whether the folder entry of the store itself is synced in the parent folder.
     is_name_synced: bool,
 }
 
-/// What a store has taken since it was made anew.
+/// Amount written to a store since it was cleared.
 #[derive(Clone, Copy, Default)]
 struct WrittenAmount {
     large_values: u32,
-    /// Bytes of its first segment.
+    /// Bytes used in the first segment.
     bytes: u64,
 }
 
 impl WrittenAmount {
-    /// With one value more; none if that is too much.
+    /// Returns the amount after one more write, or `None` if it exceeds a limit.
     fn after_write(self, value: &[u8]) -> Option<WrittenAmount> {
         let len = value.len() as u64;
         let is_large = len + VALUE_OVERHEAD_BYTES >= MIN_LARGE_VALUE_BYTES;
@@ -132,13 +134,13 @@
         }
     }
 
-    /// The value that it holds.
+    /// Returns the stored value.
     pub(super) fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
         catch_panic(|| Ok(self.db()?.get(VALUE_KEY)?.map(|bytes| bytes.to_vec())))
     }
 
-    /// Puts a value in place of the one before; it is safe once this has returned. Whatever the store held may be gone
-    /// from the moment this is called.
+    /// Replaces the value. The new value is synced when this returns; the previous value may be lost from
+    /// the start of the call.
     pub(super) fn write(&mut self, value: &[u8]) -> Result<(), StoreError> {
         let written = match self.written.and_then(|written| written.after_write(value)) {
             Some(written) => written,
@@ -154,7 +156,8 @@
             db.flush()?;
             Ok(())
         })?;
-        // Sled's own flush leaves bytes to the system that a loss of power takes, and does not sync what it renames.
+        // Sled's flush may leave data in the page cache, which a power failure destroys, and does not sync
+        // renames.
         self.sync(&self.dir.clone())?;
         if let Some(parent) = self.dir.parent().filter(|_| !self.is_name_synced) {
             self.medium.sync(parent)?;
@@ -164,7 +167,7 @@
         Ok(())
     }
 
-    /// Empties it.
+    /// Removes the store with its content. It is created again when it is next opened.
     pub(super) fn clear(&mut self) -> Result<(), StoreError> {
         self.drop_handle();
         (self.written, self.is_name_synced) = (None, false);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Drops the handle: one that has failed once may panic at its end too.
+    /// Closes the database. After a failure sled may also panic while it is closed, so panics are ignored.
     pub(super) fn drop_handle(&mut self) {
         let db = self.db.take();
         self.synced_listings.clear();
@@ -184,6 +187,7 @@
         });
     }
 
+    /// Returns the database, and opens it if necessary.
     fn db(&mut self) -> Result<&sled::Db, StoreError> {
         if self.db.is_none() {
             std::fs::create_dir_all(&self.dir)?;
@@ -192,10 +196,11 @@
             let config = config.segment_size(SEGMENT_BYTES).flush_every_ms(None);
             self.db = Some(config.open()?);
         }
-        self.db.as_ref().ok_or_else(|| StoreError::corrupt("not open"))
+        self.db.as_ref().ok_or_else(|| StoreError::corrupt("the database is not open"))
     }
 
-    /// Removes the snapshots that sled had begun when its process ended: it takes one of them for its newest.
+    /// Removes snapshots that were unfinished when the previous process ended. Sled would take one of them
+    /// for its newest snapshot.
     fn remove_unfinished_snapshots(&self) -> io::Result<()> {
         for entry in std::fs::read_dir(&self.dir)? {
             let path = entry?.path();
@@ -206,8 +211,9 @@
         Ok(())
     }
 
-    /// Syncs what may have changed within a folder of the store: of its files those that are new or of another length,
-    /// and sled's own file, which is written in place; the folder itself where its names have changed.
+    /// Syncs everything in a folder of the store that may have changed since the last sync: files that are
+    /// new or whose length differs, the file that sled writes in place, and the folder itself if its
+    /// entries differ.
     fn sync(&mut self, dir: &Path) -> Result<(), StoreError> {
         let previous = self.synced_listings.remove(dir);
         let mut current = DirListing::new();
--- a/crates/node/src/disk/stored_state.rs
+++ b/crates/node/src/disk/stored_state.rs
@@ -1,4 +1,4 @@
-//! What stands in a store.
+//! Content of a store.
 
 use std::sync::Arc;
 
@@ -9,42 +9,43 @@
 
 use super::StoreError;
 
-/// All that is kept, as it stands in a store.
+/// Complete durable state of a process, as it is written to a store.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StoredState {
-    /// Rises with each write; of two stores the higher one is the newer.
+    /// Sequence number, which increases with each write. The store with the higher number is the newer one.
     #[serde(rename = "number")]
     pub(super) sequence: u64,
-    /// The state of the replica; none before the first write.
+    /// State of the replica; `None` before the first write.
     pub replica: Option<ReplicaState>,
-    /// Servers that were known. A hint: nothing is acknowledged on it, and it may be old.
+    /// Servers that were known at the time of the write. Only a hint that may be outdated; no
+    /// acknowledgement depends on it.
     #[serde(default)]
     pub servers: Arc<Vec<Server>>,
 }
 
-/// Why what stands in a store cannot be used.
+/// Reason why the content of a store cannot be used.
 #[derive(Debug, Display, Error, From)]
 pub enum UnreadableStore {
-    /// The content is not what was written.
-    #[display("a checksum is wrong")]
+    /// The content does not match its checksum, or cannot be decoded.
+    #[display("the content does not match its checksum or cannot be decoded")]
     Checksum,
-    /// The store itself cannot be read.
+    /// The store cannot be read.
     Store(StoreError),
 }
 
-/// What was found on a disk at start.
+/// State found on a disk at the start of a process.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
-    /// The state of the replica; none on an empty disk.
+    /// State of the replica; `None` on an empty disk.
     pub replica: Option<ReplicaState>,
-    /// Servers that were known.
+    /// Servers that were known when the state was written.
     pub servers: Vec<Server>,
-    /// Why the stores that cannot be used cannot be.
+    /// Reasons why stores could not be used, one for each such store.
     pub unreadable: Vec<UnreadableStore>,
 }
 
 impl StoredState {
-    /// What a process finds that starts on it.
+    /// Returns the state that a process recovers when it starts on a disk with this content.
     #[must_use]
     pub fn recovered(&self) -> RecoveredState {
         RecoveredState {
@@ -54,16 +55,16 @@
         }
     }
 
-    /// As it is written: a checksum, then JSON.
+    /// Encodes the state as a checksum followed by JSON.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // All of its fields have a form in JSON.
+        // Encoding cannot fail: all fields can be represented in JSON.
         let json = serde_json::to_vec(self).unwrap_or_default();
         let mut bytes = crc32fast::hash(&json).to_le_bytes().to_vec();
         bytes.extend(json);
         bytes
     }
 
-    /// What was written; none if that cannot be told.
+    /// Decodes an encoded state. Returns `None` if the checksum or the JSON is not valid.
     pub(super) fn decode(bytes: &[u8]) -> Option<StoredState> {
         let (checksum, json) = bytes.split_first_chunk::<4>()?;
         if crc32fast::hash(json) != u32::from_le_bytes(*checksum) {
--- a/crates/node/src/disk/write_queue.rs
+++ b/crates/node/src/disk/write_queue.rs
@@ -1,4 +1,5 @@
-//! What waits to be written: only the newest of each kind, with all who wait for it.
+//! Queue of state to be written to disk. It holds only the newest state of each kind, and notifies all
+//! callers that wait for its sync.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,7 +11,7 @@
 
 use super::StoredState;
 
-/// Content that has to be on disk; each later one replaces the one before.
+/// State to be written. Newer state replaces older state that is not yet written.
 #[derive(Default)]
 pub struct PendingWrite {
     replica: Option<ReplicaState>,
@@ -34,7 +35,7 @@
         self.waiters.is_empty() && self.servers.is_none()
     }
 
-    /// Puts it into what a disk holds. Whether that has changed, and so has to be written.
+    /// Applies this write to the state on a disk. Returns whether the state has changed and must be written.
     pub fn apply_to(&mut self, state: &mut StoredState) -> bool {
         let is_changed = self.replica.is_some() || self.servers.is_some();
         state.sequence += u64::from(is_changed);
@@ -47,10 +48,10 @@
         is_changed
     }
 
-    /// It is on disk: whoever waits for it is notified.
+    /// Notifies all waiting callers that the write is synced.
     pub fn notify_synced(self) {
         for done in self.waiters {
-            // Whoever waited may have given up.
+            // The receiver is gone if the caller no longer waits.
             let _ = done.send(());
         }
     }
@@ -62,7 +63,7 @@
     is_closed: bool,
 }
 
-/// The queue between a process and the thread that writes its disk.
+/// Queue between a process and the thread that writes its disk.
 #[derive(Default)]
 pub(super) struct SharedQueue {
     state: Mutex<QueueState>,
@@ -81,7 +82,7 @@
     }
 }
 
-/// The side of whoever writes the disk.
+/// Receiving side of the queue, held by the writer of the disk.
 pub struct DiskQueue(Arc<SharedQueue>);
 
 impl DiskQueue {
@@ -89,14 +90,14 @@
         DiskQueue(shared)
     }
 
-    /// What has come since the last call; none if nothing has.
+    /// Takes the state queued since the last call, or returns `None` if there is none.
     #[must_use]
     pub fn take(&self) -> Option<PendingWrite> {
         let pending = &mut self.0.state.lock().pending;
         (!pending.is_empty()).then(|| std::mem::take(pending))
     }
 
-    /// Waits until something has come; none at the end.
+    /// Waits until state is queued, and takes it. Returns `None` once the queue is closed and empty.
     pub(super) fn wait(&self) -> Option<PendingWrite> {
         let mut state = self.0.state.lock();
         while state.pending.is_empty() && !state.is_closed {
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -1,11 +1,11 @@
-//! The thread that writes a disk.
+//! Thread that writes the state of a process to disk.
 
 use std::sync::Arc;
 
 use super::store::{Store, StoreError};
 use super::{DiskQueue, Medium, RecoveredState, StoredState, UnreadableStore};
 
-/// Writes the state into two stores in turn.
+/// Writer of the state into two stores in turn.
 pub(super) struct DiskWriter {
     stores: [Store; 2],
     medium: Arc<dyn Medium>,
@@ -17,7 +17,7 @@
         DiskWriter { stores, medium, state: StoredState::default() }
     }
 
-    /// Reads both stores, and goes on from the newer one.
+    /// Reads both stores and continues with the newer state.
     pub(super) fn recover(&mut self) -> RecoveredState {
         let mut unreadable = Vec::new();
         for store in &mut self.stores {
@@ -30,7 +30,7 @@
         RecoveredState { unreadable, ..self.state.recovered() }
     }
 
-    /// Writes what comes, until the queue is closed.
+    /// Writes queued state until the queue is closed.
     pub(super) fn run(mut self, queue: &DiskQueue) {
         while let Some(mut pending) = queue.wait() {
             if pending.apply_to(&mut self.state) {
@@ -40,21 +40,23 @@
         }
     }
 
-    /// Writes the state into the store whose turn it is, for as long as that takes. The other store holds what is safe so
-    /// far: this one is made anew, lest what fills it keep it from being written, until it holds the new state.
+    /// Writes the state into the store whose turn it is, and retries until this succeeds. After a failure
+    /// the store is cleared, because its old content may be what fills the disk; the other store still
+    /// holds the last synced state.
     fn write(&mut self) {
         let store = &mut self.stores[(self.state.sequence % 2) as usize];
         let encoded = self.state.encode();
         while store.write(&encoded).is_err() {
-            // Where that fails too, the next write says so.
+            // If clearing the store also fails, the next write fails and is retried.
             let _ = store.clear();
             self.medium.wait_before_retry();
         }
     }
 }
 
-/// What a store holds at start, or why it cannot be used; then it begins anew, empty. A disk that refuses is waited for:
-/// sled writes as it opens, and a store that is intact must not be given up because the disk is full.
+/// Returns the state in a store at start, or the reason why it cannot be used, after clearing the store.
+/// Temporary failures of the disk are retried: sled writes while it opens a store, and an intact store must
+/// not be discarded because the disk is full.
 fn read_or_clear(store: &mut Store, medium: &dyn Medium) -> Result<Option<StoredState>, UnreadableStore> {
     loop {
         let reason = match store.read() {
--- a/crates/node/src/program/first_start.rs
+++ b/crates/node/src/program/first_start.rs
@@ -1,4 +1,4 @@
-//! The replica with which a control node starts.
+//! Replica with which a control node starts.
 
 use ashvane_identifiers::DiskId;
 use ashvane_quorum::{Member, Membership, Replica};
@@ -7,8 +7,9 @@
 use crate::disk::{Disk, RecoveredState};
 use crate::settings::Settings;
 
-/// The replica as it was left on the disk, or an empty one. Only at the first start of the whole system has an empty disk an
-/// id that others know beforehand: later it may be one that has forgotten what it voted for.
+/// Returns the replica stored on the disk, or an empty one. At the first start of the whole system, the
+/// empty disks of the seeds have identifiers that all processes can derive. Later an empty disk gets a new
+/// random identifier, because it may have lost the votes that were stored under the old one.
 pub async fn recover_replica(
     settings: &Settings, disk: &Disk, recovered: RecoveredState, log: &Logger,
 ) -> Replica {
@@ -27,12 +28,13 @@
         false => format!("{:016x}", fastrand::u64(..)).into(),
     };
     let replica = Replica::empty(id, membership);
-    // A disk that was closed already belongs to a process that ends.
+    // The wait fails only if the disk is already closed, which means that the process is exiting.
     let _ = disk.save_replica(Some(replica.state().clone())).await;
     replica
 }
 
-/// The membership with which the whole system starts: the disks of the seeds, of which all processes know.
+/// Returns the membership with which the whole system starts: the disks of the seeds, which all processes
+/// have in their settings.
 fn initial_membership(settings: &Settings) -> Membership {
     let member = |seed: &String| {
         let (host, _) = seed.rsplit_once(':')?;
@@ -42,6 +44,7 @@
     Membership::new(1, settings.seeds.iter().filter_map(member).collect())
 }
 
+/// Returns the identifier of a seed's disk at the first start of the whole system.
 fn initial_disk_id(seed: &str) -> DiskId {
     format!("first:{seed}").into()
 }
--- a/crates/node/src/program/graceful_shutdown.rs
+++ b/crates/node/src/program/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process that was told to end.
+//! Graceful shutdown of a process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,14 +8,15 @@
 use crate::agent::Agent;
 use crate::front::ClientConnections;
 
-/// Time in which clients are sent elsewhere before the last connections are asked to end: whoever asks for readiness does so
-/// each second and goes by two answers.
+/// Time for which the process reports that it is not ready before it closes client connections. Load
+/// balancers poll the readiness every second and act on two consecutive answers.
 const CLIENT_CLOSE_DELAY: Duration = Duration::from_millis(2500);
-/// What is kept of the grace time, for the end itself.
+/// Part of the grace period that is reserved for the exit itself.
 const RESERVED_GRACE: Duration = Duration::from_millis(700);
 
-/// The steps to the end: first the process is not ready any more, then clients are sent elsewhere, and it ends once the last
-/// one has its answer and its disk has left the membership, or is not missed there.
+/// State of a graceful shutdown. First the process reports that it is not ready, then it closes client
+/// connections after their current response. It exits once all connections are closed and its disk has left
+/// the membership, or is not needed there, or at the latest shortly before the grace period ends.
 #[derive(Debug, Default)]
 pub struct GracefulShutdown {
     began_at: Option<Instant>,
@@ -23,12 +24,12 @@
 }
 
 impl GracefulShutdown {
-    /// The process was told to end.
+    /// Starts the shutdown; further calls have no effect.
     pub fn begin(&mut self) {
         self.began_at.get_or_insert_with(Instant::now);
     }
 
-    /// Goes on with it. Whether the process is to end now.
+    /// Performs the next steps of the shutdown that are due. Returns whether the process must exit now.
     pub fn advance(&mut self, agent: &Rc<Agent>, clients: &ClientConnections) -> bool {
         let Some(began_at) = self.began_at else { return false };
         agent.shut_down();
--- a/crates/node/src/program/listeners.rs
+++ b/crates/node/src/program/listeners.rs
@@ -8,10 +8,10 @@
 use super::StartError;
 use crate::settings::Settings;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Listens on an address.
+/// Opens a listener on an address.
 pub(super) fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
     try_bind(address).map_err(|reason| StartError::Listen { address, reason })
 }
@@ -23,7 +23,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Listens on the first of the internal ports that is free.
+/// Opens a listener on the first free internal port.
 pub(super) fn bind_internal(settings: &Settings) -> Result<TcpListener, StartError> {
     let mut last_error = StartError::NoInternalPort;
     for port in settings.internal_ports.iter() {
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! A role from its start to its end: this module only assembles the others.
+//! Startup and shutdown of a role. This module only assembles the others.
 
 mod first_start;
 mod graceful_shutdown;
@@ -33,30 +33,31 @@
 pub use process_log::logger;
 pub use start_error::StartError;
 
-/// How often counters are logged, and the settings file is read again: it may change without a signal.
+/// Interval at which the counters are logged and the settings file is read again, since it may change
+/// without a signal.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(10);
-/// Pause after a failed accept: descriptors may be free by then.
+/// Delay after a failed accept; file descriptors may have been freed by then.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Runs a role until the process is told to end.
+/// Runs a role until a signal has shut it down.
 ///
 /// # Errors
 ///
-/// Where it cannot start.
+/// If the role cannot start.
 pub fn run(role: Role, settings: Settings, file: &str, log: Logger) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = LocalSet::new().block_on(&runtime, serve(role, settings, Some(file), log));
-    // A disk that hangs must not hold up the end.
+    // A disk that hangs must not block the exit.
     runtime.shutdown_background();
     result
 }
 
-/// One process, from its listeners to its end. Has to run in a set of local tasks, with which all of its own end. `file` is
-/// the settings file, if it may be read again.
+/// Runs a role until a signal has shut it down. Must run in a [`LocalSet`], which ends all tasks of the
+/// role when it is dropped. `file` is the settings file to read again while the role runs, if any.
 ///
 /// # Errors
 ///
-/// Where it cannot start.
+/// If the role cannot start.
 pub async fn serve(
     role: Role, settings: Settings, file: Option<&str>, log: Logger,
 ) -> Result<(), StartError> {
@@ -74,7 +75,7 @@
     Ok(())
 }
 
-/// Reads the disk, if the process has one, and puts the agent together.
+/// Reads the disk, if the process has one, and creates the agent.
 async fn start_agent(
     role: Role, settings: &Settings, address: Address, log: &Logger,
 ) -> Result<Rc<Agent>, StartError> {
@@ -98,6 +99,7 @@
     Ok(agent)
 }
 
+/// Opens the disk, if the process has one, and returns the replica and the servers stored on it.
 async fn open_disk(
     settings: &Settings, log: &Logger,
 ) -> Result<(Option<LocalReplica>, Vec<Server>), StartError> {
@@ -112,7 +114,7 @@
     Ok((Some(LocalReplica { replica, disk }), servers))
 }
 
-/// This process, as others know it.
+/// Returns the entry of this process that is sent to other processes.
 #[must_use]
 pub fn own_node(settings: &Settings, incarnation: u64, address: Address, disk: Option<DiskId>) -> Node {
     Node {
@@ -128,6 +130,7 @@
     }
 }
 
+/// Accepts connections from other processes.
 async fn accept_peers(listener: TcpListener, agent: Rc<Agent>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -139,7 +142,7 @@
     }
 }
 
-/// Starts to listen for all that the settings name.
+/// Opens the listeners that are configured in the settings, and starts serving them.
 fn spawn_listeners(
     settings: &Settings, agent: &Rc<Agent>, clients: &Rc<ClientConnections>,
 ) -> Result<(), StartError> {
@@ -156,7 +159,7 @@
     Ok(())
 }
 
-/// What a process is told from outside, and the tick.
+/// Signals to the process, and the timer of the tick.
 struct ProcessEvents {
     ticks: Interval,
     terminate: Signal,
@@ -177,7 +180,7 @@
     }
 }
 
-/// Ticks until the process was told to end and has nothing left to do.
+/// Handles ticks and signals until a shutdown is complete.
 async fn run_until_shut_down(
     mut events: ProcessEvents, agent: &Rc<Agent>, clients: &ClientConnections, file: Option<&str>,
 ) {
@@ -201,7 +204,7 @@
     }
 }
 
-/// Reads the settings file again; one that cannot be used changes nothing.
+/// Reads the settings file again. The current settings are kept if it cannot be used.
 fn reload_settings(agent: &Rc<Agent>, file: Option<&str>) {
     match file.map(Settings::load) {
         Some(Ok(settings)) => agent.settings_reloaded(&settings),
--- a/crates/node/src/program/process_log.rs
+++ b/crates/node/src/program/process_log.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard error: `LEVEL words key=value`, with the seconds since the start as `t`, for the machine's clock may
-//! jump.
+//! Log lines on standard error, in the form `LEVEL message key=value`. The time `t` is in seconds since the
+//! start of the process, because the machine's clock may jump.
 
 use std::fmt::{self, Write as _};
 use std::io::Write as _;
@@ -7,7 +7,7 @@
 
 use slog::{Drain, FnValue, Key, Level, Logger, Never, OwnedKVList, Record, Serializer, o};
 
-/// Writes each record as one line.
+/// Drain that writes each record as one line.
 struct LineDrain;
 
 impl Drain for LineDrain {
@@ -16,7 +16,7 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
         let mut line = LogLine(format!("{} {}", record.level().as_short_str(), record.msg()));
-        // Writing into a text does not fail, and nobody is left to be told that standard error is closed.
+        // Writing to a string cannot fail, and a failure of standard error cannot be reported anywhere.
         let _ = slog::KV::serialize(&record.kv(), record, &mut line);
         let _ = slog::KV::serialize(values, record, &mut line);
         line.0.push('\n');
@@ -33,7 +33,7 @@
     }
 }
 
-/// A logger of all that is at this level or above.
+/// Creates a logger that writes records of this level or above.
 pub fn logger(level: Level) -> Logger {
     let started_at = Instant::now();
     let seconds = FnValue(move |_: &Record<'_>| format!("{:.3}", started_at.elapsed().as_secs_f64()));
--- a/crates/node/src/program/start_error.rs
+++ b/crates/node/src/program/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a role cannot start.
+//! Errors at the start of a role.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,39 +7,39 @@
 
 use crate::disk::OpenDiskError;
 
-/// Why a role cannot start.
+/// Reason why a role cannot start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// A control node has no disk.
-    #[display("a control node needs data-dir in its settings")]
+    /// The settings of a control node name no folder for its disk.
+    #[display("data-dir is missing in the settings; a control node needs it")]
     MissingDataDir,
     /// The disk cannot be opened.
     #[display("{dir}: {reason}")]
     #[from(skip)]
     Disk {
-        /// Its folder.
+        /// Folder of the disk.
         dir: String,
-        /// Why.
+        /// Reason why the disk cannot be opened.
         #[error(source)]
         reason: OpenDiskError,
     },
-    /// An address cannot be listened on.
-    #[display("{address} cannot be listened on: {reason}")]
+    /// A listener cannot be opened.
+    #[display("cannot listen on {address}: {reason}")]
     #[from(skip)]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         #[error(source)]
         reason: io::Error,
     },
-    /// The address of the machine is none.
-    #[display("{_0} is no address")]
+    /// The `ip` in the settings is not an IP address.
+    #[display("{_0} is not an address and a port")]
     #[from(skip)]
     InvalidAddress(#[error(not(source))] String),
     /// The first of the internal ports is above the last.
-    #[display("internal-ports names no port")]
+    #[display("internal-ports is empty: its first port is above its last")]
     NoInternalPort,
-    /// The system refuses what every process needs.
+    /// The operating system denies a resource that every process needs.
     Runtime(io::Error),
 }
