--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of `ashvane-node`.
+//! Command line of `ashvane-node`.
 
 use std::io::{self, Write as _};
 use std::process::ExitCode;
@@ -14,37 +14,37 @@
 
 const HELP: &str = "ashvane-node: a search front over sharded indexes
 
-    ashvane-node gateway     take clients' requests and gather their answers
-    ashvane-node control     keep the configuration, hear servers and operators
-    ashvane-node check FILE  ok, or all faults of a settings file or a configuration (.json)
-    ashvane-node get         the configuration that a majority of the disks holds
-    ashvane-node put FILE    send a configuration, checked here first
+    ashvane-node gateway     serve client requests by forwarding them to servers
+    ashvane-node control     store the configuration, serve the calls of servers and operators
+    ashvane-node check FILE  validate a settings file or a configuration (.json) and print all faults
+    ashvane-node get         print the configuration that a quorum has chosen
+    ashvane-node put FILE    validate a configuration and send it
     ashvane-node show [all|process|configuration|duties|disks|nodes|servers|allotments]
     ashvane-node version
 
-The settings file is named by ASHVANE_CONFIG or --settings. get, put and show call the control address that
---at names (or a gateway's readiness address, for show); it may be given several times: the next one is called
-where one does not answer.";
+The settings file is given by --settings or ASHVANE_CONFIG. get, put and show call the control address given
+by --at (for show also the readiness address of a gateway). If --at is given several times, the addresses are
+called in order until one answers.";
 
-/// The variable that names the settings file.
+/// Environment variable with the name of the settings file.
 const SETTINGS_VARIABLE: &str = "ASHVANE_CONFIG";
 
-/// Why a command has failed.
+/// Reason why a command failed.
 #[derive(Debug, Display, Error, From)]
 enum CommandError {
     Arguments(getopts::Fail),
-    #[display("{_0} is no level")]
+    #[display("{_0} is not a log level")]
     #[from(skip)]
     UnknownLevel(#[error(not(source))] String),
-    #[display("{_0} is no sub-command")]
+    #[display("{_0} is not a sub-command")]
     #[from(skip)]
     UnknownCommand(#[error(not(source))] String),
-    #[display("{_0} needs a file")]
+    #[display("{_0} needs a FILE argument")]
     #[from(skip)]
     MissingFile(#[error(not(source))] &'static str),
-    #[display("{SETTINGS_VARIABLE} names no settings file")]
+    #[display("no settings file: neither --settings nor {SETTINGS_VARIABLE} is given")]
     NoSettingsFile,
-    #[display("--at names no address")]
+    #[display("no address to call: --at is not given")]
     NoAddress,
     #[display("{file}: {reason}")]
     #[from(skip)]
@@ -107,9 +107,9 @@
     let mut options = Options::new();
     options.optopt("", "settings", "the settings file", "FILE");
     options.optopt("", "log", "critical, error, warning, info, debug or trace", "LEVEL");
-    options.optmulti("", "at", "an address to call", "ADDRESS");
-    options.optflag("", "json", "show as JSON");
-    options.optflag("h", "help", "these words");
+    options.optmulti("", "at", "an address to call; may be repeated", "ADDRESS");
+    options.optflag("", "json", "print JSON instead of tables");
+    options.optflag("h", "help", "print this help");
     options
 }
 
--- a/crates/node/src/operator_client.rs
+++ b/crates/node/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: reads and sends a configuration, and shows what a process knows.
+//! Client for operators: reads and writes the configuration, and shows the status report of a process.
 
 #[cfg(test)]
 mod tests;
@@ -21,29 +21,29 @@
 use crate::config::Config;
 use crate::document::Faults;
 
-/// Time for one call.
+/// Time limit for a call to one address.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// What is shown where no part is named.
+/// Name under which the whole status report is shown.
 const ALL_PARTS: &str = "all";
 
-/// Why one address gave no answer that counts.
+/// Reason why a call to one address failed.
 #[derive(Debug, Display, Error, From)]
 pub enum CallFailure {
-    /// No connection came up.
+    /// The connection cannot be established.
     Connect(io::Error),
-    /// The request could not be formed.
+    /// The request cannot be constructed.
     Request(http::Error),
-    /// The connection broke, or its bytes were no HTTP.
+    /// The connection was lost, or the response is not valid HTTP.
     Http(hyper::Error),
-    /// No answer in time.
+    /// No response arrived in time.
     #[display("no answer within {CALL_TIMEOUT:?}")]
     TimedOut,
-    /// The process says that it cannot answer now.
+    /// The process responded with a server error.
     #[from(skip)]
     Status(#[error(not(source))] StatusCode),
 }
 
-/// An address, and why it gave no answer that counts.
+/// Failed call to one address.
 #[derive(Debug, Display, Error)]
 #[display("{address}: {failure}")]
 pub struct FailedCall {
@@ -52,30 +52,30 @@
     failure: CallFailure,
 }
 
-/// Why an operator's call has no result.
+/// Reason why a command of an operator failed.
 #[derive(Debug, Error, From)]
 pub enum ClientError {
-    /// The runtime of the client cannot be started. Nothing was called.
+    /// The runtime of the client cannot be started. No call was made.
     Runtime(io::Error),
-    /// No address answered. What was called for may have taken effect.
+    /// The calls to all addresses failed. The requested operation may still have taken effect.
     #[from(skip)]
     NoAnswer(#[error(not(source))] Vec<FailedCall>),
-    /// The configuration is none that could be used. Nothing was called.
+    /// The configuration is not valid. No call was made.
     Invalid(Faults),
-    /// The process has rejected the call. Nothing has changed.
+    /// The process rejected the call. Nothing has changed.
     #[from(skip)]
     Rejected(#[error(not(source))] Vec<String>),
-    /// The process has no state to show.
+    /// The process responded to the request for its status report with an error.
     #[from(skip)]
     NoState(#[error(not(source))] StatusCode),
-    /// The answer is no JSON.
+    /// The response is not JSON.
     UnreadableAnswer(serde_json::Error),
-    /// The state has no such part.
+    /// The status report has no part of this name.
     #[from(skip)]
     UnknownPart {
-        /// The part that was named.
+        /// Requested part.
         part: String,
-        /// The parts that there are.
+        /// Parts of the status report.
         known: Vec<String>,
     },
 }
@@ -97,12 +97,12 @@
     }
 }
 
-/// How the state is shown.
+/// Output format of the status report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// As tables, for people.
+    /// Tables, for people.
     Tables,
-    /// As JSON, for programs.
+    /// JSON, for programs.
     Json,
 }
 
@@ -112,6 +112,7 @@
 }
 
 impl Answer {
+    /// Returns the faults listed in the body.
     fn faults(&self) -> Vec<String> {
         let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let faults = value["faults"].as_array().map(Vec::as_slice).unwrap_or_default();
@@ -119,11 +120,11 @@
     }
 }
 
-/// The configuration that is chosen.
+/// Returns the chosen configuration.
 ///
 /// # Errors
 ///
-/// Where no address answers, or there is none yet.
+/// If the calls to all addresses fail, or no configuration has been chosen yet.
 pub fn get(addresses: &[String]) -> Result<String, ClientError> {
     let answer = call_first_responding(addresses, &Method::GET, "/api/configuration", &Bytes::new())?;
     if !answer.status.is_success() {
@@ -132,11 +133,12 @@
     Ok(String::from_utf8_lossy(&answer.body).into_owned())
 }
 
-/// Sends a configuration, checked here first.
+/// Validates a configuration, sends it, and returns a message with the result.
 ///
 /// # Errors
 ///
-/// Where it is invalid or rejected, or no address answers; then it may be in force all the same.
+/// If the configuration is not valid or is rejected, or if the calls to all addresses fail. In the last
+/// case it may still be in force.
 pub fn put(addresses: &[String], text: Vec<u8>) -> Result<String, ClientError> {
     let config = Config::parse(&text)?;
     let answer = call_first_responding(addresses, &Method::PUT, "/api/configuration", &text.into())?;
@@ -152,11 +154,11 @@
     })
 }
 
-/// What a process knows: all of it, or the part that is named.
+/// Returns the status report of a process, or one part of it.
 ///
 /// # Errors
 ///
-/// Where no address answers, or there is no such part.
+/// If the calls to all addresses fail, or there is no part of this name.
 pub fn show(addresses: &[String], part: &str, format: Format) -> Result<String, ClientError> {
     let answer = call_first_responding(addresses, &Method::GET, "/api/state", &Bytes::new())?;
     if !answer.status.is_success() {
@@ -175,7 +177,7 @@
     })
 }
 
-/// Calls each address in turn until one answers for good.
+/// Calls the addresses in order until one responds without a server error.
 fn call_first_responding(
     addresses: &[String], method: &Method, path: &str, body: &Bytes,
 ) -> Result<Answer, ClientError> {
@@ -190,6 +192,7 @@
     Err(ClientError::NoAnswer(failed))
 }
 
+/// Calls one address. A time-out or a server error is a failure.
 fn call_with_timeout(
     runtime: &Runtime, address: &str, method: &Method, path: &str, body: &Bytes,
 ) -> Result<Answer, CallFailure> {
@@ -203,7 +206,7 @@
 async fn call(address: &str, method: Method, path: &str, body: Bytes) -> Result<Answer, CallFailure> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
-    // It ends with the runtime.
+    // The connection task ends with the runtime.
     tokio::spawn(connection);
     let request =
         Request::builder().method(method).uri(path).header(header::HOST, address).body(Full::new(body))?;
@@ -227,7 +230,8 @@
     }
 }
 
-/// A table of objects that are alike, its columns as wide as needed.
+/// Formats objects as a table. The columns are the keys of the first object, each as wide as its longest
+/// cell.
 fn format_table(rows: &[Value]) -> String {
     let Some(first) = rows.first().and_then(Value::as_object) else { return "none\n".to_owned() };
     let columns: Vec<&String> = first.keys().collect();
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what a process is told about its machine. The names of keys are those of the users' pages.
+//! Settings file of a process. The keys are those of the user documentation.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,116 +9,116 @@
 
 use crate::document::{Faults, Field};
 
-/// Times in settings are bounded by this, in seconds.
+/// Longest time in the settings. Longer ones are reduced to it.
 const MAX_SECONDS: f64 = 600.0;
-/// The shortest window of the retry budget, in seconds.
+/// Shortest window of the retry budget. Shorter ones are increased to it.
 const MIN_WINDOW_SECONDS: f64 = 0.1;
 
-/// Why a settings file cannot be used.
+/// Reason why a settings file cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[display("{file}: {reason}")]
     Unreadable {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         #[error(source)]
         reason: std::io::Error,
     },
-    /// It is no TOML.
+    /// The file is not valid TOML.
     #[display("{file}: {}", reason.to_string().replace('\n', " "))]
     Syntax {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Where and why.
+        /// Error of the parser, with its position.
         #[error(source)]
         reason: toml::de::Error,
     },
-    /// Keys are missing or wrong.
+    /// Keys are missing or invalid.
     #[display("{file}: {faults}")]
     Faulty {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// All of them.
+        /// All missing or invalid keys.
         #[error(source)]
         faults: Faults,
     },
 }
 
-/// The ports for messages between processes: a process takes the first that is free.
+/// Range of ports for connections between processes. A process listens on the first free one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first port.
+    /// First port.
     pub first: u16,
-    /// The last port.
+    /// Last port, inclusive.
     pub last: u16,
 }
 
 impl PortRange {
-    /// All ports, in their order.
+    /// Iterates over the ports in ascending order.
     #[must_use]
     pub fn iter(self) -> RangeInclusive<u16> {
         self.first..=self.last
     }
 }
 
-/// Where a process listens, each where it does.
+/// Addresses on which a process listens. `None` disables a listener.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For clients' requests.
+    /// Address for client requests.
     pub gateway: Option<SocketAddr>,
-    /// For questions whether it is ready.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// For the calls of servers and operators.
+    /// Address for the calls of servers and operators.
     pub control: Option<SocketAddr>,
 }
 
-/// The budget for retries over all gateways, in each window.
+/// Budget for the retries of all gateways together within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Retries beyond the ratio.
+    /// Retries allowed in addition to the ratio.
     pub slack: f64,
 }
 
-/// The settings of one process.
+/// Settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The name of the process.
+    /// Name of the process.
     pub node: String,
-    /// The address of its machine.
+    /// IP address of the machine.
     pub ip: String,
-    /// The zone of its machine.
+    /// Zone of the machine.
     pub zone: String,
-    /// All zones.
+    /// Zones of the system.
     pub zones: Vec<String>,
-    /// The ports for messages between processes.
+    /// Ports for connections between processes.
     pub internal_ports: PortRange,
-    /// Machines to begin with, `host:port` of their control calls.
+    /// Machines that a starting process connects to first, as `host:port` of their control addresses.
     pub seeds: Vec<String>,
     /// Whether this is the first start of the whole system.
     pub is_first_start: bool,
-    /// The folder of the disk, if the process has one.
+    /// Folder of the disk, if the process has one.
     pub data_dir: Option<String>,
-    /// How often servers send heartbeats.
+    /// Interval at which servers send heartbeats.
     pub heartbeat_interval: Duration,
-    /// Where it listens.
+    /// Addresses on which the process listens.
     pub listen: ListenAddresses,
-    /// How many descriptors it may have.
+    /// Maximum number of open file descriptors.
     pub max_fds: usize,
-    /// How much memory it may take, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// How many machines may fail at once.
+    /// Number of machines that may fail at the same time.
     pub max_failures: usize,
-    /// The next failure may come this long after a lost machine is back.
+    /// Time after the recovery of a failed machine during which no further failure has to be tolerated.
     pub catch_up: Duration,
-    /// Time between being told to end and being ended by force.
+    /// Grace period: time between the signal to terminate and the forced end of the process.
     pub grace: Duration,
-    /// The budget for retries.
+    /// Budget for retries.
     pub retry_budget: RetryBudgetSettings,
 }
 
@@ -127,18 +127,18 @@
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read or used; all its faults at once.
+    /// If the file cannot be read or is not valid: all of its faults.
     pub fn load(file: &str) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|reason| SettingsError::Unreadable { file: file.to_owned(), reason })?;
         Settings::parse(&text, file)
     }
 
-    /// Reads the text of a settings file; `file` names it in errors.
+    /// Parses the text of a settings file. `file` is the file name for error messages.
     ///
     /// # Errors
     ///
-    /// Where the text cannot be used; all its faults at once.
+    /// If the text is not valid: all of its faults.
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
         let document: Value =
             toml::from_str(text).map_err(|reason| SettingsError::Syntax { file: file.to_owned(), reason })?;
@@ -147,7 +147,7 @@
         root.finish(settings).map_err(|faults| SettingsError::Faulty { file: file.to_owned(), faults })
     }
 
-    /// Fields are read in this order, which is that of the faults.
+    /// Reads all fields. Faults are reported in the order in which the fields are read.
     fn read(root: &Field<'_>) -> Settings {
         let ports = root.get("internal-ports").items();
         if ports.len() != 2 {
