--- a/crates/node/src/agent/log.rs
+++ b/crates/node/src/agent/log.rs
@@ -13,7 +13,8 @@
         match event {
             LogEvent::ConfigInForce { version } => info!(log, "configuration in force"; "version" => version),
             LogEvent::ConfigUnusable { version, reason: UnusableConfig::Compression(_) } => {
-                warn!(log, "chosen configuration cannot be decompressed; keeping the one in force"; "version" => version);
+                warn!(log, "chosen configuration cannot be decompressed; keeping the one in force";
+                    "version" => version);
             }
             LogEvent::ConfigUnusable { version, reason: UnusableConfig::Content(faults) } => {
                 warn!(log, "chosen configuration is not valid for this release; keeping the one in force";
--- a/crates/node/src/disk/store.rs
+++ b/crates/node/src/disk/store.rs
@@ -38,7 +38,7 @@
 pub enum StoreError {
     /// The disk cannot be read or written at present. The content of the store may be intact.
     #[display("the disk cannot be read or written at present: {reason}")]
-    Refused {
+    Unavailable {
         /// Error of the operating system.
         reason: io::Error,
     },
@@ -64,7 +64,7 @@
             reason.kind(),
             io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput
         );
-        if is_corrupt { StoreError::corrupt(&reason.to_string()) } else { StoreError::Refused { reason } }
+        if is_corrupt { StoreError::corrupt(&reason.to_string()) } else { StoreError::Unavailable { reason } }
     }
 }
 
--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -65,7 +65,7 @@
                 Some(state) => return Ok(Some(state)),
                 None => UnreadableStore::Checksum,
             },
-            Err(StoreError::Refused { .. }) => {
+            Err(StoreError::Unavailable { .. }) => {
                 store.drop_handle();
                 medium.wait_before_retry();
                 continue;
--- a/crates/node/src/links/connection.rs
+++ b/crates/node/src/links/connection.rs
@@ -21,7 +21,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest line that is read: larger than any configuration.
 const MAX_LINE_BYTES: usize = 8 << 20;
-/// Messages queued for a peer. If the queue is full because the peer does not read, the connection is closed.
+/// Largest number of messages queued for a peer. A full queue means that the peer does not read; the
+/// connection is then closed.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 /// Size of the read buffer. Most lines are digests of less than 100 bytes.
 const READ_BUFFER_BYTES: usize = 4096;
@@ -109,7 +110,7 @@
     ConnectionEnd::Unlinked
 }
 
-/// Sends the own `Hello` and waits for that of the peer. Returns `None` if the handshake fails.
+/// Sends `Hello` and waits for that of the peer. Returns `None` if the handshake fails.
 async fn handshake<H: ConnectionHandler>(
     reader: &mut BufReader<impl AsyncRead + Unpin>, write: &mut (impl AsyncWrite + Unpin), handler: &H,
 ) -> Option<Node> {
--- a/crates/node/src/links/transport.rs
+++ b/crates/node/src/links/transport.rs
@@ -21,7 +21,7 @@
     fn connect(&self, address: Address) -> Connecting;
 }
 
-/// TCP connections between the machines of the system.
+/// Transport over TCP.
 pub struct TcpTransport;
 
 impl Transport for TcpTransport {
