--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/program/mod.rs
@@ -209,7 +209,8 @@
     match file.map(Settings::load) {
         Some(Ok(settings)) => agent.settings_reloaded(&settings),
         Some(Err(reason)) => {
-            warn!(agent.log, "settings file cannot be used; keeping the current settings"; "why" => reason.to_string());
+            warn!(agent.log, "settings file cannot be used; keeping the current settings";
+                "why" => reason.to_string());
         }
         None => {}
     }
