--- a/crates/node/src/disk/writer.rs
+++ b/crates/node/src/disk/writer.rs
@@ -1,11 +1,11 @@
-//! The thread that writes a disk.
+//! Thread that writes the state of a process to disk.
 
 use std::sync::Arc;
 
 use super::store::{Store, StoreError};
 use super::{DiskQueue, Medium, RecoveredState, StoredState, UnreadableStore};
 
-/// Writes the state into two stores in turn.
+/// Writer of the state into two stores in turn.
 pub(super) struct DiskWriter {
     stores: [Store; 2],
     medium: Arc<dyn Medium>,
@@ -17,11 +17,11 @@
         DiskWriter { stores, medium, state: StoredState::default() }
     }
 
-    /// Reads both stores, and goes on from the newer one.
+    /// Reads both stores and continues with the newer state.
     pub(super) fn recover(&mut self) -> RecoveredState {
         let mut unreadable = Vec::new();
         for store in &mut self.stores {
-            match read_or_renew(store, &*self.medium) {
+            match read_or_clear(store, &*self.medium) {
                 Ok(Some(state)) if state.sequence >= self.state.sequence => self.state = state,
                 Ok(_) => {}
                 Err(reason) => unreadable.push(reason),
@@ -30,7 +30,7 @@
         RecoveredState { unreadable, ..self.state.recovered() }
     }
 
-    /// Writes what comes, until the queue is closed.
+    /// Writes queued state until the queue is closed.
     pub(super) fn run(mut self, queue: &DiskQueue) {
         while let Some(mut pending) = queue.wait() {
             if pending.apply_to(&mut self.state) {
@@ -40,22 +40,24 @@
         }
     }
 
-    /// Writes the state into the store whose turn it is, for as long as that takes. The other store holds what is safe so
-    /// far: this one is made anew, lest what fills it keep it from being written, until it holds the new state.
+    /// Writes the state into the store whose turn it is, and retries until this succeeds. After a failure
+    /// the store is cleared, because its old content may be what fills the disk; the other store still
+    /// holds the last synced state.
     fn write(&mut self) {
         let store = &mut self.stores[(self.state.sequence % 2) as usize];
         let encoded = self.state.encode();
         while store.write(&encoded).is_err() {
-            // Where that fails too, the next write says so.
-            let _ = store.renew();
-            self.medium.pause();
+            // If clearing the store also fails, the next write fails and is retried.
+            let _ = store.clear();
+            self.medium.wait_before_retry();
         }
     }
 }
 
-/// What a store holds at start, or why it cannot be used; then it begins anew, empty. A disk that refuses is waited for:
-/// sled writes as it opens, and a store that is intact must not be given up because the disk is full.
-fn read_or_renew(store: &mut Store, medium: &dyn Medium) -> Result<Option<StoredState>, UnreadableStore> {
+/// Returns the state in a store at start, or the reason why it cannot be used, after clearing the store.
+/// Temporary failures of the disk are retried: sled writes while it opens a store, and an intact store must
+/// not be discarded because the disk is full.
+fn read_or_clear(store: &mut Store, medium: &dyn Medium) -> Result<Option<StoredState>, UnreadableStore> {
     loop {
         let reason = match store.read() {
             Ok(None) => return Ok(None),
@@ -63,15 +65,15 @@
                 Some(state) => return Ok(Some(state)),
                 None => UnreadableStore::Checksum,
             },
-            Err(StoreError::Refused { .. }) => {
+            Err(StoreError::Unavailable { .. }) => {
                 store.drop_handle();
-                medium.pause();
+                medium.wait_before_retry();
                 continue;
             }
             Err(reason) => reason.into(),
         };
-        while store.renew().is_err() {
-            medium.pause();
+        while store.clear().is_err() {
+            medium.wait_before_retry();
         }
         return Err(reason);
     }
--- a/crates/node/tests/disk.rs
+++ b/crates/node/tests/disk.rs
@@ -197,7 +197,7 @@
 }
 
 impl Medium for CountingMedium {
-    fn admits(&self, _store: &Path, bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, bytes: u64) -> io::Result<()> {
         self.written_bytes.fetch_add(bytes, Ordering::Relaxed);
         Ok(())
     }
@@ -260,7 +260,7 @@
 }
 
 impl Medium for PowerLossMedium {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
         Ok(())
     }
 
@@ -334,7 +334,7 @@
 }
 
 impl Medium for FillableMedium {
-    fn admits(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
+    fn check_write(&self, _store: &Path, _bytes: u64) -> io::Result<()> {
         if self.is_full.load(Ordering::SeqCst) { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
@@ -342,7 +342,7 @@
         Ok(())
     }
 
-    fn pause(&self) {
+    fn wait_before_retry(&self) {
         self.rejections.fetch_add(1, Ordering::SeqCst);
         std::thread::yield_now();
     }
