--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -37,7 +37,7 @@
 }
 
 /// Reads one message; none where the connection ends before it is whole.
-pub(crate) async fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
+pub(crate) async fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -73,9 +73,11 @@
 
 /// A whole answer.
 pub(crate) fn build_response(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    let id = request.header("attempt-id");
-    let head =
-        format!("HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
+    let attempt_id = request.header("attempt-id");
+    let head = format!(
+        "HTTP/1.1 {status}\r\nAttempt-Id: {attempt_id}\r\nContent-Length: {}\r\n{headers}\r\n",
+        body.len()
+    );
     [head.as_bytes(), body].concat()
 }
 
@@ -87,15 +89,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let requests: Rc<RefCell<Vec<Message>>> = Rc::default();
-    let (seen, script) = (requests.clone(), Rc::new(RefCell::new(script)));
+    let (recorded, script) = (requests.clone(), Rc::new(RefCell::new(script)));
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (seen, script) = (seen.clone(), script.clone());
+            let (recorded, script) = (recorded.clone(), script.clone());
             spawn_local(async move {
                 let mut stream = BufReader::new(stream);
-                while let Some(request) = read(&mut stream).await {
+                while let Some(request) = read_message(&mut stream).await {
                     let (bytes, close) = script.borrow_mut()(&request);
-                    seen.borrow_mut().push(request);
+                    recorded.borrow_mut().push(request);
                     if stream.write_all(&bytes).await.is_err() || close {
                         return;
                     }
@@ -113,7 +115,7 @@
 }
 
 /// An address of its own for each system, so that none takes another's ports.
-fn own_address() -> String {
+fn unique_ip() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     format!("127.{}.{}.1", 1 + std::process::id() % 250, NEXT.fetch_add(1, Ordering::Relaxed))
 }
@@ -122,7 +124,7 @@
 pub(crate) async fn send_request(to: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = BufReader::new(TcpStream::connect(to).await.ok()?);
     stream.write_all(request.as_bytes()).await.ok()?;
-    read(&mut stream).await
+    read_message(&mut stream).await
 }
 
 pub(crate) fn put_request(path: &str, body: &str) -> String {
@@ -132,22 +134,24 @@
 impl TestSystem {
     /// A system of one machine, which starts on an empty disk.
     pub(crate) fn start(name: &str) -> TestSystem {
-        TestSystem::place(name, Role::Control, None)
+        TestSystem::start_with_role(name, Role::Control, None)
     }
 
     /// A gateway that takes control calls too, beside the control_node of another one.
-    pub(crate) fn start_gateway(name: &str, beside: &TestSystem) -> TestSystem {
-        TestSystem::place(name, Role::Gateway, Some(beside.control))
+    pub(crate) fn start_gateway(name: &str, control_node: &TestSystem) -> TestSystem {
+        TestSystem::start_with_role(name, Role::Gateway, Some(control_node.control))
     }
 
-    fn place(name: &str, role: Role, beside: Option<SocketAddr>) -> TestSystem {
-        let dir = format!("{}/{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-        let _ = std::fs::remove_dir_all(&dir);
-        let ip = own_address();
-        let at = |port: u16| -> SocketAddr { format!("{ip}:{port}").parse().expect("an address") };
-        let (front, readiness, control, port) = (at(8043), at(8041), at(8047), 7080);
-        let seed = beside.unwrap_or(control);
-        let disk = if beside.is_none() { format!("data-dir = {dir:?}") } else { String::new() };
+    fn start_with_role(name: &str, role: Role, control_address: Option<SocketAddr>) -> TestSystem {
+        let data_dir = format!("{}/{name}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+        let _ = std::fs::remove_dir_all(&data_dir);
+        let ip = unique_ip();
+        let socket_address =
+            |port: u16| -> SocketAddr { format!("{ip}:{port}").parse().expect("an address") };
+        let (front, readiness, control, port) =
+            (socket_address(8043), socket_address(8041), socket_address(8047), 7080);
+        let seed = control_address.unwrap_or(control);
+        let disk = if control_address.is_none() { format!("data-dir = {data_dir:?}") } else { String::new() };
         let text = format!(
             r#"
 node = "{name}"
@@ -178,10 +182,10 @@
     pub(crate) async fn wait_for_status(&self, to: SocketAddr, request: &str, status: u16) -> Message {
         let began = Instant::now();
         while began.elapsed() < CONDITION_TIMEOUT {
-            if let Some(answer) = send_request(to, request).await
-                && answer.status() == status
+            if let Some(response) = send_request(to, request).await
+                && response.status() == status
             {
-                return answer;
+                return response;
             }
             yield_now().await;
         }
--- a/crates/node/tests/days/drawn.rs
+++ b/crates/node/tests/days/drawn.rs
@@ -6,90 +6,90 @@
 impl World {
     /// One trouble of the core, or of the others beside it.
     #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let control_nodes = self.simulation.control_nodes();
         let control_node = control_nodes[self.rng.usize(..control_nodes.len())].clone();
         let (all, gateways) = (self.simulation.all_machines(), self.gateways());
-        let lasts = self.rng.u64(200..4000);
-        let what = self.rng.usize(..14);
-        log_line(&format!("TROUBLE {what} at {} for {lasts} ms", control_node.name));
-        if what < 11 {
-            self.settled = None;
+        let duration_ms = self.rng.u64(200..4000);
+        let kind = self.rng.usize(..14);
+        log_line(&format!("TROUBLE {kind} at {} for {duration_ms} ms", control_node.name));
+        if kind < 11 {
+            self.settled_since = None;
         }
-        match what {
-            0 => self.down(&control_node, lasts),
+        match kind {
+            0 => self.stop_for(&control_node, duration_ms),
             // Its disk is wiped with it.
             1 => {
                 control_node.wipe();
-                self.down(&control_node, lasts);
+                self.stop_for(&control_node, duration_ms);
             }
-            2 => self.replace(&control_node, lasts),
-            3 => self.freeze(&control_node, lasts),
+            2 => self.replace(&control_node, duration_ms),
+            3 => self.freeze_for(&control_node, duration_ms),
             4 => match self.rng.usize(..3) {
-                0 => self.cut(Direction::Inbound, vec![control_node], lasts),
+                0 => self.partition_for(Direction::Inbound, vec![control_node], duration_ms),
                 1 => {
                     self.simulation.network.break_connections(&control_node.ip);
                     control_node.healthy_since.set(None);
-                    self.after(lasts, Heal::Join(None, vec![control_node]));
+                    self.schedule_recovery(duration_ms, Recovery::Reconnect(None, vec![control_node]));
                 }
-                _ => self.cut(Direction::Both, vec![control_node], lasts),
+                _ => self.partition_for(Direction::Both, vec![control_node], duration_ms),
             },
             // Two of the core and half of the others: the smaller side must not decide.
             5 => {
-                let far = control_nodes[..2].iter().chain(&gateways[..3]);
-                self.cut(Direction::Both, far.cloned().collect(), lasts);
+                let machines = control_nodes[..2].iter().chain(&gateways[..3]);
+                self.partition_for(Direction::Both, machines.cloned().collect(), duration_ms);
             }
-            6 => self.stall(&control_node, lasts),
+            6 => self.stall_disk_for(&control_node, duration_ms),
             // All at once: the core's processes, or the whole system.
             7 => {
-                let struck = if self.rng.bool() { control_nodes } else { all };
-                let back = self.rng.u64(100..900);
-                struck.iter().for_each(|m| self.down(m, back));
+                let restarted = if self.rng.bool() { control_nodes } else { all };
+                let downtime_ms = self.rng.u64(100..900);
+                restarted.iter().for_each(|m| self.stop_for(m, downtime_ms));
             }
             // As many disks as may be lost, while all others lose power.
             8 => {
-                let back = self.rng.u64(100..900);
+                let downtime_ms = self.rng.u64(100..900);
                 let mut wiped = control_nodes.clone();
                 self.rng.shuffle(&mut wiped);
-                wiped.iter().take(self.losses).for_each(|m| m.wipe());
-                all.iter().for_each(|m| self.down(m, back));
+                wiped.iter().take(self.max_failures).for_each(|m| m.wipe());
+                all.iter().for_each(|m| self.stop_for(m, downtime_ms));
             }
-            9 => self.callers.strike.set(Some(self.rng.bool())),
+            9 => self.callers.crash_on_acknowledgement.set(Some(self.rng.bool())),
             // As many as may be lost, not quite at once, each in its own way.
             10 => {
-                let mut lost = control_nodes.clone();
-                self.rng.shuffle(&mut lost);
-                for machine in lost.iter().take(self.losses) {
-                    let lasts = self.rng.u64(200..4000);
+                let mut failed = control_nodes.clone();
+                self.rng.shuffle(&mut failed);
+                for machine in failed.iter().take(self.max_failures) {
+                    let duration_ms = self.rng.u64(200..4000);
                     if self.rng.bool() {
                         machine.wipe();
                     }
-                    self.down(machine, lasts);
+                    self.stop_for(machine, duration_ms);
                 }
             }
             _ => {
                 let gateway = gateways[self.rng.usize(..gateways.len())].clone();
                 match self.rng.usize(..3) {
-                    0 => self.down(&gateway, lasts),
-                    1 => self.freeze(&gateway, lasts),
-                    _ => self.cut(Direction::Both, vec![gateway], lasts),
+                    0 => self.stop_for(&gateway, duration_ms),
+                    1 => self.freeze_for(&gateway, duration_ms),
+                    _ => self.partition_for(Direction::Both, vec![gateway], duration_ms),
                 }
             }
         }
     }
 
-    fn operate(&mut self) {
+    fn act_as_operator(&mut self) {
         self.version += self.rng.u64(1..4);
         match self.rng.usize(..8) {
-            0 => self.put_invalid(),
+            0 => self.submit_invalid(),
             // Two operators at once, in either order.
             1 | 2 => {
-                self.put(self.version + 1);
-                self.put(self.version);
+                self.submit_version(self.version + 1);
+                self.submit_version(self.version);
                 self.version += 1;
             }
-            3..6 => self.put(self.version),
-            _ => self.server(),
+            3..6 => self.submit_version(self.version),
+            _ => self.run_server(),
         }
     }
 }
@@ -98,32 +98,33 @@
     let mut world = World::new(seed, false);
     sleep(ms(2000)).await;
     world.version = 1;
-    world.put(1);
-    let (mut trouble, mut operate) = (Instant::now() + ms(4000), Instant::now() + ms(2000));
+    world.submit_version(1);
+    let (mut next_fault, mut next_operator_action) = (Instant::now() + ms(4000), Instant::now() + ms(2000));
     let end = Instant::now() + Duration::from_secs(60);
-    while Instant::now() < end + CALM {
-        sleep(STEP).await;
-        world.fall_after_an_acknowledgement();
-        world.heal();
-        if world.heals.is_empty() && world.settled.is_none() {
-            world.settled = Some(Instant::now());
+    while Instant::now() < end + RECOVERY_TIME {
+        sleep(CHECK_INTERVAL).await;
+        world.recover_crashed_machines();
+        world.run_due_recoveries();
+        if world.recoveries.is_empty() && world.settled_since.is_none() {
+            world.settled_since = Some(Instant::now());
         }
-        world.check();
+        world.check_invariants();
         let now = Instant::now();
         if now > end {
             continue;
         }
-        if now >= operate {
-            operate = now + ms(world.rng.u64(200..2500));
-            world.operate();
+        if now >= next_operator_action {
+            next_operator_action = now + ms(world.rng.u64(200..2500));
+            world.act_as_operator();
         }
         // One loss is to be borne at once: the next comes when the last one has caught up.
-        let calm = world.settled.is_some_and(|at| at.elapsed() > CATCH_UP);
-        let quiet = world.heals.is_empty() && world.callers.strike.get().is_none();
-        if now >= trouble && quiet && calm && now + ms(8000) < end {
-            trouble = now + ms(world.rng.u64(0..9000));
-            world.trouble();
+        let has_caught_up = world.settled_since.is_some_and(|at| at.elapsed() > MAX_CATCH_UP_TIME);
+        let no_fault_pending =
+            world.recoveries.is_empty() && world.callers.crash_on_acknowledgement.get().is_none();
+        if now >= next_fault && no_fault_pending && has_caught_up && now + ms(8000) < end {
+            next_fault = now + ms(world.rng.u64(0..9000));
+            world.inject_fault();
         }
     }
-    world.read_back().await;
+    world.check_final_state().await;
 }
--- a/crates/node/tests/days/history.rs
+++ b/crates/node/tests/days/history.rs
@@ -6,128 +6,135 @@
 
 /// One text of an operator's configuration: two orders under one version differ in their salt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Order {
+pub(super) struct Submission {
     pub version: u64,
     pub salt: u64,
 }
 
-impl Order {
+impl Submission {
     /// The order that a configuration in force stems from.
-    pub(super) fn of(config: &Config) -> Option<Order> {
+    pub(super) fn of(config: &Config) -> Option<Submission> {
         let salt = config.routes().next()?.name.strip_prefix('r')?.parse().ok()?;
-        Some(Order { version: config.version, salt })
+        Some(Submission { version: config.version, salt })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
+pub(super) enum Outcome {
     /// And this version holds.
     Acknowledged {
         held: u64,
     },
-    Refused,
-    Unclear,
+    Rejected,
+    Unknown,
 }
 
 /// All that was said of orders, to whomever, and all that was in force, wherever.
 #[derive(Default)]
 pub(super) struct History {
-    sent: BTreeSet<Order>,
-    acknowledged: BTreeSet<Order>,
-    refused: BTreeSet<Order>,
+    sent: BTreeSet<Submission>,
+    acknowledged: BTreeSet<Submission>,
+    rejected: BTreeSet<Submission>,
     /// The text of each version that was acknowledged as the one that holds, read or in force.
-    texts: BTreeMap<u64, u64>,
+    salts: BTreeMap<u64, u64>,
     /// The newest version that was acknowledged, read or in force.
     newest: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl History {
     /// Nothing that must not be has been seen so far.
     pub(super) fn check(&self) {
-        let first = self.broken.iter().take(2).cloned().collect::<Vec<_>>();
+        let first = self.violations.iter().take(2).cloned().collect::<Vec<_>>();
         assert!(first.is_empty(), "{}", first.join("; "));
     }
 
-    pub(super) fn fault(&mut self, what: String) {
-        self.broken.push(what);
+    pub(super) fn report_violation(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
-    pub(super) fn sent(&mut self, order: Order) {
-        self.sent.insert(order);
+    pub(super) fn record_sent(&mut self, submission: Submission) {
+        self.sent.insert(submission);
     }
 
-    pub(super) fn acknowledged(&self) -> impl Iterator<Item = Order> {
+    pub(super) fn acknowledged(&self) -> impl Iterator<Item = Submission> {
         self.acknowledged.iter().copied()
     }
 
-    pub(super) fn refused(&self) -> impl Iterator<Item = Order> {
-        self.refused.iter().copied()
+    pub(super) fn rejected(&self) -> impl Iterator<Item = Submission> {
+        self.rejected.iter().copied()
     }
 
     /// What a read that begins now must at least find.
-    pub(super) fn floor(&self) -> u64 {
+    pub(super) fn min_version(&self) -> u64 {
         self.newest
     }
 
     /// Some caller or process takes this for what stands under its number.
-    fn stands(&mut self, order: Order, whose: &str) {
-        let text = *self.texts.entry(order.version).or_insert(order.salt);
-        if text != order.salt {
-            self.fault(format!("{whose}: {order:?}, another was told {text} under this number"));
+    fn check_and_record(&mut self, submission: Submission, source: &str) {
+        let salt = *self.salts.entry(submission.version).or_insert(submission.salt);
+        if salt != submission.salt {
+            self.report_violation(format!(
+                "{source}: {submission:?}, another was told {salt} under this number"
+            ));
         }
         // Acknowledged below a higher version: either this is its version's text, or its version has none.
-        let same = Order { version: order.version, salt: 0 }..Order { version: order.version + 1, salt: 0 };
-        if let Some(other) = self.acknowledged.range(same).find(|other| **other != order) {
-            self.fault(format!("{whose}: {order:?}, though {other:?} was acknowledged"));
+        let same_version = Submission { version: submission.version, salt: 0 }..Submission {
+            version: submission.version + 1,
+            salt: 0,
+        };
+        if let Some(other) = self.acknowledged.range(same_version).find(|other| **other != submission) {
+            self.report_violation(format!("{source}: {submission:?}, though {other:?} was acknowledged"));
         }
-        if self.refused.contains(&order) {
-            self.fault(format!("{whose}: {order:?}, which was refused"));
+        if self.rejected.contains(&submission) {
+            self.report_violation(format!("{source}: {submission:?}, which was refused"));
         }
-        if !self.sent.contains(&order) {
-            self.fault(format!("{whose}: {order:?}, which nobody sent"));
+        if !self.sent.contains(&submission) {
+            self.report_violation(format!("{source}: {submission:?}, which nobody sent"));
         }
-        self.newest = self.newest.max(order.version);
+        self.newest = self.newest.max(submission.version);
     }
 
-    pub(super) fn answered(&mut self, order: Order, answer: Answer, by: &str) {
-        match answer {
-            Answer::Unclear => {}
-            Answer::Acknowledged { held } => {
+    pub(super) fn record_outcome(&mut self, submission: Submission, outcome: Outcome, by: &str) {
+        match outcome {
+            Outcome::Unknown => {}
+            Outcome::Acknowledged { held } => {
                 let by = format!("acknowledged by {by}");
-                self.acknowledged.insert(order);
+                self.acknowledged.insert(submission);
                 self.newest = self.newest.max(held);
-                match self.texts.get(&order.version) {
-                    Some(_) => self.stands(order, &by),
-                    None if held == order.version => self.stands(order, &by),
-                    None if self.refused.contains(&order) => {
-                        self.fault(format!("{by}: {order:?}, which was refused"));
+                match self.salts.get(&submission.version) {
+                    Some(_) => self.check_and_record(submission, &by),
+                    None if held == submission.version => self.check_and_record(submission, &by),
+                    None if self.rejected.contains(&submission) => {
+                        self.report_violation(format!("{by}: {submission:?}, which was refused"));
                     }
                     None => {}
                 }
             }
-            Answer::Refused => {
-                let stands = self.texts.get(&order.version) == Some(&order.salt);
-                if stands || self.acknowledged.contains(&order) {
-                    self.fault(format!("{by} refuses {order:?}, which was acknowledged, read or in force"));
+            Outcome::Rejected => {
+                let is_held = self.salts.get(&submission.version) == Some(&submission.salt);
+                if is_held || self.acknowledged.contains(&submission) {
+                    self.report_violation(format!(
+                        "{by} refuses {submission:?}, which was acknowledged, read or in force"
+                    ));
                 }
-                self.refused.insert(order);
+                self.rejected.insert(submission);
             }
         }
     }
 
     /// A read that began at this floor has found this; zero stands for nothing.
-    pub(super) fn read(&mut self, floor: u64, found: Option<Order>, by: &str) {
-        let version = found.map_or(0, |order| order.version);
-        if version < floor {
-            self.fault(format!("{by} answers {version} to a read that began after {floor}"));
+    pub(super) fn record_read(&mut self, min_version: u64, found: Option<Submission>, by: &str) {
+        let version = found.map_or(0, |submission| submission.version);
+        if version < min_version {
+            self.report_violation(format!("{by} answers {version} to a read that began after {min_version}"));
         }
-        if let Some(order) = found {
-            self.stands(order, &format!("read at {by}"));
+        if let Some(submission) = found {
+            self.check_and_record(submission, &format!("read at {by}"));
         }
     }
 
-    pub(super) fn in_force(&mut self, order: Order, at: &str) {
-        self.stands(order, &format!("in force at {at}"));
+    pub(super) fn record_in_force(&mut self, submission: Submission, at: &str) {
+        self.check_and_record(submission, &format!("in force at {at}"));
     }
 }
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -17,58 +17,65 @@
 use tokio::time::{Instant, sleep};
 
 use crate::simulation::{Direction, Machine, Simulation, configuration, log_line, ms};
-use history::{Answer, History, Order};
+use history::{History, Outcome, Submission};
 
 /// The users' bounds, as at the small sites.
-const CONTACT: Duration = ms(5000);
-const APPLY: Duration = ms(3000);
-const DRAIN: Duration = ms(3000);
-const ACK: Duration = ms(6000);
-const CATCH_UP: Duration = ms(4000);
+const MAX_CONTACT_TIME: Duration = ms(5000);
+const MAX_APPLY_TIME: Duration = ms(3000);
+const MAX_DRAIN_TIME: Duration = ms(3000);
+const MAX_ACKNOWLEDGEMENT_TIME: Duration = ms(6000);
+const MAX_CATCH_UP_TIME: Duration = ms(4000);
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = ms(1000);
-const STEP: Duration = ms(100);
+const CALL_TIMEOUT: Duration = ms(1000);
+const CHECK_INTERVAL: Duration = ms(100);
 /// What a day has after its last trouble.
-const CALM: Duration = ms(25_000);
+const RECOVERY_TIME: Duration = ms(25_000);
 /// How often a caller tries before it gives up, ...
-const TRIES: u64 = 40;
+const MAX_TRIES: u64 = 40;
 /// ... and how often an operator does on the worst days, when a majority may be out of reach for long: until it is taken.
-const TRIES_OF_WORST: u64 = 400;
+const MAX_TRIES_ON_WORST_DAYS: u64 = 400;
 /// Above all versions that are valid.
-const INVALID_FROM: u64 = 1_000_000;
+const MIN_INVALID_VERSION: u64 = 1_000_000;
 
 /// What callers were told, and when.
 #[derive(Default)]
-struct Told {
+struct Observations {
     history: History,
     /// Versions acknowledged, and when.
-    held: Vec<(u64, Instant)>,
+    acknowledged: Vec<(u64, Instant)>,
     /// Those that nobody has answered yet, and since when.
-    open: BTreeMap<Order, Instant>,
+    pending: BTreeMap<Submission, Instant>,
     /// Servers whose word that they leave was acknowledged, and when.
-    left: BTreeMap<String, Instant>,
+    drained: BTreeMap<String, Instant>,
 }
 
-impl Told {
+impl Observations {
     /// The newest version that was acknowledged before that time.
-    fn held_before(&self, at: Instant) -> u64 {
-        self.held.iter().filter(|(_, when)| *when < at).map(|(version, _)| *version).max().unwrap_or(0)
+    fn newest_acknowledged_before(&self, at: Instant) -> u64 {
+        self.acknowledged
+            .iter()
+            .filter(|(_, when)| *when < at)
+            .map(|(version, _)| *version)
+            .max()
+            .unwrap_or(0)
     }
 }
 
-enum Heal {
+enum Recovery {
     Start(Rc<Machine>),
-    Thaw(Rc<Machine>),
-    Join(Option<u64>, Vec<Rc<Machine>>),
-    Sync(Rc<Machine>),
+    Unfreeze(Rc<Machine>),
+    Reconnect(Option<u64>, Vec<Rc<Machine>>),
+    RestoreDisk(Rc<Machine>),
 }
 
-impl Heal {
+impl Recovery {
     /// Whether what it undoes lasts at a control node.
-    fn concerns_core(&self) -> bool {
+    fn affects_control_node(&self) -> bool {
         match self {
-            Heal::Start(machine) | Heal::Thaw(machine) | Heal::Sync(machine) => machine.is_control_node(),
-            Heal::Join(_, machines) => machines.iter().any(|machine| machine.is_control_node()),
+            Recovery::Start(machine) | Recovery::Unfreeze(machine) | Recovery::RestoreDisk(machine) => {
+                machine.is_control_node()
+            }
+            Recovery::Reconnect(_, machines) => machines.iter().any(|machine| machine.is_control_node()),
         }
     }
 }
@@ -77,79 +84,87 @@
 #[derive(Clone, Default)]
 struct Callers {
     simulation: Rc<Simulation>,
-    told: Rc<RefCell<Told>>,
+    observations: Rc<RefCell<Observations>>,
     /// Calls are bound to be answered in a caller's patience; a caller that waits longer is told so.
-    prompt: bool,
+    must_respond_in_time: bool,
     /// Of so many answers to operators one is lost on its way; none is where this is zero.
-    answer_lost: u32,
-    tries: u64,
+    response_loss_interval: u32,
+    max_tries: u64,
     /// Orders whose operators still wait for a clear answer.
-    under_way: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
     /// The next one that acknowledges something falls at once; its disk is wiped or not.
-    strike: Rc<Cell<Option<bool>>>,
-    struck: Rc<RefCell<Vec<Rc<Machine>>>>,
+    crash_on_acknowledgement: Rc<Cell<Option<bool>>>,
+    crashed: Rc<RefCell<Vec<Rc<Machine>>>>,
 }
 
 impl Callers {
     /// Calls a machine as operators and servers do: they wait for so long, and go on.
     async fn call<T: 'static, F: Future<Output = T> + 'static>(
-        &self, at: &Machine, job: impl FnOnce(Rc<Agent>) -> F + 'static,
+        &self, machine: &Machine, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
-        let before = at.undisturbed();
-        let answer = at.call(PATIENCE, job).await;
-        if self.prompt && answer.is_none() && before.is_some() && before == at.undisturbed() {
-            self.told.borrow_mut().history.fault(format!("{} left a caller without an answer", at.name));
+        let before = machine.running_disturbance_count();
+        let outcome = machine.call(CALL_TIMEOUT, job).await;
+        if self.must_respond_in_time
+            && outcome.is_none()
+            && before.is_some()
+            && before == machine.running_disturbance_count()
+        {
+            self.observations
+                .borrow_mut()
+                .history
+                .report_violation(format!("{} left a caller without an answer", machine.name));
         }
-        answer
+        outcome
     }
 
     /// One try of an operator.
-    async fn put(&self, at: &Rc<Machine>, order: Order) -> Answer {
-        let text = configuration(order.version, order.salt);
+    async fn put(&self, at: &Rc<Machine>, submission: Submission) -> Outcome {
+        let text = configuration(submission.version, submission.salt);
         let put = self.call(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
-        let answer = match put {
-            Some(PutOutcome::Accepted { version: held }) if held >= order.version => {
-                Answer::Acknowledged { held }
+        let outcome = match put {
+            Some(PutOutcome::Accepted { version: held }) if held >= submission.version => {
+                Outcome::Acknowledged { held }
             }
-            Some(PutOutcome::Conflict { .. }) => Answer::Refused,
+            Some(PutOutcome::Conflict { .. }) => Outcome::Rejected,
             Some(PutOutcome::Accepted { version: held }) => {
-                let what = format!("{} answers {held} to {order:?}", at.name);
-                self.told.borrow_mut().history.fault(what);
-                Answer::Unclear
+                let what = format!("{} answers {held} to {submission:?}", at.name);
+                self.observations.borrow_mut().history.report_violation(what);
+                Outcome::Unknown
             }
             Some(PutOutcome::Invalid(faults)) => {
-                let what = format!("{} takes {order:?} for invalid: {faults:?}", at.name);
-                self.told.borrow_mut().history.fault(what);
-                Answer::Refused
+                let what = format!("{} takes {submission:?} for invalid: {faults:?}", at.name);
+                self.observations.borrow_mut().history.report_violation(what);
+                Outcome::Rejected
             }
-            Some(PutOutcome::Unknown(_)) | None => Answer::Unclear,
+            Some(PutOutcome::Unknown(_)) | None => Outcome::Unknown,
         };
-        log_line(&format!("{order:?} at {}: {answer:?}", at.name));
-        self.told.borrow_mut().history.answered(order, answer, &at.name);
-        answer
+        log_line(&format!("{submission:?} at {}: {outcome:?}", at.name));
+        self.observations.borrow_mut().history.record_outcome(submission, outcome, &at.name);
+        outcome
     }
 
     /// Asks for the newest configuration and checks what comes.
     async fn read(&self, at: &Rc<Machine>) {
-        let floor = self.told.borrow().history.floor();
+        let min_version = self.observations.borrow().history.min_version();
         let read = async |agent: Rc<Agent>| agent.read_newest().await;
         let Some(Ok(found)) = self.call(at, read).await else { return };
         let text = found.and_then(|found| compression::decompress(&found.compressed_text).ok());
-        let order = text.and_then(|text| Order::of(&Config::parse(&text).ok()?));
-        self.told.borrow_mut().history.read(floor, order, &at.name);
+        let submission = text.and_then(|text| Submission::of(&Config::parse(&text).ok()?));
+        self.observations.borrow_mut().history.record_read(min_version, submission, &at.name);
     }
 
     /// Calls one control node after another, as operators and servers do, until one has given a clear answer; for a
     /// while only those of one side, where the caller reaches no others.
-    async fn until_clear<F>(
-        &self, side: &[Rc<Machine>], mut rng: fastrand::Rng, job: impl Fn(Rc<Machine>) -> F,
+    async fn retry_until_clear<F>(
+        &self, reachable: &[Rc<Machine>], mut rng: fastrand::Rng, job: impl Fn(Rc<Machine>) -> F,
     ) -> bool
     where
         F: Future<Output = bool>,
     {
-        for n in 0..self.tries {
-            let sided = n < TRIES / 2 && !side.is_empty();
-            let control_nodes = if sided { side.to_vec() } else { self.simulation.control_nodes() };
+        for n in 0..self.max_tries {
+            let only_reachable = n < MAX_TRIES / 2 && !reachable.is_empty();
+            let control_nodes =
+                if only_reachable { reachable.to_vec() } else { self.simulation.control_nodes() };
             let at = control_nodes[rng.usize(..control_nodes.len())].clone();
             if job(at).await {
                 return true;
@@ -160,36 +175,36 @@
     }
 
     /// An operator's order, sent until there is a clear answer.
-    async fn order(self, order: Order, side: Vec<Rc<Machine>>, mut rng: fastrand::Rng) {
-        self.under_way.set(self.under_way.get() + 1);
-        let lossy = RefCell::new((self.answer_lost > 0).then(|| rng.fork()));
+    async fn submit(self, submission: Submission, reachable: Vec<Rc<Machine>>, mut rng: fastrand::Rng) {
+        self.in_flight.set(self.in_flight.get() + 1);
+        let loss_rng = RefCell::new((self.response_loss_interval > 0).then(|| rng.fork()));
         let put = async |at: Rc<Machine>| {
-            let answer = self.put(&at, order).await;
-            let acknowledged = matches!(answer, Answer::Acknowledged { .. });
-            if let Some(wiped) = self.strike.get().filter(|_| acknowledged) {
-                self.strike.set(None);
+            let outcome = self.put(&at, submission).await;
+            let acknowledged = matches!(outcome, Outcome::Acknowledged { .. });
+            if let Some(wiped) = self.crash_on_acknowledgement.get().filter(|_| acknowledged) {
+                self.crash_on_acknowledgement.set(None);
                 log_line(&format!("STRUCK {} wiped {wiped}", at.name));
                 at.kill(&self.simulation.network);
                 if wiped {
                     at.wipe();
                 }
-                self.struck.borrow_mut().push(at);
+                self.crashed.borrow_mut().push(at);
             }
-            if lossy.borrow_mut().as_mut().is_some_and(|rng| rng.u32(..self.answer_lost) == 0) {
+            if loss_rng.borrow_mut().as_mut().is_some_and(|rng| rng.u32(..self.response_loss_interval) == 0) {
                 return false;
             }
-            let mut told = self.told.borrow_mut();
-            if answer != Answer::Unclear {
-                told.open.remove(&order);
-                log_line(&format!("{answer:?} {order:?}"));
+            let mut observations = self.observations.borrow_mut();
+            if outcome != Outcome::Unknown {
+                observations.pending.remove(&submission);
+                log_line(&format!("{outcome:?} {submission:?}"));
             }
             if acknowledged {
-                told.held.push((order.version, Instant::now()));
+                observations.acknowledged.push((submission.version, Instant::now()));
             }
-            answer != Answer::Unclear
+            outcome != Outcome::Unknown
         };
-        self.until_clear(&side, rng, put).await;
-        self.under_way.set(self.under_way.get() - 1);
+        self.retry_until_clear(&reachable, rng, put).await;
+        self.in_flight.set(self.in_flight.get() - 1);
     }
 }
 
@@ -198,82 +213,91 @@
     rng: fastrand::Rng,
     callers: Callers,
     simulation: Rc<Simulation>,
-    told: Rc<RefCell<Told>>,
+    observations: Rc<RefCell<Observations>>,
     version: u64,
-    born: u64,
+    server_count: u64,
     /// Since when nothing has been done to the core; none while that unsettles it.
-    settled: Option<Instant>,
+    settled_since: Option<Instant>,
     /// What each process has had in force, by machine and start.
-    seen: BTreeMap<(String, u32), u64>,
-    heals: Vec<(Instant, Heal)>,
+    last_versions: BTreeMap<(String, u32), u64>,
+    recoveries: Vec<(Instant, Recovery)>,
     /// How many of the core may be lost at once.
-    losses: usize,
+    max_failures: usize,
 }
 
 impl World {
-    fn new(seed: u64, prompt: bool) -> Self {
+    fn new(seed: u64, must_respond_in_time: bool) -> Self {
         fastrand::seed(seed);
         // The small sites' core, or the grown ones'.
-        let (control_nodes, losses) = if seed % 4 == 3 { (9, 2) } else { (5, 1) };
-        let simulation = Simulation::new(control_nodes, 6, losses);
-        let simulated = simulation.clone();
-        let callers = Callers { simulation: simulated, prompt, tries: TRIES, ..Callers::default() };
+        let (control_nodes, max_failures) = if seed % 4 == 3 { (9, 2) } else { (5, 1) };
+        let simulation = Simulation::new(control_nodes, 6, max_failures);
+        let shared_simulation = simulation.clone();
+        let callers = Callers {
+            simulation: shared_simulation,
+            must_respond_in_time,
+            max_tries: MAX_TRIES,
+            ..Callers::default()
+        };
         World {
             rng: fastrand::Rng::with_seed(seed),
             simulation,
-            told: callers.told.clone(),
+            observations: callers.observations.clone(),
             callers,
-            losses,
+            max_failures,
             version: 0,
-            born: 0,
-            settled: Some(Instant::now()),
-            seen: BTreeMap::new(),
-            heals: Vec::new(),
+            server_count: 0,
+            settled_since: Some(Instant::now()),
+            last_versions: BTreeMap::new(),
+            recoveries: Vec::new(),
         }
     }
 
     /// Where a side is named, its operator reaches only those of it for a while.
-    fn order(&mut self, order: Order, side: Vec<Rc<Machine>>) {
+    fn submit(&mut self, submission: Submission, reachable: Vec<Rc<Machine>>) {
         {
-            let mut told = self.told.borrow_mut();
-            told.history.sent(order);
-            told.open.entry(order).or_insert_with(Instant::now);
+            let mut observations = self.observations.borrow_mut();
+            observations.history.record_sent(submission);
+            observations.pending.entry(submission).or_insert_with(Instant::now);
         }
-        spawn_local(self.callers.clone().order(order, side, self.rng.fork()));
+        spawn_local(self.callers.clone().submit(submission, reachable, self.rng.fork()));
     }
 
-    fn put(&mut self, version: u64) {
+    fn submit_version(&mut self, version: u64) {
         let salt = self.rng.u64(..3);
-        self.order(Order { version, salt }, Vec::new());
+        self.submit(Submission { version, salt }, Vec::new());
     }
 
     /// One that names an unknown service, under a version far above all others.
-    fn put_invalid(&mut self) {
-        let bad =
-            configuration(self.version + INVALID_FROM, 0).replace("\"service\":\"s\"", "\"service\":\"t\"");
+    fn submit_invalid(&mut self) {
+        let invalid = configuration(self.version + MIN_INVALID_VERSION, 0)
+            .replace("\"service\":\"s\"", "\"service\":\"t\"");
         let control_nodes = self.simulation.control_nodes();
         let at = control_nodes[self.rng.usize(..control_nodes.len())].clone();
         let callers = self.callers.clone();
         spawn_local(async move {
-            let put = async move |agent: Rc<Agent>| agent.put(bad.as_bytes()).await;
-            let got = callers.call(&at, put).await;
-            if !matches!(got, None | Some(PutOutcome::Invalid(_))) {
-                callers.told.borrow_mut().history.fault("what is invalid is not refused".to_owned());
+            let put = async move |agent: Rc<Agent>| agent.put(invalid.as_bytes()).await;
+            let outcome = callers.call(&at, put).await;
+            if !matches!(outcome, None | Some(PutOutcome::Invalid(_))) {
+                callers
+                    .observations
+                    .borrow_mut()
+                    .history
+                    .report_violation("what is invalid is not refused".to_owned());
             }
         });
     }
 
     /// A server from its first beat to its end: it beats each second and leaves in order.
-    fn server(&mut self) {
-        self.born += 1;
-        let id = format!("i-{}", self.born);
-        let address = format!("10.1.{}.{}:8080", self.born / 250, self.born % 250);
+    fn run_server(&mut self) {
+        self.server_count += 1;
+        let id = format!("i-{}", self.server_count);
+        let address = format!("10.1.{}.{}:8080", self.server_count / 250, self.server_count % 250);
         let (callers, mut rng) = (self.callers.clone(), self.rng.fork());
-        let lives = rng.u64(3..20);
+        let heartbeat_count = rng.u64(3..20);
         spawn_local(async move {
-            for seq in 1..=lives + 1 {
-                let state = if seq > lives { ServerState::Draining } else { ServerState::Ready };
-                let beat = Heartbeat {
+            for seq in 1..=heartbeat_count + 1 {
+                let state = if seq > heartbeat_count { ServerState::Draining } else { ServerState::Ready };
+                let heartbeat = Heartbeat {
                     id: id.clone().into(),
                     service: "s".into(),
                     address: address.clone().into(),
@@ -282,25 +306,28 @@
                     state,
                     sequence: seq,
                 };
-                let beats = async |at: Rc<Machine>| {
-                    let beat = beat.clone();
-                    let told = callers.call(&at, async move |agent| agent.record_heartbeat(beat).await).await;
-                    log_line(&format!("{id} says {state:?} to {}: {told:?}", at.name));
-                    told == Some(Ok(()))
+                let send_heartbeat = async |at: Rc<Machine>| {
+                    let heartbeat = heartbeat.clone();
+                    let result =
+                        callers.call(&at, async move |agent| agent.record_heartbeat(heartbeat).await).await;
+                    log_line(&format!("{id} says {state:?} to {}: {result:?}", at.name));
+                    result == Some(Ok(()))
                 };
-                if callers.until_clear(&[], rng.fork(), beats).await && state == ServerState::Draining {
-                    callers.told.borrow_mut().left.insert(id.clone(), Instant::now());
+                if callers.retry_until_clear(&[], rng.fork(), send_heartbeat).await
+                    && state == ServerState::Draining
+                {
+                    callers.observations.borrow_mut().drained.insert(id.clone(), Instant::now());
                 }
                 sleep(ms(1000)).await;
             }
-            let gone = async |at: Rc<Machine>| {
+            let deregister = async |at: Rc<Machine>| {
                 let id = id.clone();
-                let told =
+                let result =
                     callers.call(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
-                log_line(&format!("leaves {}: {told:?}", at.name));
-                told == Some(Ok(()))
+                log_line(&format!("leaves {}: {result:?}", at.name));
+                result == Some(Ok(()))
             };
-            callers.until_clear(&[], rng.fork(), gone).await;
+            callers.retry_until_clear(&[], rng.fork(), deregister).await;
         });
     }
 
@@ -308,118 +335,122 @@
         self.simulation.all_machines().into_iter().filter(|m| !m.is_control_node()).collect()
     }
 
-    fn after(&mut self, wait: u64, heal: Heal) {
-        self.heals.push((Instant::now() + ms(wait), heal));
+    fn schedule_recovery(&mut self, delay_ms: u64, recovery: Recovery) {
+        self.recoveries.push((Instant::now() + ms(delay_ms), recovery));
     }
 
-    fn down(&mut self, machine: &Rc<Machine>, for_ms: u64) {
+    fn stop_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.kill(&self.simulation.network);
         machine.healthy_since.set(None);
-        self.after(for_ms, Heal::Start(machine.clone()));
+        self.schedule_recovery(duration_ms, Recovery::Start(machine.clone()));
     }
 
-    fn freeze(&mut self, machine: &Rc<Machine>, for_ms: u64) {
+    fn freeze_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.freeze(true);
         machine.healthy_since.set(None);
-        self.after(for_ms, Heal::Thaw(machine.clone()));
+        self.schedule_recovery(duration_ms, Recovery::Unfreeze(machine.clone()));
     }
 
-    fn stall(&mut self, machine: &Rc<Machine>, for_ms: u64) {
-        machine.storage.as_ref().expect("a disk").sync_time.set(ms(for_ms));
+    fn stall_disk_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
+        machine.storage.as_ref().expect("a disk").sync_time.set(ms(duration_ms));
         machine.healthy_since.set(None);
-        self.after(for_ms, Heal::Sync(machine.clone()));
+        self.schedule_recovery(duration_ms, Recovery::RestoreDisk(machine.clone()));
     }
 
     /// One is gone for good, and an empty one comes at another address.
-    fn replace(&mut self, machine: &Rc<Machine>, for_ms: u64) {
+    fn replace(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.kill(&self.simulation.network);
         machine.is_removed.set(true);
         let new = self.simulation.add_control_node();
         new.healthy_since.set(None);
-        self.after(for_ms, Heal::Start(new));
+        self.schedule_recovery(duration_ms, Recovery::Start(new));
     }
 
-    fn cut(&mut self, direction: Direction, far: Vec<Rc<Machine>>, for_ms: u64) {
-        far.iter().for_each(|m| m.healthy_since.set(None));
-        let cut = self.simulation.network.partition(direction, far.iter().map(|m| m.ip.clone()));
-        self.after(for_ms, Heal::Join(Some(cut), far));
+    fn partition_for(&mut self, direction: Direction, machines: Vec<Rc<Machine>>, duration_ms: u64) {
+        machines.iter().for_each(|m| m.healthy_since.set(None));
+        let partition = self.simulation.network.partition(direction, machines.iter().map(|m| m.ip.clone()));
+        self.schedule_recovery(duration_ms, Recovery::Reconnect(Some(partition), machines));
     }
 
     /// Says how many there were.
-    fn fall_after_an_acknowledgement(&mut self) -> usize {
-        let struck = self.callers.struck.take();
-        let many = struck.len();
-        for machine in struck {
-            let lasts = self.rng.u64(100..3000);
-            self.settled = None;
-            self.down(&machine, lasts);
+    fn recover_crashed_machines(&mut self) -> usize {
+        let crashed = self.callers.crashed.take();
+        let count = crashed.len();
+        for machine in crashed {
+            let duration_ms = self.rng.u64(100..3000);
+            self.settled_since = None;
+            self.stop_for(&machine, duration_ms);
         }
-        many
+        count
     }
 
     /// Undoes what is due; says how many there were.
-    fn heal(&mut self) -> usize {
+    fn run_due_recoveries(&mut self) -> usize {
         let now = Instant::now();
-        let (due, rest) = std::mem::take(&mut self.heals).into_iter().partition(|(at, _)| *at <= now);
-        self.heals = rest;
-        let due: Vec<(Instant, Heal)> = due;
+        let (due, rest) = std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
+        self.recoveries = rest;
+        let due: Vec<(Instant, Recovery)> = due;
         let healed = due.len();
-        for (_, heal) in due {
+        for (_, recovery) in due {
             log_line("HEALED");
-            let machines = match heal {
-                Heal::Start(machine) => {
+            let machines = match recovery {
+                Recovery::Start(machine) => {
                     machine.start(&self.simulation.network, false);
                     vec![machine]
                 }
-                Heal::Thaw(machine) => {
+                Recovery::Unfreeze(machine) => {
                     machine.freeze(false);
                     vec![machine]
                 }
-                Heal::Sync(machine) => {
+                Recovery::RestoreDisk(machine) => {
                     machine.storage.as_ref().expect("a disk").sync_time.set(ms(5));
                     vec![machine]
                 }
-                Heal::Join(cut, machines) => {
-                    cut.into_iter().for_each(|cut| self.simulation.network.heal_partition(cut));
+                Recovery::Reconnect(partition, machines) => {
+                    partition
+                        .into_iter()
+                        .for_each(|partition| self.simulation.network.heal_partition(partition));
                     machines
                 }
             };
             // Another trouble may last on.
-            let well = machines.iter().filter(|m| m.is_healthy(&self.simulation.network));
-            well.for_each(|m| m.healthy_since.set(Some(now)));
+            let healthy = machines.iter().filter(|m| m.is_healthy(&self.simulation.network));
+            healthy.for_each(|m| m.healthy_since.set(Some(now)));
         }
         healed
     }
 
-    fn in_touch(&self, machine: &Machine) -> bool {
-        let calm = |since: Option<Instant>| since.is_some_and(|at| at.elapsed() >= CONTACT);
-        calm(self.settled) && calm(machine.healthy_since.get())
+    fn is_in_contact(&self, machine: &Machine) -> bool {
+        let is_long_enough =
+            |since: Option<Instant>| since.is_some_and(|at| at.elapsed() >= MAX_CONTACT_TIME);
+        is_long_enough(self.settled_since) && is_long_enough(machine.healthy_since.get())
     }
 
     /// What must hold at any moment.
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let now = Instant::now();
         crate::simulation::assert_no_panics();
         for machine in self.simulation.all_machines() {
             let Some(agent) = machine.agent() else { continue };
             let config = agent.config();
             let version = config.as_ref().map_or(0, |c| c.version);
-            let before = self.seen.entry((machine.name.clone(), machine.start_count.get())).or_insert(0);
+            let before =
+                self.last_versions.entry((machine.name.clone(), machine.start_count.get())).or_insert(0);
             assert!(version >= *before, "{} went back from {before} to {version}", machine.name);
             *before = version;
-            assert!(version < INVALID_FROM, "{}: what is invalid is in force", machine.name);
+            assert!(version < MIN_INVALID_VERSION, "{}: what is invalid is in force", machine.name);
             if let Some(config) = config {
-                let order = Order::of(&config).expect("a configuration as operators send them");
-                self.told.borrow_mut().history.in_force(order, &machine.name);
+                let submission = Submission::of(&config).expect("a configuration as operators send them");
+                self.observations.borrow_mut().history.record_in_force(submission, &machine.name);
             }
-            if !self.in_touch(&machine) {
+            if !self.is_in_contact(&machine) {
                 continue;
             }
-            let told = self.told.borrow();
-            let due = told.held_before(now - APPLY);
-            assert!(version >= due, "{} has {version}, {due} was acknowledged", machine.name);
-            let drained = told.left.iter().filter(|(_, at)| now - **at > DRAIN);
-            for (id, _) in drained {
+            let observations = self.observations.borrow();
+            let expected = observations.newest_acknowledged_before(now - MAX_APPLY_TIME);
+            assert!(version >= expected, "{} has {version}, {expected} was acknowledged", machine.name);
+            let due = observations.drained.iter().filter(|(_, at)| now - **at > MAX_DRAIN_TIME);
+            for (id, _) in due {
                 assert!(
                     !agent.is_server_available(&id.as_str().into()),
                     "{} offers work to {id}",
@@ -427,21 +458,28 @@
                 );
             }
         }
-        let told = self.told.borrow();
-        told.history.check();
-        let core_is_well = !self.heals.iter().any(|(_, heal)| heal.concerns_core());
-        if core_is_well && self.settled.is_some_and(|at| at.elapsed() >= ACK + CONTACT) {
-            let late = told.open.iter().find(|(_, at)| at.elapsed() >= ACK);
-            assert!(late.is_none(), "no word on a configuration in calm times: {late:?}");
+        let observations = self.observations.borrow();
+        observations.history.check();
+        let no_control_node_faults =
+            !self.recoveries.iter().any(|(_, recovery)| recovery.affects_control_node());
+        if no_control_node_faults
+            && self
+                .settled_since
+                .is_some_and(|at| at.elapsed() >= MAX_ACKNOWLEDGEMENT_TIME + MAX_CONTACT_TIME)
+        {
+            let overdue =
+                observations.pending.iter().find(|(_, at)| at.elapsed() >= MAX_ACKNOWLEDGEMENT_TIME);
+            assert!(overdue.is_none(), "no word on a configuration in calm times: {overdue:?}");
         }
     }
 
     /// In the end all is well: what was acknowledged is there, and all know the same.
-    async fn read_back(&mut self) {
-        let newest = self.told.borrow().held.iter().map(|(version, _)| *version).max().unwrap_or(0);
+    async fn check_final_state(&mut self) {
+        let newest =
+            self.observations.borrow().acknowledged.iter().map(|(version, _)| *version).max().unwrap_or(0);
         for machine in self.simulation.control_nodes() {
             let read = async |agent: Rc<Agent>| agent.read_newest().await;
-            let found = machine.call(ACK, read).await.and_then(Result::ok).flatten();
+            let found = machine.call(MAX_ACKNOWLEDGEMENT_TIME, read).await.and_then(Result::ok).flatten();
             let found = found.unwrap_or_else(|| panic!("{} cannot read the register", machine.name));
             assert!(found.version >= newest, "{} of {newest} acknowledged is read", found.version);
             self.callers.read(&machine).await;
@@ -449,6 +487,6 @@
         let known = |m: &Rc<Machine>| m.agent().map(|agent| agent.digest());
         let all: Vec<_> = self.simulation.all_machines().iter().map(|m| (m.name.clone(), known(m))).collect();
         assert!(all.iter().all(|(_, d)| *d == all[0].1), "they know different things: {all:?}");
-        self.check();
+        self.check_invariants();
     }
 }
--- a/crates/node/tests/days/worst.rs
+++ b/crates/node/tests/days/worst.rs
@@ -5,67 +5,76 @@
 use super::*;
 
 /// How long a long cut or freeze lasts, in milliseconds.
-const LONG: u64 = 20_000;
+const LONG_FAULT_MS: u64 = 20_000;
 /// The day until its last trouble ends; the calm follows.
-const DAY: Duration = ms(75_000);
+const DAY_LENGTH: Duration = ms(75_000);
 /// Orders that may be under way at once.
-const UNDER_WAY: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 /// Of so many answers to operators one is lost on its way.
-const ANSWER_LOST: u32 = 8;
+const RESPONSE_LOSS_INTERVAL: u32 = 8;
 /// What a message may take longer than others, in some of these days.
-const JITTER: Duration = ms(12);
+const MAX_JITTER: Duration = ms(12);
 
 pub(crate) struct WorstDay {
     world: World,
-    salts: u64,
+    last_salt: u64,
     /// All orders that were sent.
-    orders: Vec<Order>,
+    submissions: Vec<Submission>,
     /// Those on the far side of a cut, until it is mended.
-    far: Vec<Rc<Machine>>,
+    partitioned: Vec<Rc<Machine>>,
     storm_until: Instant,
 }
 
 impl WorstDay {
     fn new(seed: u64) -> Self {
         let mut world = World::new(seed, true);
-        (world.callers.answer_lost, world.callers.tries) = (ANSWER_LOST, TRIES_OF_WORST);
+        (world.callers.response_loss_interval, world.callers.max_tries) =
+            (RESPONSE_LOSS_INTERVAL, MAX_TRIES_ON_WORST_DAYS);
         if world.rng.bool() {
-            world.simulation.network.jitter.set(JITTER);
+            world.simulation.network.jitter.set(MAX_JITTER);
+        }
+        WorstDay {
+            world,
+            last_salt: 0,
+            submissions: Vec::new(),
+            partitioned: Vec::new(),
+            storm_until: Instant::now(),
         }
-        WorstDay { world, salts: 0, orders: Vec::new(), far: Vec::new(), storm_until: Instant::now() }
     }
 
     /// An order that nobody has sent before.
-    fn new_order(&mut self, version: u64, side: Vec<Rc<Machine>>) {
-        self.salts += 1;
-        let order = Order { version, salt: self.salts };
-        self.orders.push(order);
-        self.world.order(order, side);
+    fn submit_new(&mut self, version: u64, reachable: Vec<Rc<Machine>>) {
+        self.last_salt += 1;
+        let submission = Submission { version, salt: self.last_salt };
+        self.submissions.push(submission);
+        self.world.submit(submission, reachable);
     }
 
-    fn one_of<T: Clone>(&mut self, all: &[T]) -> T {
+    fn choose<T: Clone>(&mut self, all: &[T]) -> T {
         all[self.world.rng.usize(..all.len())].clone()
     }
 
     /// Two operators, each at its side if the core is cut.
     fn race(&mut self, first: u64, second: u64) {
-        let is_far = |m: &Rc<Machine>| self.far.iter().any(|far| far.name == m.name);
-        let (far, near) = self.world.simulation.control_nodes().into_iter().partition(is_far);
-        self.new_order(first, far);
-        self.new_order(second, near);
+        let is_partitioned =
+            |m: &Rc<Machine>| self.partitioned.iter().any(|partitioned| partitioned.name == m.name);
+        let (partitioned, others) =
+            self.world.simulation.control_nodes().into_iter().partition(is_partitioned);
+        self.submit_new(first, partitioned);
+        self.submit_new(second, others);
     }
 
-    fn operate(&mut self) {
+    fn act_as_operator(&mut self) {
         let control_nodes = self.world.simulation.control_nodes();
-        let at = self.one_of(&control_nodes);
+        let at = self.choose(&control_nodes);
         let callers = self.world.callers.clone();
-        let busy = callers.under_way.get() + 2 > UNDER_WAY;
-        let what = self.world.rng.usize(..14);
-        match what {
+        let busy = callers.in_flight.get() + 2 > MAX_IN_FLIGHT;
+        let kind = self.world.rng.usize(..14);
+        match kind {
             0..7 if busy => {}
             0..3 => {
                 self.world.version += self.world.rng.u64(1..4);
-                self.new_order(self.world.version, Vec::new());
+                self.submit_new(self.world.version, Vec::new());
             }
             3..6 => {
                 self.world.version += self.world.rng.u64(1..4);
@@ -76,162 +85,168 @@
                 self.race(self.world.version, self.world.version - 1);
             }
             // Sent again as it was: to any machine, after any time.
-            7..10 if !self.orders.is_empty() => {
-                let late =
-                    self.world.rng.usize(..self.orders.len()).max(self.world.rng.usize(..self.orders.len()));
-                let order = self.orders[late];
-                drop(spawn_local(async move { callers.put(&at, order).await }));
+            7..10 if !self.submissions.is_empty() => {
+                let index = self
+                    .world
+                    .rng
+                    .usize(..self.submissions.len())
+                    .max(self.world.rng.usize(..self.submissions.len()));
+                let submission = self.submissions[index];
+                drop(spawn_local(async move { callers.put(&at, submission).await }));
             }
             7..12 => drop(spawn_local(async move { callers.read(&at).await })),
-            12 => self.world.put_invalid(),
-            _ => self.world.server(),
+            12 => self.world.submit_invalid(),
+            _ => self.world.run_server(),
         }
     }
 
     /// How many of the core count as lost: in trouble, or not yet caught up.
-    fn lost(&self) -> usize {
-        let caught_up = |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
-        let lost = self.world.simulation.control_nodes().iter().filter(|m| !caught_up(m)).count();
-        lost + usize::from(self.world.callers.strike.get().is_some())
+    fn unavailable_count(&self) -> usize {
+        let caught_up =
+            |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= MAX_CATCH_UP_TIME);
+        let unavailable = self.world.simulation.control_nodes().iter().filter(|m| !caught_up(m)).count();
+        unavailable + usize::from(self.world.callers.crash_on_acknowledgement.get().is_some())
     }
 
     /// Its settings file was written anew: with two that are down or cut off, where there are so many, and one that is
     /// well. With none that it can reach it could know nobody.
-    fn reseed(&mut self, machine: &Machine) {
+    fn rewrite_seed_nodes(&mut self, machine: &Machine) {
         let mut control_nodes = self.world.simulation.control_nodes();
         self.world.rng.shuffle(&mut control_nodes);
-        let (well, ill): (Vec<_>, Vec<_>) =
+        let (healthy, unhealthy): (Vec<_>, Vec<_>) =
             control_nodes.into_iter().partition(|m| m.healthy_since.get().is_some());
-        let seeds = ill.iter().take(2).chain(&well).take(3).map(|m| format!("{}:8047", m.ip));
-        *machine.seeds.borrow_mut() = seeds.collect();
+        let seed_nodes = unhealthy.iter().take(2).chain(&healthy).take(3).map(|m| format!("{}:8047", m.ip));
+        *machine.seed_nodes.borrow_mut() = seed_nodes.collect();
     }
 
     /// One of the core is lost in one way or another.
-    fn lose(&mut self, control_node: Rc<Machine>) {
-        let lasts = self.world.rng.u64(200..4000);
+    fn fail_control_node(&mut self, control_node: Rc<Machine>) {
+        let duration_ms = self.world.rng.u64(200..4000);
         let gateways = self.world.gateways();
         let half: Vec<Rc<Machine>> = gateways.iter().step_by(2).cloned().collect();
-        let what = self.world.rng.usize(..11);
-        log_line(&format!("LOSS {what} at {}", control_node.name));
-        match what {
-            0 => self.cut(Direction::Both, vec![control_node]),
-            1 => self.cut(Direction::Inbound, vec![control_node]),
-            2 => self.cut(Direction::Outbound, vec![control_node]),
-            3 => self.cut(Direction::Both, [vec![control_node], half].concat()),
+        let kind = self.world.rng.usize(..11);
+        log_line(&format!("LOSS {kind} at {}", control_node.name));
+        match kind {
+            0 => self.partition(Direction::Both, vec![control_node]),
+            1 => self.partition(Direction::Inbound, vec![control_node]),
+            2 => self.partition(Direction::Outbound, vec![control_node]),
+            3 => self.partition(Direction::Both, [vec![control_node], half].concat()),
             // Some of those beside it start anew, and know of nobody else to begin with.
             4 => {
                 for gateway in &half {
                     gateway.kill(&self.world.simulation.network);
-                    *gateway.seeds.borrow_mut() = vec![format!("{}:8047", control_node.ip)];
-                    self.world.down(gateway, lasts);
+                    *gateway.seed_nodes.borrow_mut() = vec![format!("{}:8047", control_node.ip)];
+                    self.world.stop_for(gateway, duration_ms);
                 }
-                self.cut(Direction::Both, [vec![control_node], half].concat());
+                self.partition(Direction::Both, [vec![control_node], half].concat());
             }
-            5 => self.world.freeze(&control_node, LONG),
-            6 => self.world.stall(&control_node, lasts),
+            5 => self.world.freeze_for(&control_node, LONG_FAULT_MS),
+            6 => self.world.stall_disk_for(&control_node, duration_ms),
             7 => {
                 control_node.wipe();
-                self.world.down(&control_node, lasts);
+                self.world.stop_for(&control_node, duration_ms);
             }
-            8 => self.world.replace(&control_node, lasts),
-            9 => self.world.callers.strike.set(Some(self.world.rng.bool())),
+            8 => self.world.replace(&control_node, duration_ms),
+            9 => self.world.callers.crash_on_acknowledgement.set(Some(self.world.rng.bool())),
             _ => {
-                self.reseed(&control_node);
-                self.world.down(&control_node, lasts);
+                self.rewrite_seed_nodes(&control_node);
+                self.world.stop_for(&control_node, duration_ms);
             }
         }
     }
 
-    fn cut(&mut self, direction: Direction, far: Vec<Rc<Machine>>) {
-        self.far.clone_from(&far);
-        self.world.cut(direction, far, LONG);
+    fn partition(&mut self, direction: Direction, partitioned: Vec<Rc<Machine>>) {
+        self.partitioned.clone_from(&partitioned);
+        self.world.partition_for(direction, partitioned, LONG_FAULT_MS);
     }
 
     /// What befalls more than may be lost, and takes nothing from the disks that are to remain.
-    fn befall_all(&mut self) {
+    fn fail_many(&mut self) {
         let (all, mut control_nodes) =
             (self.world.simulation.all_machines(), self.world.simulation.control_nodes());
         self.world.rng.shuffle(&mut control_nodes);
-        let back = self.world.rng.u64(100..900);
-        let what = self.world.rng.usize(..4);
-        log_line(&format!("ALL {what}"));
-        match what {
+        let downtime_ms = self.world.rng.u64(100..900);
+        let kind = self.world.rng.usize(..4);
+        log_line(&format!("ALL {kind}"));
+        match kind {
             // The smaller part of the core, the seeds among them perhaps, and half of the gateways.
             0 => {
-                let few = (control_nodes.len() - 1) / 2;
+                let minority = (control_nodes.len() - 1) / 2;
                 let half = self.world.gateways().into_iter().step_by(2);
-                let far = control_nodes.into_iter().take(few).chain(half).collect();
-                self.cut(Direction::Both, far);
+                let partitioned = control_nodes.into_iter().take(minority).chain(half).collect();
+                self.partition(Direction::Both, partitioned);
             }
-            1 => all.iter().for_each(|m| self.world.down(m, back)),
-            2 => control_nodes.iter().for_each(|m| self.world.down(m, back)),
+            1 => all.iter().for_each(|m| self.world.stop_for(m, downtime_ms)),
+            2 => control_nodes.iter().for_each(|m| self.world.stop_for(m, downtime_ms)),
             _ => {
-                control_nodes.iter().take(self.world.losses).for_each(|m| m.wipe());
-                all.iter().for_each(|m| self.world.down(m, back));
+                control_nodes.iter().take(self.world.max_failures).for_each(|m| m.wipe());
+                all.iter().for_each(|m| self.world.stop_for(m, downtime_ms));
             }
         }
     }
 
-    fn trouble(&mut self) -> bool {
-        let lost = self.lost();
-        if lost >= self.world.losses {
+    fn inject_fault(&mut self) -> bool {
+        let unavailable = self.unavailable_count();
+        if unavailable >= self.world.max_failures {
             return false;
         }
-        if lost == 0 && self.world.rng.u32(..5) == 0 {
-            self.befall_all();
+        if unavailable == 0 && self.world.rng.u32(..5) == 0 {
+            self.fail_many();
             return true;
         }
-        let well = |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= CATCH_UP);
-        let control_nodes: Vec<_> = self.world.simulation.control_nodes().into_iter().filter(well).collect();
-        let control_node = self.one_of(&control_nodes);
-        self.lose(control_node);
+        let healthy =
+            |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= MAX_CATCH_UP_TIME);
+        let control_nodes: Vec<_> =
+            self.world.simulation.control_nodes().into_iter().filter(healthy).collect();
+        let control_node = self.choose(&control_nodes);
+        self.fail_control_node(control_node);
         true
     }
 
     /// Gateways start anew, one or many, whatever goes on beside.
-    fn trouble_of_gateways(&mut self) {
+    fn restart_gateways(&mut self) {
         let gateways: Vec<_> =
             self.world.gateways().into_iter().filter(|m| m.healthy_since.get().is_some()).collect();
-        let many = if self.world.rng.u32(..4) == 0 { gateways.len() } else { 1.min(gateways.len()) };
+        let count = if self.world.rng.u32(..4) == 0 { gateways.len() } else { 1.min(gateways.len()) };
         let first = self.world.rng.usize(..gateways.len().max(1));
-        for gateway in gateways.iter().cycle().skip(first).take(many) {
-            let lasts = self.world.rng.u64(200..3000);
-            self.reseed(gateway);
+        for gateway in gateways.iter().cycle().skip(first).take(count) {
+            let duration_ms = self.world.rng.u64(200..3000);
+            self.rewrite_seed_nodes(gateway);
             match self.world.rng.u32(..3) {
-                0 => self.world.freeze(gateway, lasts),
-                _ => self.world.down(gateway, lasts),
+                0 => self.world.freeze_for(gateway, duration_ms),
+                _ => self.world.stop_for(gateway, duration_ms),
             }
         }
     }
 
     /// The core counts as settled from its last event on, while most of it runs, is connected and not slowed.
-    fn settle(&mut self, event: bool) {
+    fn update_settled(&mut self, event: bool) {
         let control_nodes = self.world.simulation.control_nodes();
-        let well = control_nodes.iter().filter(|m| m.healthy_since.get().is_some()).count();
-        let stalls = control_nodes.iter().any(|m| m.is_stalled());
-        let settled = well * 2 > control_nodes.len() && !stalls;
-        self.world.settled = match self.world.settled {
-            _ if !settled => None,
+        let healthy = control_nodes.iter().filter(|m| m.healthy_since.get().is_some()).count();
+        let has_stalled_disk = control_nodes.iter().any(|m| m.is_stalled());
+        let is_settled = healthy * 2 > control_nodes.len() && !has_stalled_disk;
+        self.world.settled_since = match self.world.settled_since {
+            _ if !is_settled => None,
             Some(since) if !event => Some(since),
             _ => Some(Instant::now()),
         };
-        if self.far.iter().all(|m| m.healthy_since.get().is_some()) {
-            self.far.clear();
+        if self.partitioned.iter().all(|m| m.healthy_since.get().is_some()) {
+            self.partitioned.clear();
         }
     }
 
     /// Whatever was acknowledged is acknowledged again, whatever was refused is not.
-    async fn send_all_again(&mut self) {
+    async fn resubmit_all(&mut self) {
         let control_nodes = self.world.simulation.control_nodes();
-        let again: Vec<Order> = {
-            let told = self.world.told.borrow();
-            told.history.acknowledged().chain(told.history.refused()).collect()
+        let submissions: Vec<Submission> = {
+            let observations = self.world.observations.borrow();
+            observations.history.acknowledged().chain(observations.history.rejected()).collect()
         };
-        for order in again {
-            let at = self.one_of(&control_nodes);
-            let answer = self.world.callers.put(&at, order).await;
-            let clear = answer != Answer::Unclear;
-            assert!(clear, "{} has no clear answer to {order:?} when all is calm", at.name);
+        for submission in submissions {
+            let at = self.choose(&control_nodes);
+            let outcome = self.world.callers.put(&at, submission).await;
+            let is_known = outcome != Outcome::Unknown;
+            assert!(is_known, "{} has no clear answer to {submission:?} when all is calm", at.name);
         }
     }
 }
@@ -240,42 +255,43 @@
     let mut day = WorstDay::new(seed);
     sleep(ms(2000)).await;
     day.world.version = 1;
-    day.new_order(1, Vec::new());
+    day.submit_new(1, Vec::new());
     let start = Instant::now();
-    let (mut trouble, mut operate, mut gateways) = (start + ms(3000), start + ms(1500), start + ms(5000));
-    let mut storm = start + ms(day.world.rng.u64(4000..30_000));
-    let last = start + DAY - ms(LONG);
-    while Instant::now() < start + DAY + CALM {
-        sleep(STEP).await;
+    let (mut next_fault, mut next_operator_action, mut next_gateway_restart) =
+        (start + ms(3000), start + ms(1500), start + ms(5000));
+    let mut next_storm = start + ms(day.world.rng.u64(4000..30_000));
+    let last_fault = start + DAY_LENGTH - ms(LONG_FAULT_MS);
+    while Instant::now() < start + DAY_LENGTH + RECOVERY_TIME {
+        sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
-        let struck = day.world.fall_after_an_acknowledgement();
-        let healed = day.world.heal();
-        let mut event = struck + healed > 0;
-        if now >= trouble && now < last && day.trouble() {
+        let crashed = day.world.recover_crashed_machines();
+        let healed = day.world.run_due_recoveries();
+        let mut event = crashed + healed > 0;
+        if now >= next_fault && now < last_fault && day.inject_fault() {
             event = true;
             // Half of the time the next one comes as soon as it may.
-            let wait = if day.world.rng.bool() { 0 } else { day.world.rng.u64(0..6000) };
-            trouble = now + ms(wait);
+            let wait_ms = if day.world.rng.bool() { 0 } else { day.world.rng.u64(0..6000) };
+            next_fault = now + ms(wait_ms);
         }
-        if now >= gateways && now < last {
-            gateways = now + ms(day.world.rng.u64(500..6000));
-            day.trouble_of_gateways();
+        if now >= next_gateway_restart && now < last_fault {
+            next_gateway_restart = now + ms(day.world.rng.u64(500..6000));
+            day.restart_gateways();
         }
-        day.settle(event);
-        day.world.check();
-        if now >= storm && now < last {
-            storm = now + ms(day.world.rng.u64(15_000..40_000));
+        day.update_settled(event);
+        day.world.check_invariants();
+        if now >= next_storm && now < last_fault {
+            next_storm = now + ms(day.world.rng.u64(15_000..40_000));
             day.storm_until = now + ms(day.world.rng.u64(2000..15_000));
         }
-        if now < day.storm_until && day.world.callers.under_way.get() < UNDER_WAY {
+        if now < day.storm_until && day.world.callers.in_flight.get() < MAX_IN_FLIGHT {
             day.world.version += 1;
-            day.new_order(day.world.version, Vec::new());
+            day.submit_new(day.world.version, Vec::new());
         }
-        if now >= operate && now < start + DAY {
-            operate = now + ms(day.world.rng.u64(50..900));
-            day.operate();
+        if now >= next_operator_action && now < start + DAY_LENGTH {
+            next_operator_action = now + ms(day.world.rng.u64(50..900));
+            day.act_as_operator();
         }
     }
-    day.send_all_again().await;
-    day.world.read_back().await;
+    day.resubmit_all().await;
+    day.world.check_final_state().await;
 }
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -45,59 +45,60 @@
     pub target: String,
     pub body: Vec<u8>,
     /// It must not run twice.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Its client has sent all of it.
-    pub whole: bool,
-    pub runs: u32,
+    pub is_sent_completely: bool,
+    pub run_count: u32,
     /// Servers that have read it and still owe its answer, on connections that are sound.
-    pub at_work: u32,
+    pub pending_count: u32,
     /// What servers did with it, in their order.
-    pub deeds: Vec<&'static str>,
+    pub actions: Vec<&'static str>,
     /// Its client was told that it has not run and never will.
-    pub promised: bool,
+    pub promised_not_to_run: bool,
 }
 
 /// An answer that a server has given, under its seal.
-pub(crate) struct Sealed {
+pub(crate) struct SealedResponse {
     pub attempt: String,
     pub service: &'static str,
     pub body: Vec<u8>,
     /// A success, in the server's own words.
-    pub success: bool,
+    pub is_success: bool,
 }
 
 /// All that clients and servers know together, and what was found wrong.
 #[derive(Default)]
 pub(crate) struct Ledger {
-    pub asked: BTreeMap<String, RecordedRequest>,
-    pub sealed: BTreeMap<String, Sealed>,
+    pub requests: BTreeMap<String, RecordedRequest>,
+    pub sealed_responses: BTreeMap<String, SealedResponse>,
     pub violations: Vec<String>,
     pub counts: Counts,
 }
 
 impl Ledger {
-    pub(crate) fn wrong(&mut self, what: impl Into<String>) {
-        self.violations.push(what.into());
+    pub(crate) fn report_violation(&mut self, violation: impl Into<String>) {
+        self.violations.push(violation.into());
     }
 
-    pub(crate) fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    pub(crate) fn count(&mut self, event: &'static str) {
+        *self.counts.entry(event).or_default() += 1;
     }
 
-    pub(crate) fn did(&mut self, attempt: &str, deed: &'static str) {
-        self.asked.get_mut(attempt).into_iter().for_each(|asked| asked.deeds.push(deed));
+    pub(crate) fn record_action(&mut self, attempt: &str, action: &'static str) {
+        self.requests.get_mut(attempt).into_iter().for_each(|request| request.actions.push(action));
     }
 
     /// A server runs this.
-    pub(crate) fn run(&mut self, attempt: &str) {
-        let Some(asked) = self.asked.get_mut(attempt) else { return };
-        asked.runs += 1;
-        let (twice, promised) = (asked.once && asked.runs > 1, asked.promised);
-        if twice {
-            self.wrong(format!("TWICE: {attempt} has run again"));
+    pub(crate) fn record_run(&mut self, attempt: &str) {
+        let Some(request) = self.requests.get_mut(attempt) else { return };
+        request.run_count += 1;
+        let (runs_again, promised_not_to_run) =
+            (request.at_most_once && request.run_count > 1, request.promised_not_to_run);
+        if runs_again {
+            self.report_violation(format!("TWICE: {attempt} has run again"));
         }
-        if promised {
-            self.wrong(format!("REFUSED: {attempt} runs after the promise that it never will"));
+        if promised_not_to_run {
+            self.report_violation(format!("REFUSED: {attempt} runs after the promise that it never will"));
         }
     }
 }
@@ -110,13 +111,13 @@
     pub ledger: Rc<RefCell<Ledger>>,
     servers: Rc<Servers>,
     /// Until the end, servers do as they are drawn.
-    trouble: Rc<Cell<bool>>,
+    faults_enabled: Rc<Cell<bool>>,
 }
 
 /// No other processes are there.
-struct Nobody;
+struct NoPeers;
 
-impl Transport for Nobody {
+impl Transport for NoPeers {
     fn connect(&self, _address: ashvane_identifiers::Address) -> Connecting {
         Box::pin(async { None })
     }
@@ -148,15 +149,15 @@
 }
 
 /// A disk that keeps all in a moment.
-fn disk() -> Disk {
+fn start_in_memory_disk() -> Disk {
     let (disk, inbox) = Disk::new();
     spawn_local(async move {
-        let mut whole = StoredState::default();
+        let mut state = StoredState::default();
         loop {
             sleep(ms(1)).await;
-            let Some(mut wanted) = inbox.take() else { continue };
-            wanted.apply_to(&mut whole);
-            wanted.notify_synced();
+            let Some(mut pending_write) = inbox.take() else { continue };
+            pending_write.apply_to(&mut state);
+            pending_write.notify_synced();
         }
     });
     disk
@@ -166,16 +167,16 @@
     pub(crate) async fn start(seed: u64) -> Rc<World> {
         fastrand::seed(seed);
         let (settings, log) = (settings(), Logger::root(Discard, o!()));
-        let (ledger, trouble) = (Rc::<RefCell<Ledger>>::default(), Rc::new(Cell::new(true)));
+        let (ledger, faults_enabled) = (Rc::<RefCell<Ledger>>::default(), Rc::new(Cell::new(true)));
         let servers = Rc::new(Servers::default());
         let plane = DataPlane::new(&settings, servers.clone(), log.clone());
-        let disk = disk();
+        let disk = start_in_memory_disk();
         let replica = recover_replica(&settings, &disk, StoredState::default().recovered(), &log).await;
         let name = replica.state().disk.clone();
         let own = own_node(&settings, 1, "10.0.0.1:7080".into(), Some(name));
         let local_replica = Some(LocalReplica { replica, disk });
         let data_plane = Some(plane.clone());
-        let transport = Rc::new(Nobody);
+        let transport = Rc::new(NoPeers);
         let agent = Agent::new(AgentParts { settings, own, local_replica, data_plane, transport, log });
         agent.tick();
         let put = agent.put(configuration().as_bytes()).await;
@@ -183,8 +184,8 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         for (service, count) in SERVICES {
             for n in 0..count {
-                let server = Server::start(service, n, rng.fork(), ledger.clone(), trouble.clone());
-                let beat = Heartbeat {
+                let server = Server::start(service, n, rng.fork(), ledger.clone(), faults_enabled.clone());
+                let heartbeat = Heartbeat {
                     id: server.id.clone().into(),
                     service: service.to_owned().into(),
                     address: server.address.clone().into(),
@@ -193,50 +194,58 @@
                     state: ServerState::Ready,
                     sequence: 1,
                 };
-                servers.is_there(server);
-                assert!(agent.record_heartbeat(beat).await.is_ok(), "the server is known");
+                servers.add(server);
+                assert!(agent.record_heartbeat(heartbeat).await.is_ok(), "the server is known");
             }
         }
-        let ticking = agent.clone();
+        let ticking_agent = agent.clone();
         spawn_local(async move {
             loop {
                 sleep(TICK_INTERVAL).await;
-                ticking.tick();
+                ticking_agent.tick();
             }
         });
-        Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, trouble })
+        Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, faults_enabled })
     }
 
     /// Ends in order while clients go on, as a process does on SIGTERM.
-    pub(crate) async fn shut_down_after(&self, after: Duration, closes_after: Duration) {
-        sleep(after).await;
+    pub(crate) async fn shut_down_after(&self, delay: Duration, close_delay: Duration) {
+        sleep(delay).await;
         self.agent.shut_down();
-        sleep(closes_after).await;
+        sleep(close_delay).await;
         self.clients.close_gracefully();
     }
 
     /// Nothing is left open or owed, and no promise was broken after all.
     pub(crate) async fn check_final_state(&self) {
-        self.trouble.set(false);
+        self.faults_enabled.set(false);
         sleep(SETTLE_TIME).await;
-        self.servers.close_all();
+        self.servers.close_connections();
         sleep(ms(100)).await;
         let mut ledger = self.ledger.borrow_mut();
-        let broken: Vec<String> =
-            ledger.asked.iter().filter(|(_, a)| a.promised && a.runs > 0).map(|(id, _)| id.clone()).collect();
-        broken.into_iter().for_each(|id| ledger.wrong(format!("REFUSED: {id} was promised not to run")));
-        let open = self.data_plane.open_connection_count();
+        let violating: Vec<String> = ledger
+            .requests
+            .iter()
+            .filter(|(_, a)| a.promised_not_to_run && a.run_count > 0)
+            .map(|(id, _)| id.clone())
+            .collect();
+        violating
+            .into_iter()
+            .for_each(|id| ledger.report_violation(format!("REFUSED: {id} was promised not to run")));
+        let open_connections = self.data_plane.open_connection_count();
         if self.clients.open_count() + self.clients.in_flight_count() > 0 {
-            ledger.wrong("OPEN: clients' connections are counted though all have left");
+            ledger.report_violation("OPEN: clients' connections are counted though all have left");
         }
-        if open > 0 {
-            ledger.wrong(format!("OPEN: {open} connections to servers are counted though none is open"));
+        if open_connections > 0 {
+            ledger.report_violation(format!(
+                "OPEN: {open_connections} connections to servers are counted though none is open"
+            ));
         }
     }
 }
 
 /// Plays on one thread, with time that is counted.
-pub(crate) fn run_simulation<F: Future>(world: F) -> F::Output {
+pub(crate) fn run_simulation<F: Future>(simulation: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), world)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), simulation)
 }
--- a/crates/node/tests/scripted/wire.rs
+++ b/crates/node/tests/scripted/wire.rs
@@ -10,68 +10,68 @@
 use tokio::io::{AsyncRead, AsyncReadExt as _, AsyncWrite, DuplexStream, ReadBuf, duplex};
 
 /// Bytes that wait in one direction of a connection.
-const WINDOW: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
 #[derive(Default)]
-struct Line {
-    reset: Cell<bool>,
-    waiting: RefCell<Vec<Waker>>,
+struct SharedState {
+    is_reset: Cell<bool>,
+    wakers: RefCell<Vec<Waker>>,
 }
 
 /// One end of a connection.
-pub(crate) struct Wire {
-    stream: DuplexStream,
-    line: Rc<Line>,
+pub(crate) struct ResettableStream {
+    inner: DuplexStream,
+    shared: Rc<SharedState>,
     unread: Vec<u8>,
 }
 
-pub(crate) fn wires() -> (Wire, Wire) {
-    let (near, far) = duplex(WINDOW);
-    let line = Rc::<Line>::default();
-    let end = |stream| Wire { stream, line: line.clone(), unread: Vec::new() };
-    (end(near), end(far))
+pub(crate) fn stream_pair() -> (ResettableStream, ResettableStream) {
+    let (one_end, other_end) = duplex(BUFFER_BYTES);
+    let shared = Rc::<SharedState>::default();
+    let end = |inner| ResettableStream { inner, shared: shared.clone(), unread: Vec::new() };
+    (end(one_end), end(other_end))
 }
 
-impl Wire {
+impl ResettableStream {
     /// What either side still has to read is lost.
     pub(crate) fn reset(&self) {
-        self.line.reset.set(true);
-        self.line.waiting.borrow_mut().drain(..).for_each(Waker::wake);
+        self.shared.is_reset.set(true);
+        self.shared.wakers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
-    fn check(&self, cx: &Context<'_>) -> io::Result<()> {
-        if self.line.reset.get() {
+    fn check_reset(&self, cx: &Context<'_>) -> io::Result<()> {
+        if self.shared.is_reset.get() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        let mut waiting = self.line.waiting.borrow_mut();
-        if !waiting.iter().any(|waker| waker.will_wake(cx.waker())) {
-            waiting.push(cx.waker().clone());
+        let mut wakers = self.shared.wakers.borrow_mut();
+        if !wakers.iter().any(|waker| waker.will_wake(cx.waker())) {
+            wakers.push(cx.waker().clone());
         }
         Ok(())
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for ResettableStream {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.check(cx)?;
-        Pin::new(&mut self.stream).poll_read(cx, bytes)
+        self.check_reset(cx)?;
+        Pin::new(&mut self.inner).poll_read(cx, bytes)
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for ResettableStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.check(cx)?;
-        Pin::new(&mut self.stream).poll_write(cx, bytes)
+        self.check_reset(cx)?;
+        Pin::new(&mut self.inner).poll_write(cx, bytes)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+        Pin::new(&mut self.inner).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+        Pin::new(&mut self.inner).poll_shutdown(cx)
     }
 }
 
@@ -95,21 +95,21 @@
 
 /// Why no message came.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Fault {
+pub(crate) enum ReadError {
     /// The connection ended between messages, ...
-    Ended,
+    Closed,
     /// ... or inside one.
-    Broken,
+    Truncated,
     /// What came is none.
-    Nonsense(String),
+    Malformed(String),
 }
 
-impl Wire {
-    async fn more(&mut self, inside: bool) -> Result<(), Fault> {
+impl ResettableStream {
+    async fn read_more(&mut self, in_message: bool) -> Result<(), ReadError> {
         let mut bytes = [0; 4096];
         match self.read(&mut bytes).await {
-            Ok(0) | Err(_) if inside || !self.unread.is_empty() => Err(Fault::Broken),
-            Ok(0) | Err(_) => Err(Fault::Ended),
+            Ok(0) | Err(_) if in_message || !self.unread.is_empty() => Err(ReadError::Truncated),
+            Ok(0) | Err(_) => Err(ReadError::Closed),
             Ok(n) => {
                 self.unread.extend_from_slice(&bytes[..n]);
                 Ok(())
@@ -118,55 +118,57 @@
     }
 
     /// Waits for the first bytes of a message.
-    pub(crate) async fn begins(&mut self) -> Result<(), Fault> {
+    pub(crate) async fn wait_for_message(&mut self) -> Result<(), ReadError> {
         while self.unread.is_empty() {
-            self.more(false).await?;
+            self.read_more(false).await?;
         }
         Ok(())
     }
 
-    async fn line(&mut self, inside: bool) -> Result<String, Fault> {
+    async fn read_line(&mut self, in_message: bool) -> Result<String, ReadError> {
         loop {
-            if let Some(at) = self.unread.windows(2).position(|two| two == b"\r\n") {
-                let line: Vec<u8> = self.unread.drain(..at + 2).take(at).collect();
-                return String::from_utf8(line).map_err(|_| Fault::Nonsense("no text".to_owned()));
+            if let Some(length) = self.unread.windows(2).position(|pair| pair == b"\r\n") {
+                let line: Vec<u8> = self.unread.drain(..length + 2).take(length).collect();
+                return String::from_utf8(line).map_err(|_| ReadError::Malformed("no text".to_owned()));
             }
-            self.more(inside).await?;
+            self.read_more(in_message).await?;
         }
     }
 
-    async fn exactly(&mut self, length: usize) -> Result<Vec<u8>, Fault> {
+    async fn read_exactly(&mut self, length: usize) -> Result<Vec<u8>, ReadError> {
         while self.unread.len() < length {
-            self.more(true).await?;
+            self.read_more(true).await?;
         }
         Ok(self.unread.drain(..length).collect())
     }
 
     /// The next message, whole. Its body has a length or comes in chunks, or there is none.
-    pub(crate) async fn message(&mut self) -> Result<Message, Fault> {
-        let mut message = Message { start_line: self.line(false).await?, ..Message::default() };
+    pub(crate) async fn read_message(&mut self) -> Result<Message, ReadError> {
+        let mut message = Message { start_line: self.read_line(false).await?, ..Message::default() };
         loop {
-            let line = self.line(true).await?;
+            let line = self.read_line(true).await?;
             if line.is_empty() {
                 break;
             }
-            let Some((name, value)) = line.split_once(':') else { return Err(Fault::Nonsense(line)) };
+            let Some((name, value)) = line.split_once(':') else { return Err(ReadError::Malformed(line)) };
             message.headers.entry(name.to_ascii_lowercase()).or_default().push(value.trim().to_owned());
         }
         if message.header("transfer-encoding").is_some() {
             loop {
-                let line = self.line(true).await?;
-                let Ok(length) = usize::from_str_radix(&line, 16) else { return Err(Fault::Nonsense(line)) };
-                message.body.extend(self.exactly(length).await?);
-                self.line(true).await?;
+                let line = self.read_line(true).await?;
+                let Ok(length) = usize::from_str_radix(&line, 16) else {
+                    return Err(ReadError::Malformed(line));
+                };
+                message.body.extend(self.read_exactly(length).await?);
+                self.read_line(true).await?;
                 if length == 0 {
                     return Ok(message);
                 }
             }
         }
         let length = message.header("content-length").map_or(Ok(0), str::parse);
-        let Ok(length) = length else { return Err(Fault::Nonsense("a length".to_owned())) };
-        message.body = self.exactly(length).await?;
+        let Ok(length) = length else { return Err(ReadError::Malformed("a length".to_owned())) };
+        message.body = self.read_exactly(length).await?;
         Ok(message)
     }
 }
--- a/crates/node/tests/simulation/bounds.rs
+++ b/crates/node/tests/simulation/bounds.rs
@@ -33,7 +33,7 @@
 }
 
 impl Bounds {
-    pub(crate) fn place(&self, host: &str, zone: &str) {
+    pub(crate) fn set_zone(&self, host: &str, zone: &str) {
         self.zones.borrow_mut().insert(host.to_owned(), zone.to_owned());
     }
 
@@ -46,12 +46,12 @@
         Traffic { connection_attempts: self.connection_attempts.get(), ..self.traffic.borrow().clone() }
     }
 
-    pub(super) fn called(&self) {
+    pub(super) fn record_connection_attempt(&self) {
         self.connection_attempts.set(self.connection_attempts.get() + 1);
     }
 
     /// The time at which this machine has handled so many more bytes.
-    fn handled(&self, host: &str, bytes: usize) -> Option<Instant> {
+    fn processing_end(&self, host: &str, bytes: usize) -> Option<Instant> {
         let processor = *self.processors.borrow().get(host)?;
         let cost = processor.per_chunk + processor.per_byte * u32::try_from(bytes).unwrap_or(u32::MAX);
         let (mut busy, now) = (self.busy_until.borrow_mut(), Instant::now());
@@ -66,8 +66,8 @@
         if let Some(zones) = zone(from).zip(zone(to)) {
             *self.traffic.borrow_mut().bytes.entry(zones).or_default() += bytes as u64;
         }
-        let handled = [self.handled(from, bytes), self.handled(to, bytes)];
-        if let Some(until) = handled.into_iter().flatten().max() {
+        let ends = [self.processing_end(from, bytes), self.processing_end(to, bytes)];
+        if let Some(until) = ends.into_iter().flatten().max() {
             sleep_until(until).await;
         }
     }
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -31,13 +31,13 @@
 }
 
 /// One way between any two machines.
-const WAY: Duration = ms(4);
+const LINK_DELAY: Duration = ms(4);
 /// What a sync takes.
-const SYNC: Duration = ms(5);
+const DEFAULT_SYNC_TIME: Duration = ms(5);
 /// Time between a process being told to end and its end by force.
 pub(crate) const GRACE_PERIOD: Duration = ms(6000);
 /// Bytes that wait in a connection.
-const WINDOW: usize = 64 << 10;
+const CONNECTION_BUFFER_BYTES: usize = 64 << 10;
 
 /// A small configuration; `salt` tells two of one version apart.
 pub(crate) fn configuration(version: u64, salt: u64) -> String {
@@ -55,7 +55,7 @@
 pub(crate) fn large_configuration(version: u64, routes: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(version);
     let mut name = |len: usize| (0..len).map(|_| rng.alphanumeric()).collect::<String>();
-    let more: String = (0..routes)
+    let extra_routes: String = (0..routes)
         .map(|_| {
             format!(
                 ",{{\"name\":\"r-{}\",\"host\":\"h.example\",\"path-prefix\":\"/{}/\",\"kind\":\"idempotent\",\
@@ -65,25 +65,25 @@
             )
         })
         .collect();
-    configuration(version, 0).replace("}],\"services\"", &format!("}}{more}],\"services\""))
+    configuration(version, 0).replace("}],\"services\"", &format!("}}{extra_routes}],\"services\""))
 }
 
 type Job = Box<dyn FnOnce(Rc<Agent>)>;
 
 /// Some machines that are cut off from all others, both ways or one way.
-struct Cut {
-    far: BTreeSet<String>,
+struct Partition {
+    machines: BTreeSet<String>,
     /// What the others say does not reach them.
-    inward: bool,
+    blocks_inbound: bool,
     /// What they say does not reach the others.
-    outward: bool,
+    blocks_outbound: bool,
 }
 
-impl Cut {
-    fn stops(&self, from: &str, to: &str) -> bool {
-        match (self.far.contains(from), self.far.contains(to)) {
-            (false, true) => self.inward,
-            (true, false) => self.outward,
+impl Partition {
+    fn blocks(&self, from: &str, to: &str) -> bool {
+        match (self.machines.contains(from), self.machines.contains(to)) {
+            (false, true) => self.blocks_inbound,
+            (true, false) => self.blocks_outbound,
             _ => false,
         }
     }
@@ -92,20 +92,20 @@
 /// The network: who listens, and which machines are cut off from the others.
 #[derive(Default)]
 pub(crate) struct Network {
-    doors: RefCell<BTreeMap<String, mpsc::UnboundedSender<Halves>>>,
+    listeners: RefCell<BTreeMap<String, mpsc::UnboundedSender<Halves>>>,
     /// By number, each until it is mended.
-    cuts: RefCell<BTreeMap<u64, Cut>>,
-    next_cut: Cell<u64>,
+    partitions: RefCell<BTreeMap<u64, Partition>>,
+    last_partition: Cell<u64>,
     /// What a message may take longer than [`WAY`], each a time of its own.
     pub jitter: Cell<Duration>,
     /// Machines that take in so many bytes a second, and until when what is on its way keeps each busy.
-    narrow: RefCell<BTreeMap<String, (u64, Instant)>>,
+    bandwidth_limits: RefCell<BTreeMap<String, (u64, Instant)>>,
     /// Halves between two machines that carry nothing, by their addresses.
-    severed: RefCell<BTreeSet<(String, String)>>,
+    blocked_links: RefCell<BTreeSet<(String, String)>>,
     /// Rises with each moment at which a machine's connections break.
-    breaks: RefCell<BTreeMap<String, u32>>,
-    pumps: RefCell<Vec<Pin<Box<dyn Future<Output = ()>>>>>,
-    wanted: RefCell<Option<Waker>>,
+    break_counts: RefCell<BTreeMap<String, u32>>,
+    new_pumps: RefCell<Vec<Pin<Box<dyn Future<Output = ()>>>>>,
+    pump_waker: RefCell<Option<Waker>>,
     pub bounds: bounds::Bounds,
 }
 
@@ -123,29 +123,29 @@
 
 impl Network {
     /// Whether what one machine says does not reach another.
-    fn is_cut(&self, from: &str, to: &str) -> bool {
-        let way = (host(from).to_owned(), host(to).to_owned());
-        self.severed.borrow().contains(&way)
-            || self.cuts.borrow().values().any(|cut| cut.stops(&way.0, &way.1))
+    fn is_blocked(&self, from: &str, to: &str) -> bool {
+        let link = (host(from).to_owned(), host(to).to_owned());
+        self.blocked_links.borrow().contains(&link)
+            || self.partitions.borrow().values().any(|partition| partition.blocks(&link.0, &link.1))
     }
 
     /// What one machine says no longer reaches another; the way back is left as it is.
     pub(crate) fn block(&self, from: &str, to: &str) {
-        self.severed.borrow_mut().insert((from.to_owned(), to.to_owned()));
+        self.blocked_links.borrow_mut().insert((from.to_owned(), to.to_owned()));
     }
 
     /// A machine takes in so many bytes a second, over all its connections.
     #[allow(dead_code, reason = "not all tests that share the simulation have narrow links")]
-    pub(crate) fn limit_bandwidth(&self, machine: &str, bytes_a_second: u64) {
-        self.narrow.borrow_mut().insert(machine.to_owned(), (bytes_a_second, Instant::now()));
+    pub(crate) fn limit_bandwidth(&self, machine: &str, bytes_per_second: u64) {
+        self.bandwidth_limits.borrow_mut().insert(machine.to_owned(), (bytes_per_second, Instant::now()));
     }
 
     /// What so many bytes wait for and take at the machine that they are for.
-    fn takes(&self, to: &str, bytes: usize) -> Duration {
-        let (mut narrow, now) = (self.narrow.borrow_mut(), Instant::now());
-        let Some((rate, busy)) = narrow.get_mut(host(to)) else { return Duration::ZERO };
-        *busy = now.max(*busy) + Duration::from_secs_f64(bytes as f64 / *rate as f64);
-        *busy - now
+    fn transfer_delay(&self, to: &str, bytes: usize) -> Duration {
+        let (mut limits, now) = (self.bandwidth_limits.borrow_mut(), Instant::now());
+        let Some((rate, busy_until)) = limits.get_mut(host(to)) else { return Duration::ZERO };
+        *busy_until = now.max(*busy_until) + Duration::from_secs_f64(bytes as f64 / *rate as f64);
+        *busy_until - now
     }
 
     /// Neither of two machines reaches the other.
@@ -156,60 +156,64 @@
 
     /// All reach each other again.
     pub(crate) fn heal_all(&self) {
-        self.cuts.borrow_mut().clear();
-        self.severed.borrow_mut().clear();
+        self.partitions.borrow_mut().clear();
+        self.blocked_links.borrow_mut().clear();
     }
 
     pub(crate) fn break_connections(&self, machine: &str) {
-        *self.breaks.borrow_mut().entry(machine.to_owned()).or_default() += 1;
+        *self.break_counts.borrow_mut().entry(machine.to_owned()).or_default() += 1;
     }
 
-    fn broken(&self, a: &str, b: &str) -> u32 {
-        let breaks = self.breaks.borrow();
-        [a, b].iter().filter_map(|m| breaks.get(host(m))).sum()
+    fn break_count(&self, a: &str, b: &str) -> u32 {
+        let break_counts = self.break_counts.borrow();
+        [a, b].iter().filter_map(|m| break_counts.get(host(m))).sum()
     }
 
-    pub(crate) fn heal_partition(&self, cut: u64) {
-        self.cuts.borrow_mut().remove(&cut);
+    pub(crate) fn heal_partition(&self, partition: u64) {
+        self.partitions.borrow_mut().remove(&partition);
     }
 
     /// Cuts these machines off from all others; the number mends it.
-    pub(crate) fn partition(&self, direction: Direction, far: impl IntoIterator<Item = String>) -> u64 {
-        let number = self.next_cut.get() + 1;
-        self.next_cut.set(number);
-        let (inward, outward) = (direction != Direction::Outbound, direction != Direction::Inbound);
-        self.cuts.borrow_mut().insert(number, Cut { far: far.into_iter().collect(), inward, outward });
+    pub(crate) fn partition(&self, direction: Direction, machines: impl IntoIterator<Item = String>) -> u64 {
+        let number = self.last_partition.get() + 1;
+        self.last_partition.set(number);
+        let (blocks_inbound, blocks_outbound) =
+            (direction != Direction::Outbound, direction != Direction::Inbound);
+        self.partitions.borrow_mut().insert(
+            number,
+            Partition { machines: machines.into_iter().collect(), blocks_inbound, blocks_outbound },
+        );
         number
     }
 
-    fn is_far(&self, machine: &str) -> bool {
-        self.cuts.borrow().values().any(|cut| cut.far.contains(machine))
+    fn is_partitioned(&self, machine: &str) -> bool {
+        self.partitions.borrow().values().any(|partition| partition.machines.contains(machine))
     }
 
     fn delay(&self) -> Duration {
         let jitter = self.jitter.get().as_millis() as u64;
-        WAY + if jitter == 0 { Duration::ZERO } else { ms(fastrand::u64(..jitter)) }
+        LINK_DELAY + if jitter == 0 { Duration::ZERO } else { ms(fastrand::u64(..jitter)) }
     }
 
     /// Takes the place of the process at an address: whoever calls it from now on comes out here.
     pub(crate) fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Halves> {
-        let (door, callers) = mpsc::unbounded_channel();
-        self.doors.borrow_mut().insert(address.to_owned(), door);
-        callers
+        let (listener, connections) = mpsc::unbounded_channel();
+        self.listeners.borrow_mut().insert(address.to_owned(), listener);
+        connections
     }
 
     /// Calls the process at an address, with nothing in between.
     pub(crate) fn connect(&self, address: &str) -> Option<DuplexStream> {
-        let (near, far) = duplex(WINDOW);
+        let (near, far) = duplex(CONNECTION_BUFFER_BYTES);
         let (read, write) = split(far);
-        let door = self.doors.borrow().get(address).cloned()?;
-        door.send((Box::new(read), Box::new(write))).ok()?;
+        let listener = self.listeners.borrow().get(address).cloned()?;
+        listener.send((Box::new(read), Box::new(write))).ok()?;
         Some(near)
     }
 
-    fn carry(&self, pump: impl Future<Output = ()> + 'static) {
-        self.pumps.borrow_mut().push(Box::pin(pump));
-        self.wanted.borrow_mut().take().into_iter().for_each(Waker::wake);
+    fn spawn_pump(&self, pump: impl Future<Output = ()> + 'static) {
+        self.new_pumps.borrow_mut().push(Box::pin(pump));
+        self.pump_waker.borrow_mut().take().into_iter().for_each(Waker::wake);
     }
 }
 
@@ -218,12 +222,12 @@
     network: Rc<Network>, from: String, to: String, mut read: DuplexStream, mut write: DuplexStream,
 ) {
     let mut bytes = vec![0; 16 << 10];
-    let whole = network.broken(&from, &to);
-    while network.broken(&from, &to) == whole {
+    let breaks_at_start = network.break_count(&from, &to);
+    while network.break_count(&from, &to) == breaks_at_start {
         let n = read.read(&mut bytes).await.unwrap_or(0);
         record_traffic(&from, &to, &bytes[..n]);
-        sleep(network.delay() + network.takes(&to, n)).await;
-        while network.is_cut(&from, &to) {
+        sleep(network.delay() + network.transfer_delay(&to, n)).await;
+        while network.is_blocked(&from, &to) {
             sleep(ms(20)).await;
         }
         network.bounds.pass(host(&from), host(&to), n).await;
@@ -236,25 +240,34 @@
 /// A machine's way into the network.
 struct Endpoint {
     network: Rc<Network>,
-    own: String,
+    own_ip: String,
 }
 
 impl Transport for Endpoint {
     fn connect(&self, address: Address) -> Connecting {
-        let (network, own, address) = (self.network.clone(), self.own.clone(), address.to_string());
-        network.bounds.called();
+        let (network, own_ip, address) = (self.network.clone(), self.own_ip.clone(), address.to_string());
+        network.bounds.record_connection_attempt();
         Box::pin(async move {
-            sleep(WAY * 2).await;
-            while network.is_cut(&own, &address) || network.is_cut(&address, &own) {
+            sleep(LINK_DELAY * 2).await;
+            while network.is_blocked(&own_ip, &address) || network.is_blocked(&address, &own_ip) {
                 sleep(ms(20)).await;
             }
-            let door = network.doors.borrow().get(&address).cloned()?;
-            let pair = || (duplex(WINDOW), duplex(WINDOW));
-            let (((a_out, out), (there, b_in)), ((b_out, back), (here, a_in))) = (pair(), pair());
-            network.carry(pump(network.clone(), own.clone(), address.clone(), out, there));
-            network.carry(pump(network.clone(), address, own, back, here));
-            door.send((Box::new(b_in), Box::new(b_out))).ok()?;
-            Some((Box::new(a_in) as _, Box::new(a_out) as _))
+            let listener = network.listeners.borrow().get(&address).cloned()?;
+            let pair = || (duplex(CONNECTION_BUFFER_BYTES), duplex(CONNECTION_BUFFER_BYTES));
+            let (
+                ((caller_write, outgoing_read), (outgoing_write, callee_read)),
+                ((callee_write, incoming_read), (incoming_write, caller_read)),
+            ) = (pair(), pair());
+            network.spawn_pump(pump(
+                network.clone(),
+                own_ip.clone(),
+                address.clone(),
+                outgoing_read,
+                outgoing_write,
+            ));
+            network.spawn_pump(pump(network.clone(), address, own_ip, incoming_read, incoming_write));
+            listener.send((Box::new(callee_read), Box::new(callee_write))).ok()?;
+            Some((Box::new(caller_read) as _, Box::new(caller_write) as _))
         })
     }
 }
@@ -267,23 +280,23 @@
 }
 
 /// A process and all of its tasks: it can be frozen, and is gone whole when it is dropped or has ended.
-struct Body {
+struct ProcessTask {
     tasks: LocalSet,
-    ended: Rc<Cell<bool>>,
-    frozen: Rc<Cell<bool>>,
+    has_ended: Rc<Cell<bool>>,
+    is_frozen: Rc<Cell<bool>>,
     waker: Rc<RefCell<Option<Waker>>>,
 }
 
-impl Future for Body {
+impl Future for ProcessTask {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         *self.waker.borrow_mut() = Some(cx.waker().clone());
-        if self.frozen.get() {
+        if self.is_frozen.get() {
             return Poll::Pending;
         }
         let all_done = Pin::new(&mut self.tasks).poll(cx);
-        if self.ended.get() { Poll::Ready(()) } else { all_done }
+        if self.has_ended.get() { Poll::Ready(()) } else { all_done }
     }
 }
 
@@ -294,35 +307,39 @@
     pub zone: String,
     pub storage: Option<Storage>,
     /// As its settings file has them: those of the day on which it was written, and how many losses are to be borne.
-    pub seeds: RefCell<Vec<String>>,
-    losses: usize,
+    pub seed_nodes: RefCell<Vec<String>>,
+    max_failures: usize,
     /// Rises with each start of its process.
     pub start_count: Cell<u32>,
     /// Until when something was done to it; none while it lasts.
     pub healthy_since: Cell<Option<Instant>>,
     /// Taken away for good.
     pub is_removed: Cell<bool>,
-    body: RefCell<Option<JoinHandle<()>>>,
+    process_task: RefCell<Option<JoinHandle<()>>>,
     /// Told to end.
-    terminated: RefCell<Rc<Notify>>,
-    ended: Rc<Cell<bool>>,
-    frozen: Rc<Cell<bool>>,
+    termination: RefCell<Rc<Notify>>,
+    has_ended: Rc<Cell<bool>>,
+    is_frozen: Rc<Cell<bool>>,
     /// Rises whenever the process is started, killed, frozen or thawed.
-    disturbed: Cell<u32>,
+    disturbance_count: Cell<u32>,
     waker: Rc<RefCell<Option<Waker>>>,
     agent: Rc<RefCell<Option<Rc<Agent>>>>,
     jobs: RefCell<Option<mpsc::UnboundedSender<Job>>>,
 }
 
 impl Machine {
-    fn new(name: String, number: usize, disk: bool, seeds: Vec<String>, losses: usize) -> Self {
-        let storage =
-            disk.then(|| Storage { synced_state: Rc::default(), sync_time: Rc::new(Cell::new(SYNC)) });
+    fn new(
+        name: String, number: usize, has_disk: bool, seed_nodes: Vec<String>, max_failures: usize,
+    ) -> Self {
+        let storage = has_disk.then(|| Storage {
+            synced_state: Rc::default(),
+            sync_time: Rc::new(Cell::new(DEFAULT_SYNC_TIME)),
+        });
         let healthy_since = Cell::new(Some(Instant::now()));
         let ip = format!("10.0.{}.{}", number / 250, number % 250);
         let zone = format!("z{}", name.len() % 3);
-        let seeds = RefCell::new(seeds);
-        Machine { name, ip, zone, storage, seeds, losses, healthy_since, ..Machine::default() }
+        let seed_nodes = RefCell::new(seed_nodes);
+        Machine { name, ip, zone, storage, seed_nodes, max_failures, healthy_since, ..Machine::default() }
     }
 
     pub(crate) fn agent(&self) -> Option<Rc<Agent>> {
@@ -335,23 +352,26 @@
 
     /// Its settings name these machines from its next start on.
     #[allow(dead_code, reason = "not all tests that share the simulation change settings")]
-    pub(crate) fn set_seed_nodes(&self, seeds: &[Rc<Machine>]) {
-        *self.seeds.borrow_mut() = seeds.iter().map(|m| format!("{}:8047", m.ip)).collect();
+    pub(crate) fn set_seed_nodes(&self, seed_nodes: &[Rc<Machine>]) {
+        *self.seed_nodes.borrow_mut() = seed_nodes.iter().map(|m| format!("{}:8047", m.ip)).collect();
     }
 
-    pub(crate) fn freeze(&self, frozen: bool) {
-        self.disturbed.set(self.disturbed.get() + 1);
-        self.frozen.set(frozen);
+    pub(crate) fn freeze(&self, is_frozen: bool) {
+        self.disturbance_count.set(self.disturbance_count.get() + 1);
+        self.is_frozen.set(is_frozen);
         self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
     }
 
     pub(crate) fn is_stalled(&self) -> bool {
-        self.storage.as_ref().is_some_and(|storage| storage.sync_time.get() > SYNC)
+        self.storage.as_ref().is_some_and(|storage| storage.sync_time.get() > DEFAULT_SYNC_TIME)
     }
 
     /// Whether nothing is done to it at present.
     pub(crate) fn is_healthy(&self, network: &Network) -> bool {
-        self.body.borrow().is_some() && !self.frozen.get() && !self.is_stalled() && !network.is_far(&self.ip)
+        self.process_task.borrow().is_some()
+            && !self.is_frozen.get()
+            && !self.is_stalled()
+            && !network.is_partitioned(&self.ip)
     }
 
     /// Its disk is empty from now on.
@@ -361,49 +381,49 @@
 
     /// The process ends here and now; what its disk has not synced is lost.
     pub(crate) fn kill(&self, network: &Network) {
-        self.body.borrow_mut().take().into_iter().for_each(|body| body.abort());
+        self.process_task.borrow_mut().take().into_iter().for_each(|process_task| process_task.abort());
         (*self.jobs.borrow_mut(), *self.agent.borrow_mut()) = (None, None);
         self.freeze(false);
-        network.doors.borrow_mut().retain(|address, _| host(address) != self.ip);
+        network.listeners.borrow_mut().retain(|address, _| host(address) != self.ip);
     }
 
     /// The process is told to end, and ended if it takes longer than the platform waits. How long it took; none if it
     /// was ended.
     pub(crate) async fn terminate(&self, network: &Network) -> Option<Duration> {
-        let told = Instant::now();
-        self.terminated.borrow().notify_one();
-        while !self.ended.get() && told.elapsed() < GRACE_PERIOD {
+        let began = Instant::now();
+        self.termination.borrow().notify_one();
+        while !self.has_ended.get() && began.elapsed() < GRACE_PERIOD {
             sleep(ms(10)).await;
         }
-        let took = self.ended.get().then(|| told.elapsed());
+        let duration = self.has_ended.get().then(|| began.elapsed());
         self.kill(network);
-        took
+        duration
     }
 
     /// While this stands as it is and is there, the process runs and was not held up.
-    pub(crate) fn undisturbed(&self) -> Option<u32> {
-        (self.agent().is_some() && !self.frozen.get()).then(|| self.disturbed.get())
+    pub(crate) fn running_disturbance_count(&self) -> Option<u32> {
+        (self.agent().is_some() && !self.is_frozen.get()).then(|| self.disturbance_count.get())
     }
 
     /// What the process says to this, unless it takes longer than its caller waits.
     pub(crate) async fn call<T: 'static, F: Future<Output = T> + 'static>(
-        &self, patience: Duration, job: impl FnOnce(Rc<Agent>) -> F + 'static,
+        &self, call_timeout: Duration, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
-        let (done, answer) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
         let job = move |agent| {
             let job = job(agent);
-            spawn_local(async move { drop(done.send(job.await)) });
+            spawn_local(async move { drop(result_sender.send(job.await)) });
         };
         self.jobs.borrow().as_ref()?.send(Box::new(job)).ok()?;
-        timeout(patience, answer).await.ok()?.ok()
+        timeout(call_timeout, result).await.ok()?.ok()
     }
 
     pub(crate) fn start(&self, network: &Rc<Network>, bootstrap: bool) {
-        if self.body.borrow().is_some() {
+        if self.process_task.borrow().is_some() {
             return;
         }
         self.start_count.set(self.start_count.get() + 1);
-        let (jobs, todo) = mpsc::unbounded_channel();
+        let (job_sender, jobs) = mpsc::unbounded_channel();
         let control_node = self.storage.is_some();
         let disk = if control_node { "data-dir = \"-\"\n" } else { "" };
         let listen = if control_node {
@@ -418,51 +438,56 @@
             self.name,
             self.ip,
             self.zone,
-            self.seeds.borrow(),
-            self.losses,
+            self.seed_nodes.borrow(),
+            self.max_failures,
         );
         let settings = Settings::parse(&text, "-").expect("settings");
         let tasks = LocalSet::new();
-        let life = (u64::from(self.start_count.get()) << 32) | u64::from(fastrand::u32(..));
-        self.ended.set(false);
-        let (agent, terminated, ended) = (self.agent.clone(), Rc::new(Notify::new()), self.ended.clone());
-        *self.terminated.borrow_mut() = terminated.clone();
-        let orders = Orders { todo, terminated };
-        let running = process(settings, life, self.storage.clone(), network.clone(), agent, orders);
+        let incarnation = (u64::from(self.start_count.get()) << 32) | u64::from(fastrand::u32(..));
+        self.has_ended.set(false);
+        let (agent, termination, has_ended) =
+            (self.agent.clone(), Rc::new(Notify::new()), self.has_ended.clone());
+        *self.termination.borrow_mut() = termination.clone();
+        let commands = ProcessCommands { jobs, termination };
+        let process =
+            run_process(settings, incarnation, self.storage.clone(), network.clone(), agent, commands);
         tasks.spawn_local(async move {
-            running.await;
-            ended.set(true);
+            process.await;
+            has_ended.set(true);
         });
-        let ended = self.ended.clone();
-        let body = Body { tasks, ended, frozen: self.frozen.clone(), waker: self.waker.clone() };
-        *self.body.borrow_mut() = Some(spawn_local(body));
-        *self.jobs.borrow_mut() = Some(jobs);
+        let has_ended = self.has_ended.clone();
+        let process_task =
+            ProcessTask { tasks, has_ended, is_frozen: self.is_frozen.clone(), waker: self.waker.clone() };
+        *self.process_task.borrow_mut() = Some(spawn_local(process_task));
+        *self.jobs.borrow_mut() = Some(job_sender);
     }
 }
 
 /// Says what the processes log, with the time that is played.
-struct Aloud;
+struct LogDrain;
 
-impl Drain for Aloud {
+impl Drain for LogDrain {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
-        struct Words(String);
-        impl slog::Serializer for Words {
+        struct KeyValues(String);
+        impl slog::Serializer for KeyValues {
             fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments<'_>) -> slog::Result {
                 self.0 += &format!(" {key}={value}");
                 Ok(())
             }
         }
-        let mut words = Words(String::new());
-        let _ = values.serialize(record, &mut words).and_then(|()| record.kv().serialize(record, &mut words));
-        log_line(&format!("{}{}", record.msg(), words.0));
+        let mut key_values = KeyValues(String::new());
+        let _ = values
+            .serialize(record, &mut key_values)
+            .and_then(|()| record.kv().serialize(record, &mut key_values));
+        log_line(&format!("{}{}", record.msg(), key_values.0));
         Ok(())
     }
 }
 
-fn is_aloud() -> bool {
+fn is_log_printed() -> bool {
     std::env::var_os("NODE_LOG").is_some()
 }
 
@@ -476,7 +501,7 @@
 }
 
 thread_local! {
-    static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
+    static START_TIME: Cell<Option<Instant>> = const { Cell::new(None) };
     static RECORDING: RefCell<Option<Recording>> = const { RefCell::new(None) };
 }
 
@@ -497,15 +522,15 @@
 fn record_traffic(from: &str, to: &str, bytes: &[u8]) {
     RECORDING.with_borrow_mut(|recording| {
         let Some(recording) = recording else { return };
-        let way = (host(from).to_owned(), host(to).to_owned());
-        recording.traffic.entry(way).or_default().extend(bytes);
+        let link = (host(from).to_owned(), host(to).to_owned());
+        recording.traffic.entry(link).or_default().extend(bytes);
     });
 }
 
-pub(crate) fn log_line(what: &str) {
-    let began = BEGAN.get().unwrap_or_else(Instant::now);
-    let line = format!("{:8.3} {what}", began.elapsed().as_secs_f64());
-    if is_aloud() {
+pub(crate) fn log_line(message: &str) {
+    let began = START_TIME.get().unwrap_or_else(Instant::now);
+    let line = format!("{:8.3} {message}", began.elapsed().as_secs_f64());
+    if is_log_printed() {
         eprintln!("{line}");
     }
     RECORDING.with_borrow_mut(|recording| {
@@ -517,51 +542,51 @@
 }
 
 /// What a process is told from outside.
-struct Orders {
-    todo: mpsc::UnboundedReceiver<Job>,
-    terminated: Rc<Notify>,
+struct ProcessCommands {
+    jobs: mpsc::UnboundedReceiver<Job>,
+    termination: Rc<Notify>,
 }
 
 /// As `program::serve` has it, but for the sockets that face the outside.
-async fn process(
-    settings: Settings, life: u64, storage: Option<Storage>, network: Rc<Network>,
-    slot: Rc<RefCell<Option<Rc<Agent>>>>, mut orders: Orders,
+async fn run_process(
+    settings: Settings, incarnation: u64, storage: Option<Storage>, network: Rc<Network>,
+    agent_slot: Rc<RefCell<Option<Rc<Agent>>>>, mut commands: ProcessCommands,
 ) {
-    let log = match is_aloud() || is_recording() {
-        true => Logger::root(Aloud.fuse(), o!("at" => settings.node.clone())),
+    let log = match is_log_printed() || is_recording() {
+        true => Logger::root(LogDrain.fuse(), o!("at" => settings.node.clone())),
         false => Logger::root(Discard, o!()),
     };
     let address = format!("{}:7080", settings.ip);
-    let (door, mut callers) = mpsc::unbounded_channel();
-    network.doors.borrow_mut().insert(address.clone(), door);
-    let mut recalled = Vec::new();
+    let (listener, mut connections) = mpsc::unbounded_channel();
+    network.listeners.borrow_mut().insert(address.clone(), listener);
+    let mut recovered_servers = Vec::new();
     let mut local_replica = None;
     if let Some(storage) = storage {
-        let mut found = storage.synced_state.borrow().recovered();
-        recalled = std::mem::take(&mut found.servers);
+        let mut recovered = storage.synced_state.borrow().recovered();
+        recovered_servers = std::mem::take(&mut recovered.servers);
         let (disk, inbox) = Disk::new();
         spawn_local(async move {
             loop {
                 sleep(ms(1)).await;
-                let Some(mut wanted) = inbox.take() else { continue };
-                let mut whole = storage.synced_state.borrow().clone();
-                if wanted.apply_to(&mut whole) {
+                let Some(mut pending_write) = inbox.take() else { continue };
+                let mut state = storage.synced_state.borrow().clone();
+                if pending_write.apply_to(&mut state) {
                     sleep(storage.sync_time.get()).await;
-                    *storage.synced_state.borrow_mut() = whole;
+                    *storage.synced_state.borrow_mut() = state;
                 }
-                wanted.notify_synced();
+                pending_write.notify_synced();
             }
         });
-        let replica = recover_replica(&settings, &disk, found, &log).await;
+        let replica = recover_replica(&settings, &disk, recovered, &log).await;
         local_replica = Some(LocalReplica { replica, disk });
     }
     let disk = local_replica.as_ref().map(|local| local.replica.state().disk.clone());
-    let own = own_node(&settings, life, address.into(), disk);
-    let transport = Rc::new(Endpoint { network, own: settings.ip.clone() });
+    let own = own_node(&settings, incarnation, address.into(), disk);
+    let transport = Rc::new(Endpoint { network, own_ip: settings.ip.clone() });
     let parts = AgentParts { settings, own, local_replica, data_plane: None, transport, log };
     let agent = Agent::new(parts);
-    agent.restore_servers(recalled);
-    *slot.borrow_mut() = Some(agent.clone());
+    agent.restore_servers(recovered_servers);
+    *agent_slot.borrow_mut() = Some(agent.clone());
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut shutdown, clients) = (GracefulShutdown::default(), ClientConnections::default());
@@ -570,11 +595,11 @@
         tokio::select! {
             biased;
             _ = ticks.tick() => agent.tick(),
-            Some((read, write)) = callers.recv() => {
+            Some((read, write)) = connections.recv() => {
                 spawn_local(links::run(read, write, links::Direction::Incoming, agent.clone()));
             }
-            Some(job) = orders.todo.recv() => job(agent.clone()),
-            () = orders.terminated.notified() => shutdown.begin(),
+            Some(job) = commands.jobs.recv() => job(agent.clone()),
+            () = commands.termination.notified() => shutdown.begin(),
         }
         if shutdown.is_complete(&agent, &clients) {
             return;
@@ -589,29 +614,31 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(control_nodes: usize, gateways: usize, losses: usize) -> Rc<Self> {
-        Simulation::with_machines(control_nodes, gateways, losses, |_, machine| machine)
+    pub(crate) fn new(control_nodes: usize, gateways: usize, max_failures: usize) -> Rc<Self> {
+        Simulation::with_machines(control_nodes, gateways, max_failures, |_, machine| machine)
     }
 
     /// As [`Simulation::new`], with each machine, by its number, put into a zone of the caller's before it starts.
     pub(crate) fn with_machines(
-        control_nodes: usize, gateways: usize, losses: usize, place: impl Fn(usize, Machine) -> Machine,
+        control_nodes: usize, gateways: usize, max_failures: usize,
+        adjust: impl Fn(usize, Machine) -> Machine,
     ) -> Rc<Self> {
         let network = Rc::new(Network::default());
-        let carrying = network.clone();
+        let pump_network = network.clone();
         spawn_local(std::future::poll_fn(move |cx| {
-            carrying.pumps.borrow_mut().drain(..).for_each(|pump| drop(spawn_local(pump)));
-            *carrying.wanted.borrow_mut() = Some(cx.waker().clone());
+            pump_network.new_pumps.borrow_mut().drain(..).for_each(|pump| drop(spawn_local(pump)));
+            *pump_network.pump_waker.borrow_mut() = Some(cx.waker().clone());
             Poll::<()>::Pending
         }));
-        let seeds: Vec<String> = (1..=3).map(|n| format!("10.0.0.{n}:8047")).collect();
+        let seed_nodes: Vec<String> = (1..=3).map(|n| format!("10.0.0.{n}:8047")).collect();
         let machine = |n: usize| match n < control_nodes {
-            true => Machine::new(format!("control-{n}"), n + 1, true, seeds.clone(), losses),
-            false => Machine::new(format!("gateway-{n}"), n + 1, false, seeds.clone(), losses),
+            true => Machine::new(format!("control-{n}"), n + 1, true, seed_nodes.clone(), max_failures),
+            false => Machine::new(format!("gateway-{n}"), n + 1, false, seed_nodes.clone(), max_failures),
         };
-        let machines: Vec<_> = (0..control_nodes + gateways).map(|n| Rc::new(place(n, machine(n)))).collect();
+        let machines: Vec<_> =
+            (0..control_nodes + gateways).map(|n| Rc::new(adjust(n, machine(n)))).collect();
         for machine in &machines {
-            network.bounds.place(&machine.ip, &machine.zone);
+            network.bounds.set_zone(&machine.ip, &machine.zone);
             machine.start(&network, true);
         }
         Rc::new(Simulation { network, machines: RefCell::new(machines) })
@@ -620,9 +647,9 @@
     /// A new machine of the core, at an address of its own and with an empty disk.
     pub(crate) fn add_control_node(&self) -> Rc<Machine> {
         let number = self.machines.borrow().len() + 1;
-        let seeds = self.control_nodes().iter().take(3).map(|m| format!("{}:8047", m.ip)).collect();
-        let losses = self.machines.borrow()[0].losses;
-        let new = Rc::new(Machine::new(format!("control-{number}"), number, true, seeds, losses));
+        let seed_nodes = self.control_nodes().iter().take(3).map(|m| format!("{}:8047", m.ip)).collect();
+        let max_failures = self.machines.borrow()[0].max_failures;
+        let new = Rc::new(Machine::new(format!("control-{number}"), number, true, seed_nodes, max_failures));
         self.machines.borrow_mut().push(new.clone());
         new
     }
@@ -641,13 +668,13 @@
 }
 
 /// A task that panics ends by itself and nobody else is told: every panic is noted.
-fn note_panics() {
+fn record_panics() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
-        let before = std::panic::take_hook();
+        let previous_hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
             PANICS.with_borrow_mut(|panics| panics.push(info.to_string()));
-            before(info);
+            previous_hook(info);
         }));
     });
     PANICS.take();
@@ -660,12 +687,12 @@
 }
 
 /// Plays on one thread, with time that is counted.
-pub(crate) fn run_simulation<F: Future>(world: F) -> F::Output {
-    note_panics();
+pub(crate) fn run_simulation<F: Future>(simulation: F) -> F::Output {
+    record_panics();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    let began = async move {
-        BEGAN.set(Some(Instant::now()));
-        world.await
+    let timed = async move {
+        START_TIME.set(Some(Instant::now()));
+        simulation.await
     };
-    LocalSet::new().block_on(&runtime.expect("a runtime"), began)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), timed)
 }
