--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A whole system in one process on loopback, and servers of our own beside it that answer as they are told.
+//! Complete systems of one process each, on loopback addresses, and test servers whose responses are
+//! scripted.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,11 +15,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// Time within which something that must come about has: what it waits for is real disks and sockets, and how many
-/// tries fit into that depends on what else the machine does.
+/// Time to wait for an expected response. It is long because the systems use real disks and sockets, whose
+/// speed depends on the load of the machine.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request or an answer as it stood on the wire.
+/// An HTTP request or response as read from a connection.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Message {
     pub start_line: String,
@@ -27,16 +28,18 @@
 }
 
 impl Message {
+    /// Returns the status code of a response, or 0 if there is none.
     pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
+    /// Returns the value of a header, given in lower case, or the empty string.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// Reads one message; none where the connection ends before it is whole.
+/// Reads one message. Returns `None` if the connection ends before the message is complete.
 pub(crate) async fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut lines = Vec::new();
     loop {
@@ -61,17 +64,20 @@
     Some(Message { start_line: lines.swap_remove(0), headers, body })
 }
 
-/// What a server does with a request: the bytes that it sends, and whether it then closes.
+/// Script of a server: returns the bytes to send for a request, and whether to close the connection
+/// afterwards.
 pub(crate) type Script = Box<dyn FnMut(&Message) -> (Vec<u8>, bool)>;
 
+/// A test server on loopback.
 pub(crate) struct Server {
     pub id: String,
     pub service: String,
     pub address: SocketAddr,
+    /// All requests that it has received, in order.
     pub requests: Rc<RefCell<Vec<Message>>>,
 }
 
-/// A whole answer.
+/// Returns a complete response with the `Attempt-Id` of the request. Each line of `headers` ends with CRLF.
 pub(crate) fn build_response(request: &Message, status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let attempt_id = request.header("attempt-id");
     let head = format!(
@@ -81,13 +87,16 @@
     [head.as_bytes(), body].concat()
 }
 
+/// Returns what a script returns for a success: a response with a `Server-Seal`, on a connection that stays
+/// open.
 pub(crate) fn sealed_response(request: &Message, seal: &str, body: &[u8]) -> (Vec<u8>, bool) {
     (build_response(request, "200 OK", &format!("Server-Seal: {seal}\r\n"), body), false)
 }
 
+/// Starts a server that handles each request by the script.
 pub(crate) async fn start_server(id: &str, service: &str, script: Script) -> Server {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("a bound listener has an address");
     let requests: Rc<RefCell<Vec<Message>>> = Rc::default();
     let (recorded, script) = (requests.clone(), Rc::new(RefCell::new(script)));
     spawn_local(async move {
@@ -108,36 +117,39 @@
     Server { id: id.to_owned(), service: service.to_owned(), address, requests }
 }
 
+/// Addresses of a running system.
 pub(crate) struct TestSystem {
     pub front: SocketAddr,
     pub control: SocketAddr,
     pub readiness: SocketAddr,
 }
 
-/// An address of its own for each system, so that none takes another's ports.
+/// Returns a new loopback address for each call, so that systems can use the same ports.
 fn unique_ip() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     format!("127.{}.{}.1", 1 + std::process::id() % 250, NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// One exchange on a connection of its own.
+/// Sends a request on a new connection. Returns the response, or `None` if it is not complete.
 pub(crate) async fn send_request(to: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = BufReader::new(TcpStream::connect(to).await.ok()?);
     stream.write_all(request.as_bytes()).await.ok()?;
     read_message(&mut stream).await
 }
 
+/// Returns the text of a PUT request.
 pub(crate) fn put_request(path: &str, body: &str) -> String {
     format!("PUT {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 impl TestSystem {
-    /// A system of one machine, which starts on an empty disk.
+    /// Starts a system of one control node with an empty disk.
     pub(crate) fn start(name: &str) -> TestSystem {
         TestSystem::start_with_role(name, Role::Control, None)
     }
 
-    /// A gateway that takes control calls too, beside the control_node of another one.
+    /// Starts a gateway that listens for control calls too, with the control node of another system as its
+    /// seed.
     pub(crate) fn start_gateway(name: &str, control_node: &TestSystem) -> TestSystem {
         TestSystem::start_with_role(name, Role::Gateway, Some(control_node.control))
     }
@@ -147,7 +159,7 @@
         let _ = std::fs::remove_dir_all(&data_dir);
         let ip = unique_ip();
         let socket_address =
-            |port: u16| -> SocketAddr { format!("{ip}:{port}").parse().expect("an address") };
+            |port: u16| -> SocketAddr { format!("{ip}:{port}").parse().expect("the address is valid") };
         let (front, readiness, control, port) =
             (socket_address(8043), socket_address(8041), socket_address(8047), 7080);
         let seed = control_address.unwrap_or(control);
@@ -170,15 +182,15 @@
 control = "{control}"
 "#
         );
-        let settings = Settings::parse(&text, name).expect("settings");
+        let settings = Settings::parse(&text, name).expect("the settings are valid");
         spawn_local(async move {
             let log = Logger::root(Discard, o!());
-            serve(role, settings, None, log).await.expect("it serves");
+            serve(role, settings, None, log).await.expect("the process serves");
         });
         TestSystem { front, control, readiness }
     }
 
-    /// Tries until the answer is this one.
+    /// Repeats a request until the response has this status, and returns the response.
     pub(crate) async fn wait_for_status(&self, to: SocketAddr, request: &str, status: u16) -> Message {
         let began = Instant::now();
         while began.elapsed() < CONDITION_TIMEOUT {
@@ -189,9 +201,10 @@
             }
             yield_now().await;
         }
-        panic!("never {status}: {request}");
+        panic!("no response with status {status} within {CONDITION_TIMEOUT:?} to {request}");
     }
 
+    /// Puts a configuration, until it is accepted.
     pub(crate) async fn configure(&self, version: u64, routes: &str, services: &[&str]) {
         let services: Vec<String> =
             services.iter().map(|s| format!(r#"{{"name":"{s}","max-conns":64}}"#)).collect();
@@ -200,6 +213,7 @@
         self.wait_for_status(self.control, &put_request("/api/configuration", &body), 200).await;
     }
 
+    /// Sends a heartbeat of a server, until it is accepted.
     pub(crate) async fn send_heartbeat(&self, server: &Server, state: &str, seq: u64) {
         let body = format!(
             r#"{{"service":"{}","address":"{}","zone":"a","capacity":4,"state":"{state}","call-seq":{seq}}}"#,
@@ -213,19 +227,21 @@
         .await;
     }
 
-    /// Until the front takes clients.
+    /// Waits until the system reports that it is ready for clients.
     pub(crate) async fn wait_until_ready(&self) {
         self.wait_for_status(self.readiness, "GET /api/readiness HTTP/1.1\r\nHost: r\r\n\r\n", 200).await;
     }
 
+    /// Sends a query through the gateway and returns the response.
     pub(crate) async fn get(&self, path: &str, id: &str) -> Message {
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: 2000\r\n\r\n"
         );
-        send_request(self.front, &request).await.expect("a whole answer")
+        send_request(self.front, &request).await.expect("the response is complete")
     }
 }
 
+/// Returns the JSON text of a route. `target` holds the keys that name its service or services.
 pub(crate) fn route_json(name: &str, kind: &str, target: &str) -> String {
     format!(
         r#"{{"name":"{name}","host":"h.example","path-prefix":"/{name}/","kind":"{kind}","deadline-ms":2000,
@@ -233,8 +249,11 @@
     )
 }
 
-/// Runs a test's tasks on one thread.
+/// Runs a test and its tasks on one thread, with real time.
 pub(crate) fn run_test<F: Future<Output = ()>>(test: F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("the runtime can be created");
     LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway as it serves, between clients and servers that are played: the connections, the ledger of what was asked,
-//! run and answered, and the whole that is put together from them.
+//! A complete gateway between scripted clients and servers. A ledger records the requests that were sent,
+//! executed and responded to, and the violations found.
 
 pub(crate) mod client;
 pub(crate) mod server;
@@ -29,44 +29,46 @@
     Duration::from_millis(ms)
 }
 
-/// The services, and how many servers each has.
+/// Services of the configuration, with their number of servers.
 const SERVICES: [(&str, usize); 5] = [("s", 5), ("lone", 1), ("a", 2), ("b", 2), ("c", 2)];
-/// How many records the gathered answer has.
+/// Number of records in a gathered response.
 pub(crate) const TOP_K: usize = 5;
-/// Time in which what is left over at the end comes to its end.
+/// Time after the last request in which all pending work must end.
 const SETTLE_TIME: Duration = ms(3000);
 
-/// What was done how often.
+/// How often each event occurred.
 pub(crate) type Counts = BTreeMap<&'static str, u32>;
 
-/// A request as its client sent it, and what servers made of it.
+/// A request as its client sent it, and what servers did with it.
 pub(crate) struct RecordedRequest {
     pub method: &'static str,
     pub target: String,
     pub body: Vec<u8>,
-    /// It must not run twice.
+    /// Whether it must not run twice.
     pub at_most_once: bool,
-    /// Its client has sent all of it.
+    /// Whether its client has sent all of it.
     pub is_sent_completely: bool,
+    /// Number of times that a server has executed it.
     pub run_count: u32,
-    /// Servers that have read it and still owe its answer, on connections that are sound.
+    /// Number of servers that have read it and not yet responded, on connections where the next response can
+    /// only be its own.
     pub pending_count: u32,
-    /// What servers did with it, in their order.
+    /// Actions of servers on it, in order.
     pub actions: Vec<&'static str>,
-    /// Its client was told that it has not run and never will.
+    /// Whether its client got a status that promises that it has not run and never will.
     pub promised_not_to_run: bool,
 }
 
-/// An answer that a server has given, under its seal.
+/// A response that a server has sent with a seal.
 pub(crate) struct SealedResponse {
     pub attempt: String,
     pub service: &'static str,
     pub body: Vec<u8>,
-    /// A success, in the server's own words.
+    /// Whether the server sent it as a success.
     pub is_success: bool,
 }
 
-/// All that clients and servers know together, and what was found wrong.
+/// What clients and servers have recorded: requests by attempt, responses by seal, violations and counts.
 #[derive(Default)]
 pub(crate) struct Ledger {
     pub requests: BTreeMap<String, RecordedRequest>,
@@ -84,37 +86,40 @@
         *self.counts.entry(event).or_default() += 1;
     }
 
+    /// Records what a server does with a request.
     pub(crate) fn record_action(&mut self, attempt: &str, action: &'static str) {
         self.requests.get_mut(attempt).into_iter().for_each(|request| request.actions.push(action));
     }
 
-    /// A server runs this.
+    /// Records that a server executes a request, and checks that it may.
     pub(crate) fn record_run(&mut self, attempt: &str) {
         let Some(request) = self.requests.get_mut(attempt) else { return };
         request.run_count += 1;
         let (runs_again, promised_not_to_run) =
             (request.at_most_once && request.run_count > 1, request.promised_not_to_run);
         if runs_again {
-            self.report_violation(format!("TWICE: {attempt} has run again"));
+            self.report_violation(format!("TWICE: {attempt} has run more than once"));
         }
         if promised_not_to_run {
-            self.report_violation(format!("REFUSED: {attempt} runs after the promise that it never will"));
+            self.report_violation(format!(
+                "PROMISE BROKEN: {attempt} runs after a status that promised that it never will"
+            ));
         }
     }
 }
 
-/// The gateway and all around it.
+/// The gateway with its servers and the ledger.
 pub(crate) struct World {
     pub agent: Rc<Agent>,
     pub data_plane: Rc<DataPlane>,
     pub clients: Rc<ClientConnections>,
     pub ledger: Rc<RefCell<Ledger>>,
     servers: Rc<Servers>,
-    /// Until the end, servers do as they are drawn.
+    /// Whether servers take random actions; without faults each sends a normal response.
     faults_enabled: Rc<Cell<bool>>,
 }
 
-/// No other processes are there.
+/// Transport of a system of one process: there are no peers to connect to.
 struct NoPeers;
 
 impl Transport for NoPeers {
@@ -128,9 +133,10 @@
                 seed-nodes = [\"10.0.0.1:8047\"]\nbeat-interval-ms = 3600000\ndata-dir = \"-\"\n\
                 [listen]\ncontrol = \"10.0.0.1:8047\"\nfront = \"10.0.0.1:8043\"\n\
                 [bounds]\nretry-ratio = 1.0\nretry-slack = 1000000.0\n";
-    Settings::parse(text, "-").expect("settings")
+    Settings::parse(text, "-").expect("the settings are valid")
 }
 
+/// Returns a configuration with routes for queries, for calls that must not run twice, and for gathering.
 fn configuration() -> String {
     let route = |name: &str, kind: &str, target: &str| {
         format!(
@@ -148,7 +154,7 @@
     format!(r#"{{"version":1,"routes":[{}],"services":[{}]}}"#, routes.join(","), services.join(","))
 }
 
-/// A disk that keeps all in a moment.
+/// Starts a disk that stores all writes in memory within a millisecond.
 fn start_in_memory_disk() -> Disk {
     let (disk, inbox) = Disk::new();
     spawn_local(async move {
@@ -164,6 +170,7 @@
 }
 
 impl World {
+    /// Starts a gateway with its configuration in force and all servers known.
     pub(crate) async fn start(seed: u64) -> Rc<World> {
         fastrand::seed(seed);
         let (settings, log) = (settings(), Logger::root(Discard, o!()));
@@ -180,7 +187,7 @@
         let agent = Agent::new(AgentParts { settings, own, local_replica, data_plane, transport, log });
         agent.tick();
         let put = agent.put(configuration().as_bytes()).await;
-        assert!(matches!(put, PutOutcome::Accepted { version: 1 }), "the configuration is in force");
+        assert!(matches!(put, PutOutcome::Accepted { version: 1 }), "the configuration is accepted");
         let mut rng = fastrand::Rng::with_seed(seed);
         for (service, count) in SERVICES {
             for n in 0..count {
@@ -195,7 +202,7 @@
                     sequence: 1,
                 };
                 servers.add(server);
-                assert!(agent.record_heartbeat(heartbeat).await.is_ok(), "the server is known");
+                assert!(agent.record_heartbeat(heartbeat).await.is_ok(), "the heartbeat is accepted");
             }
         }
         let ticking_agent = agent.clone();
@@ -208,7 +215,7 @@
         Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, faults_enabled })
     }
 
-    /// Ends in order while clients go on, as a process does on SIGTERM.
+    /// Shuts the gateway down gracefully while clients continue, as a process does on SIGTERM.
     pub(crate) async fn shut_down_after(&self, delay: Duration, close_delay: Duration) {
         sleep(delay).await;
         self.agent.shut_down();
@@ -216,7 +223,7 @@
         self.clients.close_gracefully();
     }
 
-    /// Nothing is left open or owed, and no promise was broken after all.
+    /// Checks that no connection is left open and that no request has run against a promise.
     pub(crate) async fn check_final_state(&self) {
         self.faults_enabled.set(false);
         sleep(SETTLE_TIME).await;
@@ -229,23 +236,27 @@
             .filter(|(_, a)| a.promised_not_to_run && a.run_count > 0)
             .map(|(id, _)| id.clone())
             .collect();
-        violating
-            .into_iter()
-            .for_each(|id| ledger.report_violation(format!("REFUSED: {id} was promised not to run")));
+        violating.into_iter().for_each(|id| {
+            ledger.report_violation(format!(
+                "PROMISE BROKEN: {id} has run, though its status promised that it never would"
+            ))
+        });
         let open_connections = self.data_plane.open_connection_count();
         if self.clients.open_count() + self.clients.in_flight_count() > 0 {
-            ledger.report_violation("OPEN: clients' connections are counted though all have left");
+            ledger.report_violation(
+                "OPEN: connections or requests of clients are still counted after all clients have left",
+            );
         }
         if open_connections > 0 {
             ledger.report_violation(format!(
-                "OPEN: {open_connections} connections to servers are counted though none is open"
+                "OPEN: {open_connections} connections to servers are still counted after all were closed"
             ));
         }
     }
 }
 
-/// Plays on one thread, with time that is counted.
+/// Runs a simulation to its end on one thread, with simulated time.
 pub(crate) fn run_simulation<F: Future>(simulation: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), simulation)
+    LocalSet::new().block_on(&runtime.expect("the runtime can be created"), simulation)
 }
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -1,4 +1,5 @@
-//! Servers that do everything wrong that a server may: what each does with a request is drawn, and noted in the ledger.
+//! Servers that do everything wrong that a server may: what each does with a request is drawn, and noted in
+//! the ledger.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/node/tests/scripted/wire.rs
+++ b/crates/node/tests/scripted/wire.rs
@@ -1,4 +1,4 @@
-//! Connections in memory that can be reset, and the messages on them, read as strictly as the protocol has them.
+//! In-memory connections that can be reset, and a strict reader of the HTTP messages on them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,22 +9,25 @@
 
 use tokio::io::{AsyncRead, AsyncReadExt as _, AsyncWrite, DuplexStream, ReadBuf, duplex};
 
-/// Bytes that wait in one direction of a connection.
+/// Capacity of each direction of a connection.
 const BUFFER_BYTES: usize = 16 << 10;
 
+/// State that both ends of a connection share.
 #[derive(Default)]
 struct SharedState {
     is_reset: Cell<bool>,
+    /// Tasks to wake when the connection is reset.
     wakers: RefCell<Vec<Waker>>,
 }
 
-/// One end of a connection.
+/// One end of an in-memory connection.
 pub(crate) struct ResettableStream {
     inner: DuplexStream,
     shared: Rc<SharedState>,
     unread: Vec<u8>,
 }
 
+/// Returns both ends of a new connection.
 pub(crate) fn stream_pair() -> (ResettableStream, ResettableStream) {
     let (one_end, other_end) = duplex(BUFFER_BYTES);
     let shared = Rc::<SharedState>::default();
@@ -33,12 +36,13 @@
 }
 
 impl ResettableStream {
-    /// What either side still has to read is lost.
+    /// Resets the connection. Both ends lose the data that they have not read.
     pub(crate) fn reset(&self) {
         self.shared.is_reset.set(true);
         self.shared.wakers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
+    /// Fails if the connection was reset; otherwise registers the task to be woken at a reset.
     fn check_reset(&self, cx: &Context<'_>) -> io::Result<()> {
         if self.shared.is_reset.get() {
             return Err(io::ErrorKind::ConnectionReset.into());
@@ -75,7 +79,7 @@
     }
 }
 
-/// A request or an answer as it stood on the wire.
+/// An HTTP request or response as read from a connection.
 #[derive(Debug, Default)]
 pub(crate) struct Message {
     pub start_line: String,
@@ -84,27 +88,30 @@
 }
 
 impl Message {
+    /// Returns the first value of a header, given in lower case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|values| values.first()).map(String::as_str)
     }
 
+    /// Returns the status code of a response, or 0 if there is none.
     pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Why no message came.
+/// Why no message was read.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ReadError {
-    /// The connection ended between messages, ...
+    /// The connection ended between two messages.
     Closed,
-    /// ... or inside one.
+    /// The connection ended within a message.
     Truncated,
-    /// What came is none.
+    /// The bytes are not a valid message; holds the invalid text.
     Malformed(String),
 }
 
 impl ResettableStream {
+    /// Reads more bytes. `in_message` says whether a message has begun, so that an end would truncate it.
     async fn read_more(&mut self, in_message: bool) -> Result<(), ReadError> {
         let mut bytes = [0; 4096];
         match self.read(&mut bytes).await {
@@ -117,7 +124,7 @@
         }
     }
 
-    /// Waits for the first bytes of a message.
+    /// Waits until the first bytes of a message have arrived.
     pub(crate) async fn wait_for_message(&mut self) -> Result<(), ReadError> {
         while self.unread.is_empty() {
             self.read_more(false).await?;
@@ -125,11 +132,13 @@
         Ok(())
     }
 
+    /// Reads a line and returns it without its line end.
     async fn read_line(&mut self, in_message: bool) -> Result<String, ReadError> {
         loop {
             if let Some(length) = self.unread.windows(2).position(|pair| pair == b"\r\n") {
                 let line: Vec<u8> = self.unread.drain(..length + 2).take(length).collect();
-                return String::from_utf8(line).map_err(|_| ReadError::Malformed("no text".to_owned()));
+                return String::from_utf8(line)
+                    .map_err(|_| ReadError::Malformed("a line that is not UTF-8".to_owned()));
             }
             self.read_more(in_message).await?;
         }
@@ -142,7 +151,7 @@
         Ok(self.unread.drain(..length).collect())
     }
 
-    /// The next message, whole. Its body has a length or comes in chunks, or there is none.
+    /// Reads the next message completely. Without `Content-Length` and chunked encoding it has no body.
     pub(crate) async fn read_message(&mut self) -> Result<Message, ReadError> {
         let mut message = Message { start_line: self.read_line(false).await?, ..Message::default() };
         loop {
@@ -167,7 +176,9 @@
             }
         }
         let length = message.header("content-length").map_or(Ok(0), str::parse);
-        let Ok(length) = length else { return Err(ReadError::Malformed("a length".to_owned())) };
+        let Ok(length) = length else {
+            return Err(ReadError::Malformed("an invalid Content-Length".to_owned()));
+        };
         message.body = self.read_exactly(length).await?;
         Ok(message)
     }
--- a/crates/node/tests/simulation/bounds.rs
+++ b/crates/node/tests/simulation/bounds.rs
@@ -1,5 +1,5 @@
-//! What machines can take, and what they took: the processor's time for each byte, bytes by the zones that they pass
-//! between, connections that were called.
+//! Processor limits of simulated machines, and measurement of their traffic: bytes by pair of zones, and
+//! connection attempts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,26 +7,28 @@
 
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes that went from one zone to another, and connections that were called.
+/// Traffic since the start of the simulation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Traffic {
+    /// Bytes by sending and receiving zone.
     pub bytes: BTreeMap<(String, String), u64>,
     pub connection_attempts: u64,
 }
 
-/// What a machine's processor takes for the bytes that come in one piece, sent or received.
+/// Processor time that a machine needs to send or receive one chunk of data.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Processor {
     pub per_chunk: Duration,
     pub per_byte: Duration,
 }
 
-/// The processors and zones of simulated machines, by host. Machines that are not named here are not bounded.
+/// Processors and zones of simulated machines, by host. A machine without an entry has an unlimited
+/// processor.
 #[derive(Default)]
 pub(crate) struct Bounds {
     zones: RefCell<BTreeMap<String, String>>,
-    /// Each bounded processor, and until when it is at work.
     processors: RefCell<BTreeMap<String, Processor>>,
+    /// Time at which each limited processor will have handled all chunks so far.
     busy_until: RefCell<BTreeMap<String, Instant>>,
     traffic: RefCell<Traffic>,
     connection_attempts: Cell<u64>,
@@ -37,7 +39,7 @@
         self.zones.borrow_mut().insert(host.to_owned(), zone.to_owned());
     }
 
-    /// Bounds a machine's processor: it handles one piece after another.
+    /// Limits a machine's processor, which handles one chunk after another.
     pub(crate) fn limit_processor(&self, host: &str, processor: Processor) {
         self.processors.borrow_mut().insert(host.to_owned(), processor);
     }
@@ -50,7 +52,8 @@
         self.connection_attempts.set(self.connection_attempts.get() + 1);
     }
 
-    /// The time at which this machine has handled so many more bytes.
+    /// Adds a chunk of this size to the machine's work. Returns when it will have been handled, or `None` if
+    /// the processor is unlimited.
     fn processing_end(&self, host: &str, bytes: usize) -> Option<Instant> {
         let processor = *self.processors.borrow().get(host)?;
         let cost = processor.per_chunk + processor.per_byte * u32::try_from(bytes).unwrap_or(u32::MAX);
@@ -60,7 +63,8 @@
         Some(until)
     }
 
-    /// Bytes pass from one machine to another: waits until both have handled them.
+    /// Counts a chunk sent from one machine to another, and waits until the processors of both have handled
+    /// it.
     pub(crate) async fn pass(&self, from: &str, to: &str, bytes: usize) {
         let zone = |host| self.zones.borrow().get(host).cloned();
         if let Some(zones) = zone(from).zip(zone(to)) {
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A simulation of machines: whole processes of the system, each with its register, directory, links and duties as in service,
-//! on a network and on disks that are played. Time is tokio's own, paused: it goes on where all wait.
+//! Simulated machines. Each runs a complete process of the system, with the register, directory, links and
+//! duties that it has in production; the network and the disks are simulated. Time is tokio's paused clock,
+//! which advances when all tasks wait.
 
-// Not every test bounds its machines.
+// Not every test limits the resources of its machines.
 #[allow(dead_code)]
 pub(crate) mod bounds;
 
@@ -30,16 +31,16 @@
     Duration::from_millis(ms)
 }
 
-/// One way between any two machines.
+/// Delay of data between any two machines, in one direction.
 const LINK_DELAY: Duration = ms(4);
-/// What a sync takes.
+/// Duration of a disk sync, unless a test slows the disk down.
 const DEFAULT_SYNC_TIME: Duration = ms(5);
-/// Time between a process being told to end and its end by force.
+/// Time that a process has for its graceful shutdown before it is killed.
 pub(crate) const GRACE_PERIOD: Duration = ms(6000);
-/// Bytes that wait in a connection.
+/// Capacity of each direction of a connection.
 const CONNECTION_BUFFER_BYTES: usize = 64 << 10;
 
-/// A small configuration; `salt` tells two of one version apart.
+/// Returns a small configuration. `salt` makes two configurations of the same version differ.
 pub(crate) fn configuration(version: u64, salt: u64) -> String {
     format!(
         "{{\"version\":{version},\"routes\":[{{\"name\":\"r{salt}\",\"host\":\"h.example\",\"path-prefix\":\"/r/\",\
@@ -50,8 +51,9 @@
     )
 }
 
-/// A configuration with so many routes, whose packed text is some fifty bytes for each.
-#[allow(dead_code, reason = "not all tests that share the simulation have large configurations")]
+/// Returns a configuration with this number of additional routes, each of which adds about 50 bytes to its
+/// compressed text.
+#[allow(dead_code, reason = "not every test that uses the simulation needs large configurations")]
 pub(crate) fn large_configuration(version: u64, routes: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(version);
     let mut name = |len: usize| (0..len).map(|_| rng.alphanumeric()).collect::<String>();
@@ -68,14 +70,15 @@
     configuration(version, 0).replace("}],\"services\"", &format!("}}{extra_routes}],\"services\""))
 }
 
+/// A call that a test runs on the agent of a machine.
 type Job = Box<dyn FnOnce(Rc<Agent>)>;
 
-/// Some machines that are cut off from all others, both ways or one way.
+/// A network partition: machines that are separated from all others, in one or both directions.
 struct Partition {
     machines: BTreeSet<String>,
-    /// What the others say does not reach them.
+    /// Whether data from the other machines does not reach these.
     blocks_inbound: bool,
-    /// What they say does not reach the others.
+    /// Whether data from these machines does not reach the others.
     blocks_outbound: bool,
 }
 
@@ -89,22 +92,26 @@
     }
 }
 
-/// The network: who listens, and which machines are cut off from the others.
+/// The simulated network: listeners, partitions, blocked links and bandwidth limits.
 #[derive(Default)]
 pub(crate) struct Network {
+    /// Accepting ends of the listening processes, by address.
     listeners: RefCell<BTreeMap<String, mpsc::UnboundedSender<Halves>>>,
-    /// By number, each until it is mended.
+    /// Partitions that have not been healed yet, by number.
     partitions: RefCell<BTreeMap<u64, Partition>>,
     last_partition: Cell<u64>,
-    /// What a message may take longer than [`WAY`], each a time of its own.
+    /// Upper bound of the random delay that each chunk of data has beyond [`LINK_DELAY`].
     pub jitter: Cell<Duration>,
-    /// Machines that take in so many bytes a second, and until when what is on its way keeps each busy.
+    /// Machines with limited inbound bandwidth: bytes per second, and when the data already on its way will
+    /// have arrived.
     bandwidth_limits: RefCell<BTreeMap<String, (u64, Instant)>>,
-    /// Halves between two machines that carry nothing, by their addresses.
+    /// Directions between two machines in which no data passes: sender and receiver.
     blocked_links: RefCell<BTreeSet<(String, String)>>,
-    /// Rises with each moment at which a machine's connections break.
+    /// Number of times that all connections of a machine have been broken.
     break_counts: RefCell<BTreeMap<String, u32>>,
+    /// Pumps that the network's task has not spawned yet.
     new_pumps: RefCell<Vec<Pin<Box<dyn Future<Output = ()>>>>>,
+    /// Wakes the network's task when there are new pumps.
     pump_waker: RefCell<Option<Waker>>,
     pub bounds: bounds::Bounds,
 }
@@ -113,7 +120,7 @@
     address.split_once(':').map_or(address, |(host, _)| host)
 }
 
-/// Which ways a cut stops what is said.
+/// Directions in which a partition stops data, as seen from the separated machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
     Both,
@@ -122,25 +129,25 @@
 }
 
 impl Network {
-    /// Whether what one machine says does not reach another.
+    /// Whether data of one machine does not reach the other.
     fn is_blocked(&self, from: &str, to: &str) -> bool {
         let link = (host(from).to_owned(), host(to).to_owned());
         self.blocked_links.borrow().contains(&link)
             || self.partitions.borrow().values().any(|partition| partition.blocks(&link.0, &link.1))
     }
 
-    /// What one machine says no longer reaches another; the way back is left as it is.
+    /// Blocks data from one machine to another. The opposite direction does not change.
     pub(crate) fn block(&self, from: &str, to: &str) {
         self.blocked_links.borrow_mut().insert((from.to_owned(), to.to_owned()));
     }
 
-    /// A machine takes in so many bytes a second, over all its connections.
-    #[allow(dead_code, reason = "not all tests that share the simulation have narrow links")]
+    /// Limits the bytes per second that a machine receives, over all its connections.
+    #[allow(dead_code, reason = "not every test that uses the simulation limits bandwidth")]
     pub(crate) fn limit_bandwidth(&self, machine: &str, bytes_per_second: u64) {
         self.bandwidth_limits.borrow_mut().insert(machine.to_owned(), (bytes_per_second, Instant::now()));
     }
 
-    /// What so many bytes wait for and take at the machine that they are for.
+    /// Returns how long these bytes wait for the receiver's bandwidth and take to arrive.
     fn transfer_delay(&self, to: &str, bytes: usize) -> Duration {
         let (mut limits, now) = (self.bandwidth_limits.borrow_mut(), Instant::now());
         let Some((rate, busy_until)) = limits.get_mut(host(to)) else { return Duration::ZERO };
@@ -148,22 +155,24 @@
         *busy_until - now
     }
 
-    /// Neither of two machines reaches the other.
+    /// Blocks data between two machines in both directions.
     pub(crate) fn disconnect(&self, a: &str, b: &str) {
         self.block(a, b);
         self.block(b, a);
     }
 
-    /// All reach each other again.
+    /// Removes all partitions and blocked links.
     pub(crate) fn heal_all(&self) {
         self.partitions.borrow_mut().clear();
         self.blocked_links.borrow_mut().clear();
     }
 
+    /// Breaks all connections of a machine. New ones can be opened at once.
     pub(crate) fn break_connections(&self, machine: &str) {
         *self.break_counts.borrow_mut().entry(machine.to_owned()).or_default() += 1;
     }
 
+    /// Number of times that connections between two machines have been broken.
     fn break_count(&self, a: &str, b: &str) -> u32 {
         let break_counts = self.break_counts.borrow();
         [a, b].iter().filter_map(|m| break_counts.get(host(m))).sum()
@@ -173,7 +182,8 @@
         self.partitions.borrow_mut().remove(&partition);
     }
 
-    /// Cuts these machines off from all others; the number mends it.
+    /// Separates these machines from all others. Returns the number of the partition, for
+    /// [`Network::heal_partition`].
     pub(crate) fn partition(&self, direction: Direction, machines: impl IntoIterator<Item = String>) -> u64 {
         let number = self.last_partition.get() + 1;
         self.last_partition.set(number);
@@ -190,19 +200,21 @@
         self.partitions.borrow().values().any(|partition| partition.machines.contains(machine))
     }
 
+    /// Returns the delay of a chunk of data, with random jitter.
     fn delay(&self) -> Duration {
         let jitter = self.jitter.get().as_millis() as u64;
         LINK_DELAY + if jitter == 0 { Duration::ZERO } else { ms(fastrand::u64(..jitter)) }
     }
 
-    /// Takes the place of the process at an address: whoever calls it from now on comes out here.
+    /// Replaces the process that listens at an address. New connections to it arrive at the returned
+    /// receiver.
     pub(crate) fn listen(&self, address: &str) -> mpsc::UnboundedReceiver<Halves> {
         let (listener, connections) = mpsc::unbounded_channel();
         self.listeners.borrow_mut().insert(address.to_owned(), listener);
         connections
     }
 
-    /// Calls the process at an address, with nothing in between.
+    /// Opens a connection to the process at an address, without simulated delay or faults.
     pub(crate) fn connect(&self, address: &str) -> Option<DuplexStream> {
         let (near, far) = duplex(CONNECTION_BUFFER_BYTES);
         let (read, write) = split(far);
@@ -217,7 +229,8 @@
     }
 }
 
-/// Carries one direction. What meets a cut waits for its end; the other side hears nothing.
+/// Forwards the data of one direction of a connection. Data that meets a partition waits until it is healed;
+/// the connection stays open meanwhile.
 async fn pump(
     network: Rc<Network>, from: String, to: String, mut read: DuplexStream, mut write: DuplexStream,
 ) {
@@ -237,7 +250,7 @@
     }
 }
 
-/// A machine's way into the network.
+/// Transport of a machine, which opens connections over the simulated network.
 struct Endpoint {
     network: Rc<Network>,
     own_ip: String,
@@ -272,14 +285,15 @@
     }
 }
 
-/// What a machine's disk holds, and how long a sync takes there.
+/// Disk of a machine: the state that has been synced, and the duration of a sync.
 #[derive(Clone)]
 pub(crate) struct Storage {
     pub synced_state: Rc<RefCell<StoredState>>,
     pub sync_time: Rc<Cell<Duration>>,
 }
 
-/// A process and all of its tasks: it can be frozen, and is gone whole when it is dropped or has ended.
+/// Future that runs all tasks of a process. It can be frozen. All tasks end when it is dropped, or when the
+/// main task of the process has ended.
 struct ProcessTask {
     tasks: LocalSet,
     has_ended: Rc<Cell<bool>>,
@@ -306,21 +320,22 @@
     pub ip: String,
     pub zone: String,
     pub storage: Option<Storage>,
-    /// As its settings file has them: those of the day on which it was written, and how many losses are to be borne.
+    /// Seed nodes as listed in the settings file, which may be out of date.
     pub seed_nodes: RefCell<Vec<String>>,
+    /// Number of machines whose loss the system must tolerate, as in the settings file.
     max_failures: usize,
-    /// Rises with each start of its process.
+    /// Number of times that its process was started.
     pub start_count: Cell<u32>,
-    /// Until when something was done to it; none while it lasts.
+    /// End of the last fault of the machine; `None` while a fault lasts.
     pub healthy_since: Cell<Option<Instant>>,
-    /// Taken away for good.
+    /// Whether the machine was removed permanently.
     pub is_removed: Cell<bool>,
     process_task: RefCell<Option<JoinHandle<()>>>,
-    /// Told to end.
+    /// Requests the graceful shutdown of the current process.
     termination: RefCell<Rc<Notify>>,
     has_ended: Rc<Cell<bool>>,
     is_frozen: Rc<Cell<bool>>,
-    /// Rises whenever the process is started, killed, frozen or thawed.
+    /// Number of times that the process was killed, frozen or unfrozen.
     disturbance_count: Cell<u32>,
     waker: Rc<RefCell<Option<Waker>>>,
     agent: Rc<RefCell<Option<Rc<Agent>>>>,
@@ -350,8 +365,8 @@
         self.storage.is_some() && !self.is_removed.get()
     }
 
-    /// Its settings name these machines from its next start on.
-    #[allow(dead_code, reason = "not all tests that share the simulation change settings")]
+    /// Sets the seed nodes that the process reads at its next start.
+    #[allow(dead_code, reason = "not every test that uses the simulation changes settings")]
     pub(crate) fn set_seed_nodes(&self, seed_nodes: &[Rc<Machine>]) {
         *self.seed_nodes.borrow_mut() = seed_nodes.iter().map(|m| format!("{}:8047", m.ip)).collect();
     }
@@ -362,11 +377,12 @@
         self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
     }
 
+    /// Whether syncs of its disk are slower than normal.
     pub(crate) fn is_stalled(&self) -> bool {
         self.storage.as_ref().is_some_and(|storage| storage.sync_time.get() > DEFAULT_SYNC_TIME)
     }
 
-    /// Whether nothing is done to it at present.
+    /// Whether the machine runs without a fault: not frozen, stalled or partitioned.
     pub(crate) fn is_healthy(&self, network: &Network) -> bool {
         self.process_task.borrow().is_some()
             && !self.is_frozen.get()
@@ -374,12 +390,12 @@
             && !network.is_partitioned(&self.ip)
     }
 
-    /// Its disk is empty from now on.
+    /// Erases its disk.
     pub(crate) fn wipe(&self) {
         self.storage.iter().for_each(|storage| drop(storage.synced_state.take()));
     }
 
-    /// The process ends here and now; what its disk has not synced is lost.
+    /// Ends the process at once. State that has not been synced is lost.
     pub(crate) fn kill(&self, network: &Network) {
         self.process_task.borrow_mut().take().into_iter().for_each(|process_task| process_task.abort());
         (*self.jobs.borrow_mut(), *self.agent.borrow_mut()) = (None, None);
@@ -387,8 +403,8 @@
         network.listeners.borrow_mut().retain(|address, _| host(address) != self.ip);
     }
 
-    /// The process is told to end, and ended if it takes longer than the platform waits. How long it took; none if it
-    /// was ended.
+    /// Shuts the process down gracefully, and kills it after [`GRACE_PERIOD`]. Returns how long the shutdown
+    /// took, or `None` if the process was killed.
     pub(crate) async fn terminate(&self, network: &Network) -> Option<Duration> {
         let began = Instant::now();
         self.termination.borrow().notify_one();
@@ -400,12 +416,14 @@
         duration
     }
 
-    /// While this stands as it is and is there, the process runs and was not held up.
+    /// Returns the number of disturbances if the process runs. If two calls return the same number, the
+    /// process was not interrupted between them.
     pub(crate) fn running_disturbance_count(&self) -> Option<u32> {
         (self.agent().is_some() && !self.is_frozen.get()).then(|| self.disturbance_count.get())
     }
 
-    /// What the process says to this, unless it takes longer than its caller waits.
+    /// Runs a call on the agent of the process. Returns its result, or `None` if there is no process or the
+    /// call times out.
     pub(crate) async fn call<T: 'static, F: Future<Output = T> + 'static>(
         &self, call_timeout: Duration, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
@@ -418,6 +436,7 @@
         timeout(call_timeout, result).await.ok()?.ok()
     }
 
+    /// Starts the process, unless it runs already.
     pub(crate) fn start(&self, network: &Rc<Network>, bootstrap: bool) {
         if self.process_task.borrow().is_some() {
             return;
@@ -441,7 +460,7 @@
             self.seed_nodes.borrow(),
             self.max_failures,
         );
-        let settings = Settings::parse(&text, "-").expect("settings");
+        let settings = Settings::parse(&text, "-").expect("the settings are valid");
         let tasks = LocalSet::new();
         let incarnation = (u64::from(self.start_count.get()) << 32) | u64::from(fastrand::u32(..));
         self.has_ended.set(false);
@@ -463,7 +482,7 @@
     }
 }
 
-/// Says what the processes log, with the time that is played.
+/// Passes the log lines of all processes to [`log_line`].
 struct LogDrain;
 
 impl Drain for LogDrain {
@@ -487,16 +506,17 @@
     }
 }
 
+/// Whether log lines are printed to the standard error.
 fn is_log_printed() -> bool {
     std::env::var_os("NODE_LOG").is_some()
 }
 
-/// What is recorded of a simulated day: all that processes log, and all bytes that pass between them.
+/// Recording of a simulated day: the log lines of all processes, and the bytes sent between them.
 #[derive(Default)]
 pub(crate) struct Recording {
-    /// Each line with its time, in seconds.
+    /// Log lines, each with its simulated time in seconds.
     pub log: String,
-    /// By sender and receiver, in the order in which they passed.
+    /// Bytes in the order in which they were sent, by sender and receiver.
     pub traffic: BTreeMap<(String, String), Vec<u8>>,
 }
 
@@ -505,12 +525,12 @@
     static RECORDING: RefCell<Option<Recording>> = const { RefCell::new(None) };
 }
 
-/// Records what follows on this thread, until [`recorded`].
+/// Starts to record log lines and traffic on this thread, until [`finish_recording`].
 pub(crate) fn start_recording() {
     RECORDING.replace(Some(Recording::default()));
 }
 
-/// Ends the recording.
+/// Ends the recording and returns it.
 pub(crate) fn finish_recording() -> Recording {
     RECORDING.take().unwrap_or_default()
 }
@@ -527,6 +547,7 @@
     });
 }
 
+/// Prints and records a line with the simulated time, as far as printing and recording are on.
 pub(crate) fn log_line(message: &str) {
     let began = START_TIME.get().unwrap_or_else(Instant::now);
     let line = format!("{:8.3} {message}", began.elapsed().as_secs_f64());
@@ -541,13 +562,13 @@
     });
 }
 
-/// What a process is told from outside.
+/// Receivers for the calls of tests and for the request to shut down.
 struct ProcessCommands {
     jobs: mpsc::UnboundedReceiver<Job>,
     termination: Rc<Notify>,
 }
 
-/// As `program::serve` has it, but for the sockets that face the outside.
+/// Runs a process like `program::serve`, but without the sockets for clients and control calls.
 async fn run_process(
     settings: Settings, incarnation: u64, storage: Option<Storage>, network: Rc<Network>,
     agent_slot: Rc<RefCell<Option<Rc<Agent>>>>, mut commands: ProcessCommands,
@@ -591,7 +612,8 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut shutdown, clients) = (GracefulShutdown::default(), ClientConnections::default());
     loop {
-        // In this order: without it the runtime draws one, and a seed's day is never the same twice.
+        // With a fixed order, since `select!` otherwise polls in random order and a seed would not reproduce
+        // its run.
         tokio::select! {
             biased;
             _ = ticks.tick() => agent.tick(),
@@ -614,11 +636,13 @@
 }
 
 impl Simulation {
+    /// Creates and starts this number of control nodes and gateways.
     pub(crate) fn new(control_nodes: usize, gateways: usize, max_failures: usize) -> Rc<Self> {
         Simulation::with_machines(control_nodes, gateways, max_failures, |_, machine| machine)
     }
 
-    /// As [`Simulation::new`], with each machine, by its number, put into a zone of the caller's before it starts.
+    /// Creates a simulation like [`Simulation::new`]. `adjust` gets each machine with its number before it
+    /// starts, and may change it, such as its zone.
     pub(crate) fn with_machines(
         control_nodes: usize, gateways: usize, max_failures: usize,
         adjust: impl Fn(usize, Machine) -> Machine,
@@ -644,7 +668,7 @@
         Rc::new(Simulation { network, machines: RefCell::new(machines) })
     }
 
-    /// A new machine of the core, at an address of its own and with an empty disk.
+    /// Adds a control node with a new address and an empty disk. The caller starts it.
     pub(crate) fn add_control_node(&self) -> Rc<Machine> {
         let number = self.machines.borrow().len() + 1;
         let seed_nodes = self.control_nodes().iter().take(3).map(|m| format!("{}:8047", m.ip)).collect();
@@ -654,10 +678,12 @@
         new
     }
 
+    /// Returns all machines that have not been removed.
     pub(crate) fn all_machines(&self) -> Vec<Rc<Machine>> {
         self.machines.borrow().iter().filter(|m| !m.is_removed.get()).cloned().collect()
     }
 
+    /// Returns all control nodes that have not been removed.
     pub(crate) fn control_nodes(&self) -> Vec<Rc<Machine>> {
         self.all_machines().into_iter().filter(|m| m.is_control_node()).collect()
     }
@@ -667,7 +693,8 @@
     static PANICS: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A task that panics ends by itself and nobody else is told: every panic is noted.
+/// Installs a hook that records every panic, since a panic in a spawned task ends only this task and would go
+/// unnoticed.
 fn record_panics() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
@@ -680,13 +707,13 @@
     PANICS.take();
 }
 
-/// No task of any process has panicked so far.
+/// Asserts that no task has panicked so far.
 pub(crate) fn assert_no_panics() {
     let panics = PANICS.with_borrow(|panics| panics.join("; "));
     assert!(panics.is_empty(), "a task panicked: {panics}");
 }
 
-/// Plays on one thread, with time that is counted.
+/// Runs a simulation to its end on one thread, with simulated time.
 pub(crate) fn run_simulation<F: Future>(simulation: F) -> F::Output {
     record_panics();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -694,5 +721,5 @@
         START_TIME.set(Some(Instant::now()));
         simulation.await
     };
-    LocalSet::new().block_on(&runtime.expect("a runtime"), timed)
+    LocalSet::new().block_on(&runtime.expect("the runtime can be created"), timed)
 }
