--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -82,7 +82,7 @@
     println!("{counts:#?}");
     assert!(violations.is_empty(), "{violations:#?}");
     let missing: Vec<_> =
-        scripted::server::SERVER_ACTIONS.iter().filter(|deed| !counts.contains_key(*deed)).collect();
+        scripted::server::SERVER_ACTIONS.iter().filter(|action| !counts.contains_key(*action)).collect();
     assert!(missing.is_empty(), "faults that never occurred: {missing:?}");
     let (requests, successes) = (counts["client: requests"], counts["client: successes"]);
     assert!(
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -1,5 +1,5 @@
-//! Servers that do everything wrong that a server may: what each does with a request is drawn, and noted in
-//! the ledger.
+//! Servers with every kind of fault. Each draws at random what it does with a request, and records it in the
+//! ledger.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,114 +15,124 @@
 use super::wire::{Message, ResettableStream, stream_pair};
 use super::{Ledger, SealedResponse, ms};
 
-/// All that a server may do with a request or a connection.
+/// Everything that a server may do with a request or a connection, by name. The first one is a normal
+/// response.
 pub(crate) const SERVER_ACTIONS: [&str; 36] = [
-    "well",
-    "well, in chunks",
-    "well, and closes",
-    "well, and keeps a while",
-    "turned away",
-    "turned away twice",
-    "turned away, late",
-    "failed",
-    "failed with a seal",
-    "a promise that is none",
-    "not executed, with a success",
-    "reset after the run",
-    "closed after the run",
-    "silent",
-    "late",
-    "cut in the head",
-    "cut in the body",
-    "stands still in the body",
-    "the answer twice at once",
-    "the answer twice, late",
-    "the answer twice, much later",
-    "another's answer before",
-    "another's id",
-    "no id",
-    "two ids",
+    "normal response",
+    "chunked response",
+    "response, then close",
+    "response with Keep-Alive timeout",
+    "rejection",
+    "rejection sent twice",
+    "late rejection",
+    "error response",
+    "error response with a seal",
+    "rejection status without Not-Executed",
+    "success with Not-Executed",
+    "reset after execution",
+    "closed after execution",
+    "no response",
+    "late response",
+    "truncated head",
+    "truncated body",
+    "stalls in the body",
+    "response sent twice at once",
+    "response sent again shortly after",
+    "response sent again much later",
+    "response to another request first",
+    "Attempt-Id of another request",
+    "no Attempt-Id",
+    "two Attempt-Ids",
     "two seals",
-    "informational before",
+    "informational responses first",
     "switches protocols",
-    "longer than said",
-    "shorter than said, and closes",
-    "until closed, cut",
+    "longer than Content-Length",
+    "shorter than Content-Length, then closes",
+    "truncated, delimited by close",
     "no seal",
-    "encoded",
-    "nonsense",
-    "forgets an idle connection",
-    "resets inside a request",
+    "encoded body",
+    "invalid bytes",
+    "resets an idle connection",
+    "resets within a request",
 ];
-/// Those that go with a request; the last two are the connection's own.
+/// Number of actions that are drawn for a request. The last two of the list concern the connection instead.
 const REQUEST_ACTION_COUNT: usize = SERVER_ACTIONS.len() - 2;
-/// How many of all requests are served well, out of ten.
+/// Average number of requests out of ten that get a normal response; the others get a random action.
 const NORMAL_PER_TEN: u32 = 6;
-/// Those after which more is said than was asked for: what stands where the next answer is due may be that.
+/// Actions that send more than one response. After these, the next bytes on the connection may be surplus
+/// ones instead of the response to the next request.
 const SURPLUS_ACTIONS: [&str; 7] = [
-    "turned away twice",
-    "the answer twice at once",
-    "the answer twice, late",
-    "the answer twice, much later",
-    "another's answer before",
+    "rejection sent twice",
+    "response sent twice at once",
+    "response sent again shortly after",
+    "response sent again much later",
+    "response to another request first",
     "switches protocols",
-    "longer than said",
+    "longer than Content-Length",
 ];
-/// Those whose answer is owed until their last step; of the others it is the first thing said.
+/// Actions with which a request counts as pending until their last step. With all others it does until the
+/// first write.
 const SPLIT_RESPONSE_ACTIONS: [&str; 5] = [
-    "well, in chunks",
-    "cut in the head",
-    "cut in the body",
-    "stands still in the body",
-    "shorter than said, and closes",
+    "chunked response",
+    "truncated head",
+    "truncated body",
+    "stalls in the body",
+    "shorter than Content-Length, then closes",
 ];
-/// The longest time for which a server holds what it does not answer.
+/// Longest time for which a server keeps a request without responding.
 const HOLD_TIMEOUT: std::time::Duration = ms(1500);
 
+/// A step of an action.
 enum Step {
     Write(Vec<u8>),
+    /// Waits for this number of milliseconds.
     Wait(u64),
     Reset,
     Close,
-    /// Nothing more, until the other side closes or the time is over.
+    /// Does nothing until the other side closes, for [`HOLD_TIMEOUT`] at most, and ends the connection.
     Hold,
 }
 
 use Step::{Close, Hold, Reset, Wait, Write};
 
-/// What is done with one request.
+/// What a server does with one request.
 struct Action {
     name: &'static str,
-    /// Time in the queue; the request is dropped there if its connection closes, or is not.
+    /// Time that the request waits in the queue.
     queue_ms: u64,
+    /// Whether the request is dropped from the queue if its connection closes.
     drops_if_closed: bool,
+    /// Whether the server executes the request.
     executes: bool,
     steps: Vec<Step>,
 }
 
-/// What an answer consists of.
+/// Parts of a response.
 struct ResponseDraft {
     status: &'static str,
     ids: Vec<String>,
     seals: Vec<String>,
     headers: String,
     body: Vec<u8>,
-    /// The length that it states, if not its own.
+    /// Value of `Content-Length`, if not the length of the body.
     length: Option<usize>,
 }
 
 impl ResponseDraft {
+    /// Returns the head of the response; `framing` holds the header lines that delimit the body.
     fn head(&self, framing: &str) -> String {
         let ids: String = self.ids.iter().map(|id| format!("Attempt-Id: {id}\r\n")).collect();
         let seals: String = self.seals.iter().map(|seal| format!("Server-Seal: {seal}\r\n")).collect();
         format!("HTTP/1.1 {}\r\n{ids}{seals}{}{framing}\r\n", self.status, self.headers)
     }
 
+    /// Returns the response with `Content-Length`.
     fn with_length(&self) -> Vec<u8> {
         let length = self.length.unwrap_or(self.body.len());
         [self.head(&format!("Content-Length: {length}\r\n")).as_bytes(), &self.body].concat()
     }
 
+    /// Returns the response with chunked encoding.
     fn chunked(&self) -> Vec<u8> {
         let mut bytes = self.head("Transfer-Encoding: chunked\r\n").into_bytes();
         for chunk in self.body.chunks(100) {
@@ -134,11 +144,13 @@
         bytes
     }
 
+    /// Returns the response with a body that ends when the connection closes.
     fn until_close(&self) -> Vec<u8> {
         [self.head("Connection: close\r\n").as_bytes(), &self.body].concat()
     }
 }
 
+/// A scripted server of one service.
 pub(crate) struct Server {
     pub id: String,
     pub service: &'static str,
@@ -146,14 +158,16 @@
     rng: RefCell<fastrand::Rng>,
     ledger: Rc<RefCell<Ledger>>,
     faults_enabled: Rc<Cell<bool>>,
-    /// The last request that it read, whose answer may come again.
+    /// Attempt-Id of the last request that it responded to, for responses with the id of another request.
     previous_attempt: RefCell<Option<String>>,
+    /// Number of seals issued so far.
     seal_count: Cell<u32>,
     connection_sender: mpsc::UnboundedSender<ResettableStream>,
     close_signal: watch::Sender<bool>,
 }
 
 impl Server {
+    /// Starts a server, which accepts connections from now on.
     pub(crate) fn start(
         service: &'static str, number: usize, rng: fastrand::Rng, ledger: Rc<RefCell<Ledger>>,
         faults_enabled: Rc<Cell<bool>>,
@@ -186,6 +200,7 @@
         server
     }
 
+    /// Draws a random value.
     fn draw<T>(&self, draw: impl FnOnce(&mut fastrand::Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
@@ -194,21 +209,22 @@
         self.ledger.borrow_mut().count(action);
     }
 
+    /// Serves the requests of one connection, one after another.
     async fn serve_connection(&self, mut stream: ResettableStream) {
         let mut previous_action = "";
         loop {
-            // One that has rested may be forgotten: what comes next is reset.
+            // The server may have forgotten a connection that was idle: it resets it at the next request.
             let waiting_since = Instant::now();
             if stream.wait_for_message().await.is_err() {
                 return;
             }
             let faults_enabled = self.faults_enabled.get();
             if faults_enabled && waiting_since.elapsed() > ms(0) && self.draw(|rng| rng.u32(..25)) == 0 {
-                self.count("forgets an idle connection");
+                self.count("resets an idle connection");
                 return stream.reset();
             }
             if faults_enabled && self.draw(|rng| rng.u32(..60)) == 0 {
-                self.count("resets inside a request");
+                self.count("resets within a request");
                 return stream.reset();
             }
             let Ok(request) = stream.read_message().await else { return };
@@ -220,14 +236,17 @@
         }
     }
 
-    /// Serves one request, which may owe an answer while it does; says what it did if the connection goes on.
+    /// Serves one request. `owes_response` says whether the request counts as pending until its response.
+    /// Returns the action that the server took, or `None` if the connection ends.
     async fn serve_request(
         &self, stream: &mut ResettableStream, request: Message, owes_response: bool,
     ) -> Option<&'static str> {
         let attempt = request.header("attempt-id").unwrap_or_default().to_owned();
         self.check_request(&request, &attempt);
         if request.header("target-instance") != Some(&self.id) {
-            self.ledger.borrow_mut().report_violation(format!("ROUTE: {attempt} came to {}", self.id));
+            self.ledger
+                .borrow_mut()
+                .report_violation(format!("MISROUTED: {attempt} was sent to {}", self.id));
         }
         let action = self.draw_action(&request, &attempt);
         self.count(action.name);
@@ -235,8 +254,8 @@
         let mut pending = owes_response.then(|| PendingGuard::begin(&self.ledger, &attempt));
         let early_read = timeout(ms(action.queue_ms), stream.read_u8()).await;
         if matches!(early_read, Ok(Ok(_))) {
-            let what = format!("PIPELINED: something came while {attempt} was at work");
-            self.ledger.borrow_mut().report_violation(what);
+            let violation = format!("PIPELINED: bytes arrived while {attempt} was in the queue");
+            self.ledger.borrow_mut().report_violation(violation);
         }
         if action.drops_if_closed && matches!(early_read, Ok(Err(_))) {
             return None;
@@ -278,23 +297,23 @@
         Some(action.name)
     }
 
-    /// It came as its client sent it, whole.
+    /// Checks that a request arrived completely and as its client sent it.
     fn check_request(&self, request: &Message, attempt: &str) {
         let mut ledger = self.ledger.borrow_mut();
         let Some(sent) = ledger.requests.get(attempt) else {
-            return ledger.report_violation(format!("UNASKED: {attempt:?}, {}", request.start_line));
+            return ledger.report_violation(format!("UNKNOWN REQUEST: {attempt:?}, {}", request.start_line));
         };
         let start_line = format!("{} {} HTTP/1.1", sent.method, sent.target);
         if request.start_line != start_line || request.body != sent.body || !sent.is_sent_completely {
             let is_sent_completely = sent.is_sent_completely;
             ledger.report_violation(format!(
-                "UNASKED: {attempt} is {}, was {start_line}, whole: {is_sent_completely}",
+                "UNKNOWN REQUEST: {attempt} arrived as {}, was sent as {start_line}, sent completely: {is_sent_completely}",
                 request.start_line
             ));
         }
     }
 
-    /// A new seal for an answer to this.
+    /// Issues a new seal for a response, and records the response.
     fn new_seal(&self, attempt: &str, body: &[u8], is_success: bool) -> String {
         self.seal_count.set(self.seal_count.get() + 1);
         let seal = format!("{}.{}", self.id, self.seal_count.get());
@@ -308,6 +327,7 @@
         seal
     }
 
+    /// Draws a body, mostly of whole 16-byte records.
     fn draw_body(&self) -> Vec<u8> {
         self.draw(|rng| {
             let length = match rng.u32(..4) {
@@ -319,6 +339,7 @@
         })
     }
 
+    /// Returns a sealed response with a random body.
     fn draft_response(&self, attempt: &str, status: &'static str, is_success: bool) -> ResponseDraft {
         let body = self.draw_body();
         let seals = vec![self.new_seal(attempt, &body, is_success)];
@@ -332,16 +353,18 @@
         }
     }
 
+    /// Returns a response that promises that the request has not run.
     fn rejection(&self, attempt: &str) -> ResponseDraft {
-        let status =
-            self.draw(|rng| *rng.choice(&["503 Full", "429 Many", "400 Bad", "503 Full"]).expect("some"));
+        let status = self.draw(|rng| {
+            *rng.choice(&["503 Full", "429 Many", "400 Bad", "503 Full"]).expect("the list is not empty")
+        });
         let headers = "Not-Executed: 1\r\n".to_owned();
         let ids = vec![attempt.to_owned()];
         ResponseDraft { status, ids, seals: Vec::new(), headers, body: b"full".to_vec(), length: None }
     }
 
-    /// What is drawn for this request.
-    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
+    /// Draws what the server does with a request.
+    #[expect(clippy::too_many_lines, reason = "it is one match with an arm for each action")]
     fn draw_action(&self, request: &Message, attempt: &str) -> Action {
         let is_normal = !self.faults_enabled.get() || self.draw(|rng| rng.u32(..10)) < NORMAL_PER_TEN;
         let name = if is_normal {
@@ -362,89 +385,93 @@
         let end_connection = || if self.draw(fastrand::Rng::bool) { Reset } else { Close };
         let mut executes = true;
         let steps = match name {
-            "well" => vec![Wait(work_ms), Write(success("").with_length())],
-            "well, in chunks" => {
+            "normal response" => vec![Wait(work_ms), Write(success("").with_length())],
+            "chunked response" => {
                 let bytes = success("").chunked();
                 let at = self.draw(|rng| rng.usize(..bytes.len()));
                 vec![Write(bytes[..at].to_vec()), Wait(short_ms), Write(bytes[at..].to_vec())]
             }
-            "well, and closes" => {
+            "response, then close" => {
                 vec![Wait(work_ms), Write(success("Connection: close\r\n").with_length()), Close]
             }
-            "well, and keeps a while" => {
+            "response with Keep-Alive timeout" => {
                 vec![Write(success("Keep-Alive: timeout=2\r\n").with_length())]
             }
-            "turned away" => {
+            "rejection" => {
                 executes = false;
                 vec![Wait(short_ms), Write(self.rejection(attempt).with_length())]
             }
-            "turned away twice" => {
+            "rejection sent twice" => {
                 executes = false;
                 let bytes = self.rejection(attempt).with_length();
                 vec![Write(bytes.clone()), Wait(self.draw(|rng| rng.u64(..80))), Write(bytes)]
             }
-            "turned away, late" => {
+            "late rejection" => {
                 executes = false;
                 vec![Wait(long_ms), Write(self.rejection(attempt).with_length())]
             }
-            "failed" => {
-                let status =
-                    self.draw(|rng| *rng.choice(&["500 Failed", "504 Late", "404 None"]).expect("some"));
+            "error response" => {
+                let status = self.draw(|rng| {
+                    *rng.choice(&["500 Failed", "504 Late", "404 None"]).expect("the list is not empty")
+                });
                 vec![Write(ResponseDraft { status, seals: Vec::new(), ..success("") }.with_length())]
             }
-            "failed with a seal" => {
+            "error response with a seal" => {
                 vec![Write(self.draft_response(attempt, "500 Failed", false).with_length())]
             }
-            "a promise that is none" => {
-                let status =
-                    self.draw(|rng| *rng.choice(&["503 Ill", "429 Many", "408 Late"]).expect("some"));
+            "rejection status without Not-Executed" => {
+                let status = self.draw(|rng| {
+                    *rng.choice(&["503 Ill", "429 Many", "408 Late"]).expect("the list is not empty")
+                });
                 vec![Write(ResponseDraft { status, seals: Vec::new(), ..success("") }.with_length())]
             }
-            "not executed, with a success" => vec![Write(success("Not-Executed: 1\r\n").with_length())],
-            "reset after the run" => vec![Wait(work_ms), Reset],
-            "closed after the run" => vec![Wait(work_ms), Close],
-            "silent" => {
+            "success with Not-Executed" => vec![Write(success("Not-Executed: 1\r\n").with_length())],
+            "reset after execution" => vec![Wait(work_ms), Reset],
+            "closed after execution" => vec![Wait(work_ms), Close],
+            "no response" => {
                 executes = self.draw(fastrand::Rng::bool);
                 vec![Hold]
             }
-            "late" => vec![Wait(long_ms), Write(success("").with_length())],
-            "cut in the head" => {
+            "late response" => vec![Wait(long_ms), Write(success("").with_length())],
+            "truncated head" => {
                 let draft = success("");
                 let head = draft.head("Content-Length: 10\r\n").into_bytes();
                 vec![Write(truncate(head, 0)), Wait(short_ms), end_connection()]
             }
-            "cut in the body" => {
+            "truncated body" => {
                 let draft = success("");
                 let bytes =
                     if self.draw(fastrand::Rng::bool) { draft.with_length() } else { draft.chunked() };
                 let from = bytes.len().saturating_sub(draft.body.len().min(40) + 5);
                 vec![Write(truncate(bytes, from)), Wait(short_ms), end_connection()]
             }
-            "stands still in the body" => {
+            "stalls in the body" => {
                 let mut draft = success("");
                 draft.length = Some(draft.body.len() + 1);
                 vec![Write(draft.with_length()), Hold]
             }
-            "the answer twice at once" => {
+            "response sent twice at once" => {
                 let bytes = success("").with_length();
                 vec![Write([bytes.clone(), bytes].concat())]
             }
-            "the answer twice, late" => {
+            "response sent again shortly after" => {
                 let bytes = success("").with_length();
                 vec![Write(bytes.clone()), Wait(short_ms), Write(bytes)]
             }
-            "the answer twice, much later" => {
+            "response sent again much later" => {
                 let bytes = success("").with_length();
                 vec![Write(bytes.clone()), Wait(long_ms), Write(bytes)]
             }
-            "another's answer before" => {
+            "response to another request first" => {
                 let mut bytes = ResponseDraft { ids: vec![other], ..success("") }.with_length();
                 bytes.extend(success("").with_length());
                 vec![Write(bytes)]
             }
-            "another's id" => vec![Write(ResponseDraft { ids: vec![other], ..success("") }.with_length())],
-            "no id" => vec![Write(ResponseDraft { ids: Vec::new(), ..success("") }.with_length())],
-            "two ids" => vec![Write(
+            "Attempt-Id of another request" => {
+                vec![Write(ResponseDraft { ids: vec![other], ..success("") }.with_length())]
+            }
+            "no Attempt-Id" => vec![Write(ResponseDraft { ids: Vec::new(), ..success("") }.with_length())],
+            "two Attempt-Ids" => vec![Write(
                 ResponseDraft { ids: vec![attempt.to_owned(), other], ..success("") }.with_length(),
             )],
             "two seals" => {
@@ -455,7 +482,7 @@
                 }
                 vec![Write(draft.with_length())]
             }
-            "informational before" => {
+            "informational responses first" => {
                 let mut bytes =
                     b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_vec();
                 bytes.extend(success("").with_length());
@@ -466,32 +493,32 @@
                 draft.headers += "Connection: upgrade\r\n";
                 vec![Write(draft.head("").into_bytes()), Wait(short_ms), Write(success("").with_length())]
             }
-            "longer than said" => {
+            "longer than Content-Length" => {
                 let mut draft = success("");
                 draft.body.extend(b"and more");
                 draft.length = Some(draft.body.len() - 8);
                 vec![Write(draft.with_length())]
             }
-            "shorter than said, and closes" => {
+            "shorter than Content-Length, then closes" => {
                 let mut draft = success("");
                 draft.length = Some(draft.body.len() + 7);
                 vec![Write(draft.with_length()), Wait(short_ms), end_connection()]
             }
-            "until closed, cut" => {
+            "truncated, delimited by close" => {
                 let draft = success("");
                 let bytes = draft.until_close();
                 let from = bytes.len() - draft.body.len();
                 vec![Write(truncate(bytes, from)), Wait(short_ms), Close]
             }
             "no seal" => vec![Write(ResponseDraft { seals: Vec::new(), ..success("") }.with_length())],
-            "encoded" => vec![Write(success("Content-Encoding: gzip\r\n").with_length())],
-            "nonsense" => vec![
+            "encoded body" => vec![Write(success("Content-Encoding: gzip\r\n").with_length())],
+            "invalid bytes" => vec![
                 Write(self.draw_body()),
                 Wait(short_ms),
                 Write(success("").with_length()),
                 end_connection(),
             ],
-            other => unreachable!("{other} is no deed"),
+            other => unreachable!("{other} is not an action for a request"),
         };
         let (queue_ms, drops_if_closed) = self.draw(|rng| (rng.u64(..4), rng.bool()));
         let _ = request;
@@ -499,10 +526,11 @@
     }
 }
 
-/// A server owes an answer, as long as this lives.
+/// Counts a request as pending while the guard lives.
 struct PendingGuard(Rc<RefCell<Ledger>>, String);
 
 impl PendingGuard {
+    /// Counts the request as pending from now on.
     fn begin(ledger: &Rc<RefCell<Ledger>>, attempt: &str) -> Self {
         let guard = PendingGuard(ledger.clone(), attempt.to_owned());
         guard.change(1);
@@ -522,17 +550,17 @@
     }
 }
 
-/// All servers, by their addresses.
+/// All servers, by address. Connects the gateway to them.
 #[derive(Default)]
 pub(crate) struct Servers(RefCell<BTreeMap<String, Rc<Server>>>);
 
 impl Servers {
     pub(crate) fn add(&self, server: Rc<Server>) {
         let replaced = self.0.borrow_mut().insert(server.address.clone(), server);
-        assert!(replaced.is_none(), "an address of its own");
+        assert!(replaced.is_none(), "each server has its own address");
     }
 
-    /// All of their connections end.
+    /// Ends all connections of all servers.
     pub(crate) fn close_connections(&self) {
         for server in self.0.borrow().values() {
             server.close_signal.send_replace(true);
