--- a/crates/node/tests/days/drawn.rs
+++ b/crates/node/tests/days/drawn.rs
@@ -1,24 +1,25 @@
-//! Days of one trouble at a time: machines killed, frozen, cut off, wiped, replaced, disks that stall, the whole core
-//! killed at once, all without power, while operators race each other and servers come and go.
+//! Days with one fault at a time: machines are killed, frozen, partitioned, wiped or replaced, disks stall,
+//! and all control nodes or all machines restart at once. Meanwhile operators compete, and servers start and
+//! terminate.
 
 use super::*;
 
 impl World {
-    /// One trouble of the core, or of the others beside it.
-    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
+    /// Injects a random fault of control nodes or gateways.
+    #[expect(clippy::too_many_lines, reason = "it is one match with an arm for each fault")]
     fn inject_fault(&mut self) {
         let control_nodes = self.simulation.control_nodes();
         let control_node = control_nodes[self.rng.usize(..control_nodes.len())].clone();
         let (all, gateways) = (self.simulation.all_machines(), self.gateways());
         let duration_ms = self.rng.u64(200..4000);
         let kind = self.rng.usize(..14);
-        log_line(&format!("TROUBLE {kind} at {} for {duration_ms} ms", control_node.name));
+        log_line(&format!("FAULT {kind} at {} for {duration_ms} ms", control_node.name));
         if kind < 11 {
             self.settled_since = None;
         }
         match kind {
             0 => self.stop_for(&control_node, duration_ms),
-            // Its disk is wiped with it.
+            // A restart with a wiped disk.
             1 => {
                 control_node.wipe();
                 self.stop_for(&control_node, duration_ms);
@@ -34,19 +35,19 @@
                 }
                 _ => self.partition_for(Direction::Both, vec![control_node], duration_ms),
             },
-            // Two of the core and half of the others: the smaller side must not decide.
+            // Two control nodes and half of the gateways: the smaller side must not decide.
             5 => {
                 let machines = control_nodes[..2].iter().chain(&gateways[..3]);
                 self.partition_for(Direction::Both, machines.cloned().collect(), duration_ms);
             }
             6 => self.stall_disk_for(&control_node, duration_ms),
-            // All at once: the core's processes, or the whole system.
+            // All control nodes, or all machines, at once.
             7 => {
                 let restarted = if self.rng.bool() { control_nodes } else { all };
                 let downtime_ms = self.rng.u64(100..900);
                 restarted.iter().for_each(|m| self.stop_for(m, downtime_ms));
             }
-            // As many disks as may be lost, while all others lose power.
+            // A power failure of all machines, which destroys as many disks as the system must tolerate.
             8 => {
                 let downtime_ms = self.rng.u64(100..900);
                 let mut wiped = control_nodes.clone();
@@ -55,7 +56,7 @@
                 all.iter().for_each(|m| self.stop_for(m, downtime_ms));
             }
             9 => self.callers.crash_on_acknowledgement.set(Some(self.rng.bool())),
-            // As many as may be lost, not quite at once, each in its own way.
+            // As many control nodes as the system must tolerate, each wiped or not, and for different times.
             10 => {
                 let mut failed = control_nodes.clone();
                 self.rng.shuffle(&mut failed);
@@ -78,11 +79,12 @@
         }
     }
 
+    /// Takes a random action of an operator, or starts a server.
     fn act_as_operator(&mut self) {
         self.version += self.rng.u64(1..4);
         match self.rng.usize(..8) {
             0 => self.submit_invalid(),
-            // Two operators at once, in either order.
+            // Two operators at once; either submission may arrive first.
             1 | 2 => {
                 self.submit_version(self.version + 1);
                 self.submit_version(self.version);
@@ -94,6 +96,7 @@
     }
 }
 
+/// Simulates a day. Panics if an invariant does not hold.
 pub(crate) async fn simulate_day(seed: u64) {
     let mut world = World::new(seed, false);
     sleep(ms(2000)).await;
@@ -117,7 +120,7 @@
             next_operator_action = now + ms(world.rng.u64(200..2500));
             world.act_as_operator();
         }
-        // One loss is to be borne at once: the next comes when the last one has caught up.
+        // The system tolerates one fault at a time: the next one comes when the control nodes have caught up.
         let has_caught_up = world.settled_since.is_some_and(|at| at.elapsed() > MAX_CATCH_UP_TIME);
         let no_fault_pending =
             world.recoveries.is_empty() && world.callers.crash_on_acknowledgement.get().is_none();
--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -1,4 +1,5 @@
-//! A day of the simulated system: its callers, what is done to its machines, and what must hold all along.
+//! A simulated day: the callers of the system, the faults of its machines, and the invariants that are
+//! checked all the time.
 
 pub(crate) mod drawn;
 mod history;
@@ -19,38 +20,45 @@
 use crate::simulation::{Direction, Machine, Simulation, configuration, log_line, ms};
 use history::{History, Outcome, Submission};
 
-/// The users' bounds, as at the small sites.
+/// Time after a fault within which a process is in contact again. This and the following limits are the
+/// requirements for small sites.
 const MAX_CONTACT_TIME: Duration = ms(5000);
+/// Time within which an acknowledged configuration is in force in every process that is in contact.
 const MAX_APPLY_TIME: Duration = ms(3000);
+/// Time after an acknowledged drain within which no process in contact offers the server.
 const MAX_DRAIN_TIME: Duration = ms(3000);
+/// Time within which a submission is acknowledged or rejected, as long as there are no faults.
 const MAX_ACKNOWLEDGEMENT_TIME: Duration = ms(6000);
+/// Time after a fault within which a control node has caught up, so that the next one may fail.
 const MAX_CATCH_UP_TIME: Duration = ms(4000);
-/// How long a caller waits for an answer.
+/// Time that a caller waits for the result of a call.
 const CALL_TIMEOUT: Duration = ms(1000);
+/// Time between two checks of the invariants.
 const CHECK_INTERVAL: Duration = ms(100);
-/// What a day has after its last trouble.
+/// Time without new faults at the end of a day.
 const RECOVERY_TIME: Duration = ms(25_000);
-/// How often a caller tries before it gives up, ...
+/// Number of tries after which a caller gives up.
 const MAX_TRIES: u64 = 40;
-/// ... and how often an operator does on the worst days, when a majority may be out of reach for long: until it is taken.
+/// Number of tries on the worst days. It is high because a majority may be unreachable for long, and
+/// operators keep trying until the submission has a known outcome.
 const MAX_TRIES_ON_WORST_DAYS: u64 = 400;
-/// Above all versions that are valid.
+/// Lowest version of invalid configurations, higher than that of any valid one.
 const MIN_INVALID_VERSION: u64 = 1_000_000;
 
-/// What callers were told, and when.
+/// What callers have observed, and when.
 #[derive(Default)]
 struct Observations {
     history: History,
-    /// Versions acknowledged, and when.
+    /// Acknowledged versions, and when each was acknowledged.
     acknowledged: Vec<(u64, Instant)>,
-    /// Those that nobody has answered yet, and since when.
+    /// Submissions without a known outcome, and when each was first sent.
     pending: BTreeMap<Submission, Instant>,
-    /// Servers whose word that they leave was acknowledged, and when.
+    /// Servers whose drain was acknowledged, and when.
     drained: BTreeMap<String, Instant>,
 }
 
 impl Observations {
-    /// The newest version that was acknowledged before that time.
+    /// Returns the newest version that was acknowledged before this time, or 0.
     fn newest_acknowledged_before(&self, at: Instant) -> u64 {
         self.acknowledged
             .iter()
@@ -61,15 +69,17 @@
     }
 }
 
+/// How a fault ends.
 enum Recovery {
     Start(Rc<Machine>),
     Unfreeze(Rc<Machine>),
+    /// Heals a partition, if one is given. Broken connections recover by themselves.
     Reconnect(Option<u64>, Vec<Rc<Machine>>),
     RestoreDisk(Rc<Machine>),
 }
 
 impl Recovery {
-    /// Whether what it undoes lasts at a control node.
+    /// Whether the fault concerns a control node.
     fn affects_control_node(&self) -> bool {
         match self {
             Recovery::Start(machine) | Recovery::Unfreeze(machine) | Recovery::RestoreDisk(machine) => {
@@ -80,25 +90,27 @@
     }
 }
 
-/// What calls rest on: they go on beside the day that began them.
+/// Operators and servers that call the system. Shared by their tasks, which run concurrently with the day.
 #[derive(Clone, Default)]
 struct Callers {
     simulation: Rc<Simulation>,
     observations: Rc<RefCell<Observations>>,
-    /// Calls are bound to be answered in a caller's patience; a caller that waits longer is told so.
+    /// Whether it is a violation if an undisturbed process does not respond within [`CALL_TIMEOUT`].
     must_respond_in_time: bool,
-    /// Of so many answers to operators one is lost on its way; none is where this is zero.
+    /// On average one of this many responses to operators is lost; none if this is 0.
     response_loss_interval: u32,
     max_tries: u64,
-    /// Orders whose operators still wait for a clear answer.
+    /// Number of submissions without a known outcome.
     in_flight: Rc<Cell<usize>>,
-    /// The next one that acknowledges something falls at once; its disk is wiped or not.
+    /// If set, the next control node that acknowledges a submission crashes at once; `true` means that its
+    /// disk is wiped too.
     crash_on_acknowledgement: Rc<Cell<Option<bool>>>,
+    /// Machines that have crashed this way and have no recovery scheduled yet.
     crashed: Rc<RefCell<Vec<Rc<Machine>>>>,
 }
 
 impl Callers {
-    /// Calls a machine as operators and servers do: they wait for so long, and go on.
+    /// Calls a machine like operators and servers do, with [`CALL_TIMEOUT`].
     async fn call<T: 'static, F: Future<Output = T> + 'static>(
         &self, machine: &Machine, job: impl FnOnce(Rc<Agent>) -> F + 'static,
     ) -> Option<T> {
@@ -109,15 +121,15 @@
             && before.is_some()
             && before == machine.running_disturbance_count()
         {
-            self.observations
-                .borrow_mut()
-                .history
-                .report_violation(format!("{} left a caller without an answer", machine.name));
+            self.observations.borrow_mut().history.report_violation(format!(
+                "{} did not respond to a call within {CALL_TIMEOUT:?}",
+                machine.name
+            ));
         }
         outcome
     }
 
-    /// One try of an operator.
+    /// Submits a configuration to one control node, once.
     async fn put(&self, at: &Rc<Machine>, submission: Submission) -> Outcome {
         let text = configuration(submission.version, submission.salt);
         let put = self.call(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
@@ -127,12 +139,12 @@
             }
             Some(PutOutcome::Conflict { .. }) => Outcome::Rejected,
             Some(PutOutcome::Accepted { version: held }) => {
-                let what = format!("{} answers {held} to {submission:?}", at.name);
+                let what = format!("{} acknowledges {submission:?} but holds only version {held}", at.name);
                 self.observations.borrow_mut().history.report_violation(what);
                 Outcome::Unknown
             }
             Some(PutOutcome::Invalid(faults)) => {
-                let what = format!("{} takes {submission:?} for invalid: {faults:?}", at.name);
+                let what = format!("{} rejects {submission:?} as invalid: {faults:?}", at.name);
                 self.observations.borrow_mut().history.report_violation(what);
                 Outcome::Rejected
             }
@@ -143,7 +155,7 @@
         outcome
     }
 
-    /// Asks for the newest configuration and checks what comes.
+    /// Reads the newest configuration and checks it.
     async fn read(&self, at: &Rc<Machine>) {
         let min_version = self.observations.borrow().history.min_version();
         let read = async |agent: Rc<Agent>| agent.read_newest().await;
@@ -153,8 +165,9 @@
         self.observations.borrow_mut().history.record_read(min_version, submission, &at.name);
     }
 
-    /// Calls one control node after another, as operators and servers do, until one has given a clear answer; for a
-    /// while only those of one side, where the caller reaches no others.
+    /// Calls random control nodes, like operators and servers do, until one gives a result that is known.
+    /// `job` returns whether it is. If `reachable` is not empty, the first half of [`MAX_TRIES`] goes to
+    /// these control nodes only.
     async fn retry_until_clear<F>(
         &self, reachable: &[Rc<Machine>], mut rng: fastrand::Rng, job: impl Fn(Rc<Machine>) -> F,
     ) -> bool
@@ -174,7 +187,7 @@
         false
     }
 
-    /// An operator's order, sent until there is a clear answer.
+    /// Submits a configuration until its outcome is known.
     async fn submit(self, submission: Submission, reachable: Vec<Rc<Machine>>, mut rng: fastrand::Rng) {
         self.in_flight.set(self.in_flight.get() + 1);
         let loss_rng = RefCell::new((self.response_loss_interval > 0).then(|| rng.fork()));
@@ -183,7 +196,7 @@
             let acknowledged = matches!(outcome, Outcome::Acknowledged { .. });
             if let Some(wiped) = self.crash_on_acknowledgement.get().filter(|_| acknowledged) {
                 self.crash_on_acknowledgement.set(None);
-                log_line(&format!("STRUCK {} wiped {wiped}", at.name));
+                log_line(&format!("CRASH of {} after an acknowledgement, wiped: {wiped}", at.name));
                 at.kill(&self.simulation.network);
                 if wiped {
                     at.wipe();
@@ -208,7 +221,7 @@
     }
 }
 
-/// One day.
+/// State of a simulated day.
 pub(crate) struct World {
     rng: fastrand::Rng,
     callers: Callers,
@@ -216,19 +229,20 @@
     observations: Rc<RefCell<Observations>>,
     version: u64,
     server_count: u64,
-    /// Since when nothing has been done to the core; none while that unsettles it.
+    /// Time since which the control nodes have had no fault; `None` during a fault.
     settled_since: Option<Instant>,
-    /// What each process has had in force, by machine and start.
+    /// Version that each process has had in force last, by machine and start of its process.
     last_versions: BTreeMap<(String, u32), u64>,
+    /// Scheduled ends of the current faults.
     recoveries: Vec<(Instant, Recovery)>,
-    /// How many of the core may be lost at once.
+    /// Number of control nodes that may fail at once.
     max_failures: usize,
 }
 
 impl World {
     fn new(seed: u64, must_respond_in_time: bool) -> Self {
         fastrand::seed(seed);
-        // The small sites' core, or the grown ones'.
+        // Control nodes of a small site, or of a large one.
         let (control_nodes, max_failures) = if seed % 4 == 3 { (9, 2) } else { (5, 1) };
         let simulation = Simulation::new(control_nodes, 6, max_failures);
         let shared_simulation = simulation.clone();
@@ -252,7 +266,8 @@
         }
     }
 
-    /// Where a side is named, its operator reaches only those of it for a while.
+    /// Starts an operator that submits a configuration. If `reachable` is not empty, the operator reaches
+    /// only these control nodes at first.
     fn submit(&mut self, submission: Submission, reachable: Vec<Rc<Machine>>) {
         {
             let mut observations = self.observations.borrow_mut();
@@ -262,12 +277,13 @@
         spawn_local(self.callers.clone().submit(submission, reachable, self.rng.fork()));
     }
 
+    /// Submits one of three texts of a version.
     fn submit_version(&mut self, version: u64) {
         let salt = self.rng.u64(..3);
         self.submit(Submission { version, salt }, Vec::new());
     }
 
-    /// One that names an unknown service, under a version far above all others.
+    /// Submits an invalid configuration, which names an unknown service, with a version far above all others.
     fn submit_invalid(&mut self) {
         let invalid = configuration(self.version + MIN_INVALID_VERSION, 0)
             .replace("\"service\":\"s\"", "\"service\":\"t\"");
@@ -282,12 +298,12 @@
                     .observations
                     .borrow_mut()
                     .history
-                    .report_violation("what is invalid is not refused".to_owned());
+                    .report_violation("an invalid configuration was not rejected as invalid".to_owned());
             }
         });
     }
 
-    /// A server from its first beat to its end: it beats each second and leaves in order.
+    /// Starts a server that sends a heartbeat every second, then drains and deregisters.
     fn run_server(&mut self) {
         self.server_count += 1;
         let id = format!("i-{}", self.server_count);
@@ -310,7 +326,7 @@
                     let heartbeat = heartbeat.clone();
                     let result =
                         callers.call(&at, async move |agent| agent.record_heartbeat(heartbeat).await).await;
-                    log_line(&format!("{id} says {state:?} to {}: {result:?}", at.name));
+                    log_line(&format!("{id} reports {state:?} to {}: {result:?}", at.name));
                     result == Some(Ok(()))
                 };
                 if callers.retry_until_clear(&[], rng.fork(), send_heartbeat).await
@@ -324,7 +340,7 @@
                 let id = id.clone();
                 let result =
                     callers.call(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
-                log_line(&format!("leaves {}: {result:?}", at.name));
+                log_line(&format!("deregisters at {}: {result:?}", at.name));
                 result == Some(Ok(()))
             };
             callers.retry_until_clear(&[], rng.fork(), deregister).await;
@@ -335,29 +351,34 @@
         self.simulation.all_machines().into_iter().filter(|m| !m.is_control_node()).collect()
     }
 
+    /// Schedules the end of a fault.
     fn schedule_recovery(&mut self, delay_ms: u64, recovery: Recovery) {
         self.recoveries.push((Instant::now() + ms(delay_ms), recovery));
     }
 
+    /// Kills a process and schedules its restart.
     fn stop_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.kill(&self.simulation.network);
         machine.healthy_since.set(None);
         self.schedule_recovery(duration_ms, Recovery::Start(machine.clone()));
     }
 
+    /// Freezes a process for this time.
     fn freeze_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.freeze(true);
         machine.healthy_since.set(None);
         self.schedule_recovery(duration_ms, Recovery::Unfreeze(machine.clone()));
     }
 
+    /// Makes each sync of a disk take this long, for the same time.
     fn stall_disk_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.storage.as_ref().expect("a disk").sync_time.set(ms(duration_ms));
         machine.healthy_since.set(None);
         self.schedule_recovery(duration_ms, Recovery::RestoreDisk(machine.clone()));
     }
 
-    /// One is gone for good, and an empty one comes at another address.
+    /// Removes a control node permanently, and schedules the start of a new one with an empty disk and
+    /// another address.
     fn replace(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
         machine.kill(&self.simulation.network);
         machine.is_removed.set(true);
@@ -366,13 +387,14 @@
         self.schedule_recovery(duration_ms, Recovery::Start(new));
     }
 
+    /// Separates machines from all others for this time.
     fn partition_for(&mut self, direction: Direction, machines: Vec<Rc<Machine>>, duration_ms: u64) {
         machines.iter().for_each(|m| m.healthy_since.set(None));
         let partition = self.simulation.network.partition(direction, machines.iter().map(|m| m.ip.clone()));
         self.schedule_recovery(duration_ms, Recovery::Reconnect(Some(partition), machines));
     }
 
-    /// Says how many there were.
+    /// Schedules the restart of machines that have crashed after an acknowledgement. Returns their number.
     fn recover_crashed_machines(&mut self) -> usize {
         let crashed = self.callers.crashed.take();
         let count = crashed.len();
@@ -384,7 +406,7 @@
         count
     }
 
-    /// Undoes what is due; says how many there were.
+    /// Ends the faults whose time has come. Returns their number.
     fn run_due_recoveries(&mut self) -> usize {
         let now = Instant::now();
         let (due, rest) = std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
@@ -392,7 +414,7 @@
         let due: Vec<(Instant, Recovery)> = due;
         let healed = due.len();
         for (_, recovery) in due {
-            log_line("HEALED");
+            log_line("RECOVERY");
             let machines = match recovery {
                 Recovery::Start(machine) => {
                     machine.start(&self.simulation.network, false);
@@ -413,20 +435,21 @@
                     machines
                 }
             };
-            // Another trouble may last on.
+            // A machine may still have another fault.
             let healthy = machines.iter().filter(|m| m.is_healthy(&self.simulation.network));
             healthy.for_each(|m| m.healthy_since.set(Some(now)));
         }
         healed
     }
 
+    /// Whether a machine and the control nodes have had no fault for long enough that it must be in contact.
     fn is_in_contact(&self, machine: &Machine) -> bool {
         let is_long_enough =
             |since: Option<Instant>| since.is_some_and(|at| at.elapsed() >= MAX_CONTACT_TIME);
         is_long_enough(self.settled_since) && is_long_enough(machine.healthy_since.get())
     }
 
-    /// What must hold at any moment.
+    /// Asserts what must hold at any time.
     fn check_invariants(&mut self) {
         let now = Instant::now();
         crate::simulation::assert_no_panics();
@@ -436,11 +459,11 @@
             let version = config.as_ref().map_or(0, |c| c.version);
             let before =
                 self.last_versions.entry((machine.name.clone(), machine.start_count.get())).or_insert(0);
-            assert!(version >= *before, "{} went back from {before} to {version}", machine.name);
+            assert!(version >= *before, "{} went back from version {before} to {version}", machine.name);
             *before = version;
-            assert!(version < MIN_INVALID_VERSION, "{}: what is invalid is in force", machine.name);
+            assert!(version < MIN_INVALID_VERSION, "{}: an invalid configuration is in force", machine.name);
             if let Some(config) = config {
-                let submission = Submission::of(&config).expect("a configuration as operators send them");
+                let submission = Submission::of(&config).expect("the configuration comes from an operator");
                 self.observations.borrow_mut().history.record_in_force(submission, &machine.name);
             }
             if !self.is_in_contact(&machine) {
@@ -448,12 +471,16 @@
             }
             let observations = self.observations.borrow();
             let expected = observations.newest_acknowledged_before(now - MAX_APPLY_TIME);
-            assert!(version >= expected, "{} has {version}, {expected} was acknowledged", machine.name);
+            assert!(
+                version >= expected,
+                "{} has version {version} in force, but {expected} was acknowledged",
+                machine.name
+            );
             let due = observations.drained.iter().filter(|(_, at)| now - **at > MAX_DRAIN_TIME);
             for (id, _) in due {
                 assert!(
                     !agent.is_server_available(&id.as_str().into()),
-                    "{} offers work to {id}",
+                    "{} offers the drained server {id}",
                     machine.name
                 );
             }
@@ -469,24 +496,32 @@
         {
             let overdue =
                 observations.pending.iter().find(|(_, at)| at.elapsed() >= MAX_ACKNOWLEDGEMENT_TIME);
-            assert!(overdue.is_none(), "no word on a configuration in calm times: {overdue:?}");
+            assert!(
+                overdue.is_none(),
+                "a configuration has no outcome though there are no faults: {overdue:?}"
+            );
         }
     }
 
-    /// In the end all is well: what was acknowledged is there, and all know the same.
+    /// Asserts the state at the end of a day: the control nodes return what was acknowledged, and all
+    /// processes have equal digests.
     async fn check_final_state(&mut self) {
         let newest =
             self.observations.borrow().acknowledged.iter().map(|(version, _)| *version).max().unwrap_or(0);
         for machine in self.simulation.control_nodes() {
             let read = async |agent: Rc<Agent>| agent.read_newest().await;
             let found = machine.call(MAX_ACKNOWLEDGEMENT_TIME, read).await.and_then(Result::ok).flatten();
-            let found = found.unwrap_or_else(|| panic!("{} cannot read the register", machine.name));
-            assert!(found.version >= newest, "{} of {newest} acknowledged is read", found.version);
+            let found = found.unwrap_or_else(|| panic!("{} does not read the register", machine.name));
+            assert!(
+                found.version >= newest,
+                "version {} is read, but {newest} was acknowledged",
+                found.version
+            );
             self.callers.read(&machine).await;
         }
         let known = |m: &Rc<Machine>| m.agent().map(|agent| agent.digest());
         let all: Vec<_> = self.simulation.all_machines().iter().map(|m| (m.name.clone(), known(m))).collect();
-        assert!(all.iter().all(|(_, d)| *d == all[0].1), "they know different things: {all:?}");
+        assert!(all.iter().all(|(_, d)| *d == all[0].1), "the digests differ: {all:?}");
         self.check_invariants();
     }
 }
--- a/crates/node/tests/days/worst.rs
+++ b/crates/node/tests/days/worst.rs
@@ -1,27 +1,30 @@
-//! The worst days: cuts of twenty seconds, one way and both, with gateways and seeds on the far side; operators that
-//! race under one number from both sides and send old orders again; the next loss as soon as the last one has caught
-//! up; hundreds of changes; gateways that start anew in the midst of it.
+//! The worst days: partitions of 20 seconds in one or both directions, with gateways and seed nodes on the
+//! separated side; operators that compete for the same version from both sides and repeat old submissions;
+//! the next failure as soon as the last one has been caught up; hundreds of configurations; gateways that
+//! restart meanwhile.
 
 use super::*;
 
-/// How long a long cut or freeze lasts, in milliseconds.
+/// Duration of a partition or long freeze.
 const LONG_FAULT_MS: u64 = 20_000;
-/// The day until its last trouble ends; the calm follows.
+/// Duration of the part of a day with faults. [`RECOVERY_TIME`] follows.
 const DAY_LENGTH: Duration = ms(75_000);
-/// Orders that may be under way at once.
+/// Maximum number of submissions in flight.
 const MAX_IN_FLIGHT: usize = 8;
-/// Of so many answers to operators one is lost on its way.
+/// On average one of this many responses to operators is lost.
 const RESPONSE_LOSS_INTERVAL: u32 = 8;
-/// What a message may take longer than others, in some of these days.
+/// Upper bound of the random delay of messages, on half of these days.
 const MAX_JITTER: Duration = ms(12);
 
+/// State of one of the worst days.
 pub(crate) struct WorstDay {
     world: World,
     last_salt: u64,
-    /// All orders that were sent.
+    /// All submissions so far.
     submissions: Vec<Submission>,
-    /// Those on the far side of a cut, until it is mended.
+    /// Machines that the current partition separates.
     partitioned: Vec<Rc<Machine>>,
+    /// End of the current storm of submissions.
     storm_until: Instant,
 }
 
@@ -42,7 +45,7 @@
         }
     }
 
-    /// An order that nobody has sent before.
+    /// Submits a text that has not been submitted before.
     fn submit_new(&mut self, version: u64, reachable: Vec<Rc<Machine>>) {
         self.last_salt += 1;
         let submission = Submission { version, salt: self.last_salt };
@@ -50,11 +53,12 @@
         self.world.submit(submission, reachable);
     }
 
+    /// Returns a random element.
     fn choose<T: Clone>(&mut self, all: &[T]) -> T {
         all[self.world.rng.usize(..all.len())].clone()
     }
 
-    /// Two operators, each at its side if the core is cut.
+    /// Submits from two operators at once, one on each side if the control nodes are partitioned.
     fn race(&mut self, first: u64, second: u64) {
         let is_partitioned =
             |m: &Rc<Machine>| self.partitioned.iter().any(|partitioned| partitioned.name == m.name);
@@ -64,6 +68,7 @@
         self.submit_new(second, others);
     }
 
+    /// Takes a random action of an operator, or starts a server.
     fn act_as_operator(&mut self) {
         let control_nodes = self.world.simulation.control_nodes();
         let at = self.choose(&control_nodes);
@@ -84,7 +89,7 @@
                 self.world.version += 2;
                 self.race(self.world.version, self.world.version - 1);
             }
-            // Sent again as it was: to any machine, after any time.
+            // Repeats a submission, at any control node and after any time.
             7..10 if !self.submissions.is_empty() => {
                 let index = self
                     .world
@@ -100,7 +105,7 @@
         }
     }
 
-    /// How many of the core count as lost: in trouble, or not yet caught up.
+    /// Returns the number of control nodes that have a fault or have not caught up, or are about to crash.
     fn unavailable_count(&self) -> usize {
         let caught_up =
             |m: &Rc<Machine>| m.healthy_since.get().is_some_and(|at| at.elapsed() >= MAX_CATCH_UP_TIME);
@@ -108,8 +113,8 @@
         unavailable + usize::from(self.world.callers.crash_on_acknowledgement.get().is_some())
     }
 
-    /// Its settings file was written anew: with two that are down or cut off, where there are so many, and one that is
-    /// well. With none that it can reach it could know nobody.
+    /// Sets the seed nodes of a machine to at most two control nodes with a fault, and healthy ones up to
+    /// three in all. Without a healthy seed node the machine could not find any other.
     fn rewrite_seed_nodes(&mut self, machine: &Machine) {
         let mut control_nodes = self.world.simulation.control_nodes();
         self.world.rng.shuffle(&mut control_nodes);
@@ -119,19 +124,19 @@
         *machine.seed_nodes.borrow_mut() = seed_nodes.collect();
     }
 
-    /// One of the core is lost in one way or another.
+    /// Injects a random fault of a control node.
     fn fail_control_node(&mut self, control_node: Rc<Machine>) {
         let duration_ms = self.world.rng.u64(200..4000);
         let gateways = self.world.gateways();
         let half: Vec<Rc<Machine>> = gateways.iter().step_by(2).cloned().collect();
         let kind = self.world.rng.usize(..11);
-        log_line(&format!("LOSS {kind} at {}", control_node.name));
+        log_line(&format!("FAULT {kind} at {}", control_node.name));
         match kind {
             0 => self.partition(Direction::Both, vec![control_node]),
             1 => self.partition(Direction::Inbound, vec![control_node]),
             2 => self.partition(Direction::Outbound, vec![control_node]),
             3 => self.partition(Direction::Both, [vec![control_node], half].concat()),
-            // Some of those beside it start anew, and know of nobody else to begin with.
+            // Half of the gateways are separated with it, and restart with it as their only seed node.
             4 => {
                 for gateway in &half {
                     gateway.kill(&self.world.simulation.network);
@@ -155,21 +160,23 @@
         }
     }
 
+    /// Separates machines from all others.
     fn partition(&mut self, direction: Direction, partitioned: Vec<Rc<Machine>>) {
         self.partitioned.clone_from(&partitioned);
         self.world.partition_for(direction, partitioned, LONG_FAULT_MS);
     }
 
-    /// What befalls more than may be lost, and takes nothing from the disks that are to remain.
+    /// Injects a fault of more machines than may fail at once, which does not destroy more disks than may be
+    /// lost.
     fn fail_many(&mut self) {
         let (all, mut control_nodes) =
             (self.world.simulation.all_machines(), self.world.simulation.control_nodes());
         self.world.rng.shuffle(&mut control_nodes);
         let downtime_ms = self.world.rng.u64(100..900);
         let kind = self.world.rng.usize(..4);
-        log_line(&format!("ALL {kind}"));
+        log_line(&format!("FAULT {kind} of many machines"));
         match kind {
-            // The smaller part of the core, the seeds among them perhaps, and half of the gateways.
+            // Separates a minority of the control nodes, perhaps with seed nodes, and half of the gateways.
             0 => {
                 let minority = (control_nodes.len() - 1) / 2;
                 let half = self.world.gateways().into_iter().step_by(2);
@@ -185,6 +192,7 @@
         }
     }
 
+    /// Injects a fault, if one more is tolerable. Returns whether it did.
     fn inject_fault(&mut self) -> bool {
         let unavailable = self.unavailable_count();
         if unavailable >= self.world.max_failures {
@@ -203,7 +211,7 @@
         true
     }
 
-    /// Gateways start anew, one or many, whatever goes on beside.
+    /// Restarts or freezes one gateway, or all healthy ones, whatever other faults there are.
     fn restart_gateways(&mut self) {
         let gateways: Vec<_> =
             self.world.gateways().into_iter().filter(|m| m.healthy_since.get().is_some()).collect();
@@ -219,7 +227,8 @@
         }
     }
 
-    /// The core counts as settled from its last event on, while most of it runs, is connected and not slowed.
+    /// Updates since when the control nodes count as settled: from the last event on, as long as a majority
+    /// is healthy and no disk is stalled.
     fn update_settled(&mut self, event: bool) {
         let control_nodes = self.world.simulation.control_nodes();
         let healthy = control_nodes.iter().filter(|m| m.healthy_since.get().is_some()).count();
@@ -235,7 +244,7 @@
         }
     }
 
-    /// Whatever was acknowledged is acknowledged again, whatever was refused is not.
+    /// Repeats all acknowledged and rejected submissions. The history checks that the outcomes are the same.
     async fn resubmit_all(&mut self) {
         let control_nodes = self.world.simulation.control_nodes();
         let submissions: Vec<Submission> = {
@@ -246,11 +255,16 @@
             let at = self.choose(&control_nodes);
             let outcome = self.world.callers.put(&at, submission).await;
             let is_known = outcome != Outcome::Unknown;
-            assert!(is_known, "{} has no clear answer to {submission:?} when all is calm", at.name);
+            assert!(
+                is_known,
+                "{} gives no known outcome for {submission:?} though there are no faults",
+                at.name
+            );
         }
     }
 }
 
+/// Simulates a day. Panics if an invariant does not hold.
 pub(crate) async fn simulate_day(seed: u64) {
     let mut day = WorstDay::new(seed);
     sleep(ms(2000)).await;
@@ -269,7 +283,7 @@
         let mut event = crashed + healed > 0;
         if now >= next_fault && now < last_fault && day.inject_fault() {
             event = true;
-            // Half of the time the next one comes as soon as it may.
+            // Half of the time the next fault comes as soon as it may.
             let wait_ms = if day.world.rng.bool() { 0 } else { day.world.rng.u64(0..6000) };
             next_fault = now + ms(wait_ms);
         }
