--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -130,45 +130,49 @@
     }
 
     /// Submits a configuration to one control node, once.
-    async fn put(&self, at: &Rc<Machine>, submission: Submission) -> Outcome {
+    async fn put(&self, control_node: &Rc<Machine>, submission: Submission) -> Outcome {
         let text = configuration(submission.version, submission.salt);
-        let put = self.call(at, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
+        let put =
+            self.call(control_node, async move |agent: Rc<Agent>| agent.put(text.as_bytes()).await).await;
         let outcome = match put {
             Some(PutOutcome::Accepted { version: held }) if held >= submission.version => {
                 Outcome::Acknowledged { held }
             }
             Some(PutOutcome::Conflict { .. }) => Outcome::Rejected,
             Some(PutOutcome::Accepted { version: held }) => {
-                let what = format!("{} acknowledges {submission:?} but holds only version {held}", at.name);
+                let what = format!(
+                    "{} acknowledges {submission:?} but holds only version {held}",
+                    control_node.name
+                );
                 self.observations.borrow_mut().history.report_violation(what);
                 Outcome::Unknown
             }
             Some(PutOutcome::Invalid(faults)) => {
-                let what = format!("{} rejects {submission:?} as invalid: {faults:?}", at.name);
+                let what = format!("{} rejects {submission:?} as invalid: {faults:?}", control_node.name);
                 self.observations.borrow_mut().history.report_violation(what);
                 Outcome::Rejected
             }
             Some(PutOutcome::Unknown(_)) | None => Outcome::Unknown,
         };
-        log_line(&format!("{submission:?} at {}: {outcome:?}", at.name));
-        self.observations.borrow_mut().history.record_outcome(submission, outcome, &at.name);
+        log_line(&format!("{submission:?} at {}: {outcome:?}", control_node.name));
+        self.observations.borrow_mut().history.record_outcome(submission, outcome, &control_node.name);
         outcome
     }
 
     /// Reads the newest configuration and checks it.
-    async fn read(&self, at: &Rc<Machine>) {
+    async fn read(&self, control_node: &Rc<Machine>) {
         let min_version = self.observations.borrow().history.min_version();
         let read = async |agent: Rc<Agent>| agent.read_newest().await;
-        let Some(Ok(found)) = self.call(at, read).await else { return };
+        let Some(Ok(found)) = self.call(control_node, read).await else { return };
         let text = found.and_then(|found| compression::decompress(&found.compressed_text).ok());
         let submission = text.and_then(|text| Submission::of(&Config::parse(&text).ok()?));
-        self.observations.borrow_mut().history.record_read(min_version, submission, &at.name);
+        self.observations.borrow_mut().history.record_read(min_version, submission, &control_node.name);
     }
 
     /// Calls random control nodes, like operators and servers do, until one gives a result that is known.
     /// `job` returns whether it is. If `reachable` is not empty, the first half of [`MAX_TRIES`] goes to
     /// these control nodes only.
-    async fn retry_until_clear<F>(
+    async fn retry_until_known<F>(
         &self, reachable: &[Rc<Machine>], mut rng: fastrand::Rng, job: impl Fn(Rc<Machine>) -> F,
     ) -> bool
     where
@@ -178,8 +182,8 @@
             let only_reachable = n < MAX_TRIES / 2 && !reachable.is_empty();
             let control_nodes =
                 if only_reachable { reachable.to_vec() } else { self.simulation.control_nodes() };
-            let at = control_nodes[rng.usize(..control_nodes.len())].clone();
-            if job(at).await {
+            let control_node = control_nodes[rng.usize(..control_nodes.len())].clone();
+            if job(control_node).await {
                 return true;
             }
             sleep(ms(50 + 50 * n.min(5))).await;
@@ -191,17 +195,17 @@
     async fn submit(self, submission: Submission, reachable: Vec<Rc<Machine>>, mut rng: fastrand::Rng) {
         self.in_flight.set(self.in_flight.get() + 1);
         let loss_rng = RefCell::new((self.response_loss_interval > 0).then(|| rng.fork()));
-        let put = async |at: Rc<Machine>| {
-            let outcome = self.put(&at, submission).await;
+        let put = async |control_node: Rc<Machine>| {
+            let outcome = self.put(&control_node, submission).await;
             let acknowledged = matches!(outcome, Outcome::Acknowledged { .. });
             if let Some(wiped) = self.crash_on_acknowledgement.get().filter(|_| acknowledged) {
                 self.crash_on_acknowledgement.set(None);
-                log_line(&format!("CRASH of {} after an acknowledgement, wiped: {wiped}", at.name));
-                at.kill(&self.simulation.network);
+                log_line(&format!("CRASH of {} after an acknowledgement, wiped: {wiped}", control_node.name));
+                control_node.kill(&self.simulation.network);
                 if wiped {
-                    at.wipe();
+                    control_node.wipe();
                 }
-                self.crashed.borrow_mut().push(at);
+                self.crashed.borrow_mut().push(control_node);
             }
             if loss_rng.borrow_mut().as_mut().is_some_and(|rng| rng.u32(..self.response_loss_interval) == 0) {
                 return false;
@@ -216,7 +220,7 @@
             }
             outcome != Outcome::Unknown
         };
-        self.retry_until_clear(&reachable, rng, put).await;
+        self.retry_until_known(&reachable, rng, put).await;
         self.in_flight.set(self.in_flight.get() - 1);
     }
 }
@@ -288,11 +292,11 @@
         let invalid = configuration(self.version + MIN_INVALID_VERSION, 0)
             .replace("\"service\":\"s\"", "\"service\":\"t\"");
         let control_nodes = self.simulation.control_nodes();
-        let at = control_nodes[self.rng.usize(..control_nodes.len())].clone();
+        let control_node = control_nodes[self.rng.usize(..control_nodes.len())].clone();
         let callers = self.callers.clone();
         spawn_local(async move {
             let put = async move |agent: Rc<Agent>| agent.put(invalid.as_bytes()).await;
-            let outcome = callers.call(&at, put).await;
+            let outcome = callers.call(&control_node, put).await;
             if !matches!(outcome, None | Some(PutOutcome::Invalid(_))) {
                 callers
                     .observations
@@ -322,28 +326,30 @@
                     state,
                     sequence: seq,
                 };
-                let send_heartbeat = async |at: Rc<Machine>| {
+                let send_heartbeat = async |control_node: Rc<Machine>| {
                     let heartbeat = heartbeat.clone();
-                    let result =
-                        callers.call(&at, async move |agent| agent.record_heartbeat(heartbeat).await).await;
-                    log_line(&format!("{id} reports {state:?} to {}: {result:?}", at.name));
+                    let result = callers
+                        .call(&control_node, async move |agent| agent.record_heartbeat(heartbeat).await)
+                        .await;
+                    log_line(&format!("{id} reports {state:?} to {}: {result:?}", control_node.name));
                     result == Some(Ok(()))
                 };
-                if callers.retry_until_clear(&[], rng.fork(), send_heartbeat).await
+                if callers.retry_until_known(&[], rng.fork(), send_heartbeat).await
                     && state == ServerState::Draining
                 {
                     callers.observations.borrow_mut().drained.insert(id.clone(), Instant::now());
                 }
                 sleep(ms(1000)).await;
             }
-            let deregister = async |at: Rc<Machine>| {
+            let deregister = async |control_node: Rc<Machine>| {
                 let id = id.clone();
-                let result =
-                    callers.call(&at, async move |agent| agent.deregister(&id.as_str().into()).await).await;
-                log_line(&format!("deregisters at {}: {result:?}", at.name));
+                let result = callers
+                    .call(&control_node, async move |agent| agent.deregister(&id.as_str().into()).await)
+                    .await;
+                log_line(&format!("deregisters at {}: {result:?}", control_node.name));
                 result == Some(Ok(()))
             };
-            callers.retry_until_clear(&[], rng.fork(), deregister).await;
+            callers.retry_until_known(&[], rng.fork(), deregister).await;
         });
     }
 
--- a/crates/node/tests/days/worst.rs
+++ b/crates/node/tests/days/worst.rs
@@ -71,7 +71,7 @@
     /// Takes a random action of an operator, or starts a server.
     fn act_as_operator(&mut self) {
         let control_nodes = self.world.simulation.control_nodes();
-        let at = self.choose(&control_nodes);
+        let control_node = self.choose(&control_nodes);
         let callers = self.world.callers.clone();
         let busy = callers.in_flight.get() + 2 > MAX_IN_FLIGHT;
         let kind = self.world.rng.usize(..14);
@@ -97,9 +97,9 @@
                     .usize(..self.submissions.len())
                     .max(self.world.rng.usize(..self.submissions.len()));
                 let submission = self.submissions[index];
-                drop(spawn_local(async move { callers.put(&at, submission).await }));
+                drop(spawn_local(async move { callers.put(&control_node, submission).await }));
             }
-            7..12 => drop(spawn_local(async move { callers.read(&at).await })),
+            7..12 => drop(spawn_local(async move { callers.read(&control_node).await })),
             12 => self.world.submit_invalid(),
             _ => self.world.run_server(),
         }
@@ -252,13 +252,13 @@
             observations.history.acknowledged().chain(observations.history.rejected()).collect()
         };
         for submission in submissions {
-            let at = self.choose(&control_nodes);
-            let outcome = self.world.callers.put(&at, submission).await;
+            let control_node = self.choose(&control_nodes);
+            let outcome = self.world.callers.put(&control_node, submission).await;
             let is_known = outcome != Outcome::Unknown;
             assert!(
                 is_known,
                 "{} gives no known outcome for {submission:?} though there are no faults",
-                at.name
+                control_node.name
             );
         }
     }
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -216,11 +216,11 @@
 
     /// Opens a connection to the process at an address, without simulated delay or faults.
     pub(crate) fn connect(&self, address: &str) -> Option<DuplexStream> {
-        let (near, far) = duplex(CONNECTION_BUFFER_BYTES);
-        let (read, write) = split(far);
+        let (caller_end, callee_end) = duplex(CONNECTION_BUFFER_BYTES);
+        let (read, write) = split(callee_end);
         let listener = self.listeners.borrow().get(address).cloned()?;
         listener.send((Box::new(read), Box::new(write))).ok()?;
-        Some(near)
+        Some(caller_end)
     }
 
     fn spawn_pump(&self, pump: impl Future<Output = ()> + 'static) {
