--- a/crates/node/tests/days/mod.rs
+++ b/crates/node/tests/days/mod.rs
@@ -100,7 +100,7 @@
     /// On average one of this many responses to operators is lost; none if this is 0.
     response_loss_interval: u32,
     max_tries: u64,
-    /// Number of submissions without a known outcome.
+    /// Number of submissions that operators are still sending.
     in_flight: Rc<Cell<usize>>,
     /// If set, the next control node that acknowledges a submission crashes at once; `true` means that its
     /// disk is wiped too.
@@ -140,16 +140,17 @@
             }
             Some(PutOutcome::Conflict { .. }) => Outcome::Rejected,
             Some(PutOutcome::Accepted { version: held }) => {
-                let what = format!(
+                let violation = format!(
                     "{} acknowledges {submission:?} but holds only version {held}",
                     control_node.name
                 );
-                self.observations.borrow_mut().history.report_violation(what);
+                self.observations.borrow_mut().history.report_violation(violation);
                 Outcome::Unknown
             }
             Some(PutOutcome::Invalid(faults)) => {
-                let what = format!("{} rejects {submission:?} as invalid: {faults:?}", control_node.name);
-                self.observations.borrow_mut().history.report_violation(what);
+                let violation =
+                    format!("{} rejects {submission:?} as invalid: {faults:?}", control_node.name);
+                self.observations.borrow_mut().history.report_violation(violation);
                 Outcome::Rejected
             }
             Some(PutOutcome::Unknown(_)) | None => Outcome::Unknown,
@@ -169,7 +170,7 @@
         self.observations.borrow_mut().history.record_read(min_version, submission, &control_node.name);
     }
 
-    /// Calls random control nodes, like operators and servers do, until one gives a result that is known.
+    /// Calls random control nodes, like operators and servers do, until one gives a known result.
     /// `job` returns whether it is. If `reachable` is not empty, the first half of [`MAX_TRIES`] goes to
     /// these control nodes only.
     async fn retry_until_known<F>(
@@ -378,7 +379,7 @@
 
     /// Makes each sync of a disk take this long, for the same time.
     fn stall_disk_for(&mut self, machine: &Rc<Machine>, duration_ms: u64) {
-        machine.storage.as_ref().expect("a disk").sync_time.set(ms(duration_ms));
+        machine.storage.as_ref().expect("a control node has a disk").sync_time.set(ms(duration_ms));
         machine.healthy_since.set(None);
         self.schedule_recovery(duration_ms, Recovery::RestoreDisk(machine.clone()));
     }
@@ -431,7 +432,7 @@
                     vec![machine]
                 }
                 Recovery::RestoreDisk(machine) => {
-                    machine.storage.as_ref().expect("a disk").sync_time.set(ms(5));
+                    machine.storage.as_ref().expect("a control node has a disk").sync_time.set(ms(5));
                     vec![machine]
                 }
                 Recovery::Reconnect(partition, machines) => {
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -314,6 +314,7 @@
     }
 }
 
+/// A simulated machine and its process.
 #[derive(Default)]
 pub(crate) struct Machine {
     pub name: String,
@@ -357,6 +358,7 @@
         Machine { name, ip, zone, storage, seed_nodes, max_failures, healthy_since, ..Machine::default() }
     }
 
+    /// Returns the agent of the process, or `None` if no process runs.
     pub(crate) fn agent(&self) -> Option<Rc<Agent>> {
         self.agent.borrow().clone()
     }
@@ -371,6 +373,7 @@
         *self.seed_nodes.borrow_mut() = seed_nodes.iter().map(|m| format!("{}:8047", m.ip)).collect();
     }
 
+    /// Freezes or unfreezes the process. None of its tasks run while it is frozen.
     pub(crate) fn freeze(&self, is_frozen: bool) {
         self.disturbance_count.set(self.disturbance_count.get() + 1);
         self.is_frozen.set(is_frozen);
@@ -629,6 +632,7 @@
     }
 }
 
+/// A simulated system: the network and all machines, with those that were removed.
 #[derive(Default)]
 pub(crate) struct Simulation {
     pub network: Rc<Network>,
