--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -1,4 +1,5 @@
-//! Clients that check what they get: whose answer it is, whether it is whole and the server's own, whether a promise holds.
+//! Clients that check each response: that it belongs to their request, is complete and unchanged from the
+//! server, and that its status makes no false promise.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,31 +9,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::wire::{Fault, Message, Wire, wires};
+use super::wire::{Message, ReadError, ResettableStream, stream_pair};
 use super::{Ledger, RecordedRequest, TOP_K, World, ms};
 
-/// Time beyond its deadline after which a client has been kept waiting.
-const SLACK: Duration = ms(25);
-/// Time before the deadline from which on an answer may be given up.
-const BEFORE_DEADLINE: Duration = ms(15);
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Time beyond the deadline of a request within which its response must arrive.
+const DEADLINE_SLACK: Duration = ms(25);
+/// Time before the deadline from which on the gateway may give up a request that a server still works on.
+const GIVE_UP_MARGIN: Duration = ms(15);
+/// Statuses that promise that the request has not run and never will.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// A request that is about to be sent.
-struct Draft {
+struct RequestDraft {
     attempt: String,
     bytes: Vec<u8>,
-    gathered: bool,
+    /// Whether it is sent to several services, whose responses are gathered.
+    is_fan_out: bool,
     deadline: Duration,
 }
 
-fn draft(world: &World, rng: &mut fastrand::Rng, attempt: String) -> Draft {
-    let route = *rng.choice(&["one", "one", "once", "once", "lone", "all"]).expect("some");
-    let once = matches!(route, "once" | "lone");
-    let method = if once { "POST" } else { "GET" };
+/// Draws a request and records it in the ledger.
+fn draft_request(world: &World, rng: &mut fastrand::Rng, attempt: String) -> RequestDraft {
+    let route = *rng.choice(&["one", "one", "once", "once", "lone", "all"]).expect("the list is not empty");
+    let at_most_once = matches!(route, "once" | "lone");
+    let method = if at_most_once { "POST" } else { "GET" };
     let target = format!("/{route}/{}?of={attempt}", rng.u32(..50));
-    let chunked = once && rng.bool();
-    let length = if once { rng.usize(usize::from(chunked)..3000) } else { 0 };
+    let chunked = at_most_once && rng.bool();
+    let length = if at_most_once { rng.usize(usize::from(chunked)..3000) } else { 0 };
     let body: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
     let deadline = ms(rng.u64(60..500));
     let head = format!(
@@ -48,208 +51,244 @@
         bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
         bytes.extend(&body);
     }
-    let asked = RecordedRequest {
+    let request = RecordedRequest {
         method,
         target,
         body,
-        once,
-        whole: false,
-        runs: 0,
-        at_work: 0,
-        deeds: Vec::new(),
-        promised: false,
+        at_most_once,
+        is_sent_completely: false,
+        run_count: 0,
+        pending_count: 0,
+        actions: Vec::new(),
+        promised_not_to_run: false,
     };
-    world.ledger.borrow_mut().asked.insert(attempt.clone(), asked);
-    Draft { attempt, bytes, gathered: route == "all", deadline }
+    world.ledger.borrow_mut().requests.insert(attempt.clone(), request);
+    RequestDraft { attempt, bytes, is_fan_out: route == "all", deadline }
 }
 
-fn connect(world: &World) -> Wire {
-    let (near, far) = wires();
+/// Opens a connection to the gateway.
+fn connect(world: &World) -> ResettableStream {
+    let (client_end, gateway_end) = stream_pair();
     spawn_local(front::serve_connection(
-        far,
+        gateway_end,
         world.agent.clone(),
         world.data_plane.clone(),
         world.clients.clone(),
     ));
-    near
+    client_end
 }
 
-/// Asks one thing after another, on one connection or on several.
-pub(crate) async fn run_client(world: Rc<World>, number: usize, seed: u64, exchanges: usize) {
-    let mut rng = fastrand::Rng::with_seed(seed << 8 | number as u64);
-    let mut kept: Option<Wire> = None;
-    for n in 0..exchanges {
-        let mut wire = match kept.take().filter(|_| rng.u32(..5) > 0) {
-            Some(wire) => wire,
+/// Sends one request after another, on one connection or several.
+pub(crate) async fn run_client(world: Rc<World>, client_number: usize, seed: u64, exchanges: usize) {
+    let mut rng = fastrand::Rng::with_seed(seed << 8 | client_number as u64);
+    let mut idle_connection: Option<ResettableStream> = None;
+    for exchange_number in 0..exchanges {
+        let mut stream = match idle_connection.take().filter(|_| rng.u32(..5) > 0) {
+            Some(stream) => stream,
             None => connect(&world),
         };
-        let draft = draft(&world, &mut rng, format!("{number}-{n}"));
+        let draft = draft_request(&world, &mut rng, format!("{client_number}-{exchange_number}"));
         match rng.u32(..30) {
-            0 => half(&world, &mut rng, wire, &draft).await,
-            1 => leave(&world, &mut rng, wire, &draft).await,
+            0 => send_partially(&world, &mut rng, stream, &draft).await,
+            1 => abandon(&world, &mut rng, stream, &draft).await,
             _ => {
-                let goes_on = exchange(&world, &mut wire, &draft).await;
-                kept = rest(&world, &mut rng, wire).await.filter(|_| goes_on);
+                let is_reusable = exchange(&world, &mut stream, &draft).await;
+                idle_connection = idle(&world, &mut rng, stream).await.filter(|_| is_reusable);
             }
         }
     }
 }
 
-/// Sends a part of a request and leaves.
-async fn half(world: &World, rng: &mut fastrand::Rng, mut wire: Wire, draft: &Draft) {
-    world.ledger.borrow_mut().count("client: half");
-    let part = rng.usize(..draft.bytes.len());
-    if wire.write_all(&draft.bytes[..part]).await.is_ok() {
+/// Sends a part of a request and ends the connection.
+async fn send_partially(
+    world: &World, rng: &mut fastrand::Rng, mut stream: ResettableStream, draft: &RequestDraft,
+) {
+    world.ledger.borrow_mut().count("client: partial requests");
+    let length = rng.usize(..draft.bytes.len());
+    if stream.write_all(&draft.bytes[..length]).await.is_ok() {
         sleep(ms(rng.u64(..20))).await;
     }
     if rng.bool() {
-        wire.reset();
+        stream.reset();
     }
 }
 
-/// Sends a request and leaves before the answer.
-async fn leave(world: &World, rng: &mut fastrand::Rng, mut wire: Wire, draft: &Draft) {
-    world.ledger.borrow_mut().count("client: left");
-    say_whole(world, draft);
-    if wire.write_all(&draft.bytes).await.is_ok() {
+/// Sends a request and ends the connection before the response.
+async fn abandon(world: &World, rng: &mut fastrand::Rng, mut stream: ResettableStream, draft: &RequestDraft) {
+    world.ledger.borrow_mut().count("client: abandoned requests");
+    mark_sent_completely(world, draft);
+    if stream.write_all(&draft.bytes).await.is_ok() {
         sleep(ms(rng.u64(..10))).await;
     }
     if rng.bool() {
-        wire.reset();
+        stream.reset();
     }
 }
 
-fn say_whole(world: &World, draft: &Draft) {
-    world.ledger.borrow_mut().asked.get_mut(&draft.attempt).expect("it is asked").whole = true;
+fn mark_sent_completely(world: &World, draft: &RequestDraft) {
+    world
+        .ledger
+        .borrow_mut()
+        .requests
+        .get_mut(&draft.attempt)
+        .expect("the request is recorded")
+        .is_sent_completely = true;
 }
 
-/// Stays for a while where no answer is due.
-async fn rest(world: &World, rng: &mut fastrand::Rng, mut wire: Wire) -> Option<Wire> {
+/// Keeps a connection idle for a while, and reports bytes that arrive unrequested. Returns it if it is still
+/// open.
+async fn idle(
+    world: &World, rng: &mut fastrand::Rng, mut stream: ResettableStream,
+) -> Option<ResettableStream> {
     let time = match rng.u32(..3) {
         0 => ms(rng.u64(..400)),
         1 => ms(0),
-        // Whatever stands there is read as the next answer, and an end is not seen before the next request.
+        // Without reading: surplus bytes would be read as the next response, and a close is noticed only at
+        // the next request.
         _ => {
             sleep(ms(rng.u64(..200))).await;
-            return Some(wire);
+            return Some(stream);
         }
     };
     let mut bytes = [0; 64];
-    match timeout(time, wire.read(&mut bytes)).await {
-        Err(_) => Some(wire),
+    match timeout(time, stream.read(&mut bytes)).await {
+        Err(_) => Some(stream),
         Ok(Ok(0) | Err(_)) => None,
         Ok(Ok(n)) => {
             let bytes = String::from_utf8_lossy(&bytes[..n]).into_owned();
-            world.ledger.borrow_mut().wrong(format!("MIXED: nobody asked for {bytes:?}"));
+            world.ledger.borrow_mut().report_violation(format!("MISMATCH: unrequested bytes {bytes:?}"));
             None
         }
     }
 }
 
-/// One request and its answer; says whether the connection goes on.
-async fn exchange(world: &World, wire: &mut Wire, draft: &Draft) -> bool {
-    say_whole(world, draft);
+/// Sends a request and checks its response. Returns whether the connection can be used again.
+async fn exchange(world: &World, stream: &mut ResettableStream, draft: &RequestDraft) -> bool {
+    mark_sent_completely(world, draft);
     let began = Instant::now();
-    let leaving = world.agent.is_shutting_down();
-    // One that leaves may close a connection that rests: what has not been read goes nowhere.
-    let written = wire.write_all(&draft.bytes).await;
-    let answer = timeout(draft.deadline + SLACK, wire.message()).await;
+    let is_shutting_down = world.agent.is_shutting_down();
+    // A gateway that is shutting down may close an idle connection; a request that it has not read is
+    // dropped.
+    let written = stream.write_all(&draft.bytes).await;
+    let response = timeout(draft.deadline + DEADLINE_SLACK, stream.read_message()).await;
     let mut ledger = world.ledger.borrow_mut();
     ledger.count("client: requests");
-    if (written.is_err() || matches!(answer, Ok(Err(Fault::Ended)))) && world.agent.is_shutting_down() {
-        ledger.count("client: closed by one that leaves");
-        let asked = ledger.asked.get_mut(&draft.attempt).expect("it is asked");
-        // It may be sent again elsewhere, as after a promise.
-        asked.promised = true;
-        if !asked.deeds.is_empty() {
-            ledger.wrong(format!("LOST: {} was handed on and has no answer", draft.attempt));
+    if (written.is_err() || matches!(response, Ok(Err(ReadError::Closed)))) && world.agent.is_shutting_down()
+    {
+        ledger.count("client: closed by shutdown");
+        let request = ledger.requests.get_mut(&draft.attempt).expect("the request is recorded");
+        // The client may send it again elsewhere, so it must never run, as after a promise.
+        request.promised_not_to_run = true;
+        if !request.actions.is_empty() {
+            ledger.report_violation(format!(
+                "NO RESPONSE: {} was forwarded and has no response",
+                draft.attempt
+            ));
         }
         return false;
     }
-    match answer {
-        Err(_) => ledger.wrong(format!("LATE: {} has no answer in its time", draft.attempt)),
-        Ok(Err(Fault::Nonsense(what))) => ledger.wrong(format!("MIXED: {} got {what}", draft.attempt)),
-        Ok(Err(fault)) => ledger.wrong(format!("LOST: {} has no whole answer: {fault:?}", draft.attempt)),
-        Ok(Ok(answer)) => {
-            let early = began.elapsed() + BEFORE_DEADLINE < draft.deadline;
-            if let Err(why) = check(&mut ledger, draft, &answer, early) {
-                let RecordedRequest { target, deeds, .. } = &ledger.asked[&draft.attempt];
-                let what = format!("{why}: {target} got {:?} after {deeds:?}", answer.start_line);
-                ledger.wrong(what);
+    match response {
+        Err(_) => {
+            ledger.report_violation(format!("LATE: {} has no response within its deadline", draft.attempt))
+        }
+        Ok(Err(ReadError::Malformed(text))) => {
+            ledger.report_violation(format!("MISMATCH: {} got an invalid response: {text}", draft.attempt))
+        }
+        Ok(Err(error)) => ledger
+            .report_violation(format!("NO RESPONSE: {} has no complete response: {error:?}", draft.attempt)),
+        Ok(Ok(response)) => {
+            let is_early = began.elapsed() + GIVE_UP_MARGIN < draft.deadline;
+            if let Err(reason) = check_response(&mut ledger, draft, &response, is_early) {
+                let RecordedRequest { target, actions, .. } = &ledger.requests[&draft.attempt];
+                let violation = format!("{reason}: {target} got {:?} after {actions:?}", response.start_line);
+                ledger.report_violation(violation);
             }
-            let goes_on = answer.header("connection") != Some("close");
-            if leaving && goes_on {
-                ledger.wrong(format!("LEAVES: {} is not told to come no more", draft.attempt));
+            let is_reusable = response.header("connection") != Some("close");
+            if is_shutting_down && is_reusable {
+                ledger.report_violation(format!(
+                    "SHUTDOWN: the response to {} does not announce that the connection closes",
+                    draft.attempt
+                ));
             }
-            return goes_on;
+            return is_reusable;
         }
     }
     false
 }
 
-fn check(ledger: &mut Ledger, draft: &Draft, answer: &Message, early: bool) -> Result<(), &'static str> {
-    let status = answer.status();
-    if !answer.start_line.starts_with("HTTP/1.1 ") || status < 200 {
-        return Err("MIXED, no answer in the protocol");
+fn check_response(
+    ledger: &mut Ledger, draft: &RequestDraft, response: &Message, is_early: bool,
+) -> Result<(), &'static str> {
+    let status = response.status();
+    if !response.start_line.starts_with("HTTP/1.1 ") || status < 200 {
+        return Err("MISMATCH, not a final HTTP/1.1 response");
     }
-    if answer.headers.get("attempt-id").into_iter().flatten().any(|id| *id != draft.attempt) {
-        return Err("MIXED, another's answer");
+    if response.headers.get("attempt-id").into_iter().flatten().any(|id| *id != draft.attempt) {
+        return Err("MISMATCH, the Attempt-Id of another request");
     }
     if status < 300 {
         ledger.count("client: successes");
-        return if draft.gathered { gathered(ledger, draft, answer) } else { relayed(ledger, draft, answer) };
+        return if draft.is_fan_out {
+            check_gathered(ledger, draft, response)
+        } else {
+            check_relayed(ledger, draft, response)
+        };
     }
-    let asked = ledger.asked.get_mut(&draft.attempt).expect("it is asked");
-    if PROMISES.contains(&status) {
-        asked.promised = true;
-        if asked.runs > 0 {
-            return Err("REFUSED, it has run");
+    let request = ledger.requests.get_mut(&draft.attempt).expect("the request is recorded");
+    if NOT_EXECUTED_STATUSES.contains(&status) {
+        request.promised_not_to_run = true;
+        if request.run_count > 0 {
+            return Err("PROMISE BROKEN, the request has run");
         }
     }
-    if early && !draft.gathered && asked.at_work > 0 {
-        return Err("ended early, though a server is at work on it");
+    if is_early && !draft.is_fan_out && request.pending_count > 0 {
+        return Err("GIVEN UP EARLY, a server still works on the request");
     }
-    ledger.count("client: refused or failed");
+    ledger.count("client: errors");
     Ok(())
 }
 
-/// A success of one server: its own, whole.
-fn relayed(ledger: &Ledger, draft: &Draft, answer: &Message) -> Result<(), &'static str> {
-    let seals = answer.headers.get("server-seal").map(Vec::as_slice).unwrap_or_default();
-    let [seal] = seals else { return Err("MIXED, not one seal") };
-    let sealed = ledger.sealed.get(seal).ok_or("MIXED, nobody's seal")?;
+/// Checks a success from one server: it must belong to this request and be complete and unchanged.
+fn check_relayed(ledger: &Ledger, draft: &RequestDraft, response: &Message) -> Result<(), &'static str> {
+    let seals = response.headers.get("server-seal").map(Vec::as_slice).unwrap_or_default();
+    let [seal] = seals else { return Err("MISMATCH, not exactly one seal") };
+    let sealed = ledger.sealed_responses.get(seal).ok_or("MISMATCH, a seal that no server has issued")?;
     if sealed.attempt != draft.attempt {
-        return Err("MIXED, the answer to another request");
+        return Err("MISMATCH, the response to another request");
     }
-    if !sealed.success || answer.header("content-encoding").is_some() {
-        return Err("MIXED, no success of the server");
+    if !sealed.is_success || response.header("content-encoding").is_some() {
+        return Err("MISMATCH, not a success of the server, or encoded");
     }
-    if sealed.body != answer.body {
-        return Err("MIXED, not the server's whole body");
+    if sealed.body != response.body {
+        return Err("MISMATCH, not the complete body of the server");
     }
     Ok(())
 }
 
-/// A success of several: each part one service's own, the body the greatest of all of their records.
-fn gathered(ledger: &Ledger, draft: &Draft, answer: &Message) -> Result<(), &'static str> {
+/// Checks a success gathered from several services: each part must belong to this request and come from
+/// another service, and the body must hold the greatest of all their records.
+fn check_gathered(ledger: &Ledger, draft: &RequestDraft, response: &Message) -> Result<(), &'static str> {
     let mut services = Vec::new();
     let mut records: Vec<&[u8]> = Vec::new();
-    for seal in answer.headers.get("part-seals").into_iter().flatten().flat_map(|seals| seals.split(',')) {
-        let sealed = ledger.sealed.get(seal.trim()).ok_or("MIXED, nobody's part")?;
-        if sealed.attempt != draft.attempt || !sealed.success {
-            return Err("MIXED, a part of another request, or a failure");
+    for seal in response.headers.get("part-seals").into_iter().flatten().flat_map(|seals| seals.split(',')) {
+        let sealed = ledger
+            .sealed_responses
+            .get(seal.trim())
+            .ok_or("MISMATCH, a part whose seal no server has issued")?;
+        if sealed.attempt != draft.attempt || !sealed.is_success {
+            return Err("MISMATCH, a part of another request, or a failure");
         }
         services.push(sealed.service);
         records.extend(sealed.body.chunks_exact(16));
     }
-    let missing: usize = answer.header("missing-parts").and_then(|n| n.parse().ok()).unwrap_or(0);
-    let named = services.len();
+    let missing: usize = response.header("missing-parts").and_then(|n| n.parse().ok()).unwrap_or(0);
+    let part_count = services.len();
     services.sort_unstable();
     services.dedup();
-    if services.len() != named || named == 0 || named + missing != 3 {
-        return Err("MIXED, the parts are not the set");
+    if services.len() != part_count || part_count == 0 || part_count + missing != 3 {
+        return Err("MISMATCH, the parts are not one of each service");
     }
     records.sort_unstable();
-    let greatest: Vec<u8> = records.into_iter().rev().take(TOP_K).flatten().copied().collect();
-    if greatest != answer.body { Err("MIXED, not the greatest records") } else { Ok(()) }
+    let expected: Vec<u8> = records.into_iter().rev().take(TOP_K).flatten().copied().collect();
+    if expected != response.body { Err("MISMATCH, not the greatest records") } else { Ok(()) }
 }
--- a/crates/node/tests/scripted/mod.rs
+++ b/crates/node/tests/scripted/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway as it serves, between clients and servers that are played: the connections, the ledger of what was asked,
-//! run and answered, and the whole that is put together from them.
+//! A complete gateway between scripted clients and servers. A ledger records the requests that were sent,
+//! executed and responded to, and the violations found.
 
 pub(crate) mod client;
 pub(crate) mod server;
@@ -29,94 +29,100 @@
     Duration::from_millis(ms)
 }
 
-/// The services, and how many servers each has.
+/// Services of the configuration, with their number of servers.
 const SERVICES: [(&str, usize); 5] = [("s", 5), ("lone", 1), ("a", 2), ("b", 2), ("c", 2)];
-/// How many records the gathered answer has.
+/// Number of records in a gathered response.
 pub(crate) const TOP_K: usize = 5;
-/// Time in which what is left over at the end comes to its end.
+/// Time after the last request in which all pending work must end.
 const SETTLE_TIME: Duration = ms(3000);
 
-/// What was done how often.
+/// How often each event occurred.
 pub(crate) type Counts = BTreeMap<&'static str, u32>;
 
-/// A request as its client sent it, and what servers made of it.
+/// A request as its client sent it, and what servers did with it.
 pub(crate) struct RecordedRequest {
     pub method: &'static str,
     pub target: String,
     pub body: Vec<u8>,
-    /// It must not run twice.
-    pub once: bool,
-    /// Its client has sent all of it.
-    pub whole: bool,
-    pub runs: u32,
-    /// Servers that have read it and still owe its answer, on connections that are sound.
-    pub at_work: u32,
-    /// What servers did with it, in their order.
-    pub deeds: Vec<&'static str>,
-    /// Its client was told that it has not run and never will.
-    pub promised: bool,
+    /// Whether it must not run twice.
+    pub at_most_once: bool,
+    /// Whether its client has sent all of it.
+    pub is_sent_completely: bool,
+    /// Number of times that a server has executed it.
+    pub run_count: u32,
+    /// Number of servers that have read it and not yet responded, on connections where the next response can
+    /// only be its own.
+    pub pending_count: u32,
+    /// Actions of servers on it, in order.
+    pub actions: Vec<&'static str>,
+    /// Whether its client got a status that promises that it has not run and never will.
+    pub promised_not_to_run: bool,
 }
 
-/// An answer that a server has given, under its seal.
-pub(crate) struct Sealed {
+/// A response that a server has sent with a seal.
+pub(crate) struct SealedResponse {
     pub attempt: String,
     pub service: &'static str,
     pub body: Vec<u8>,
-    /// A success, in the server's own words.
-    pub success: bool,
+    /// Whether the server sent it as a success.
+    pub is_success: bool,
 }
 
-/// All that clients and servers know together, and what was found wrong.
+/// What clients and servers have recorded: requests by attempt, responses by seal, violations and counts.
 #[derive(Default)]
 pub(crate) struct Ledger {
-    pub asked: BTreeMap<String, RecordedRequest>,
-    pub sealed: BTreeMap<String, Sealed>,
+    pub requests: BTreeMap<String, RecordedRequest>,
+    pub sealed_responses: BTreeMap<String, SealedResponse>,
     pub violations: Vec<String>,
     pub counts: Counts,
 }
 
 impl Ledger {
-    pub(crate) fn wrong(&mut self, what: impl Into<String>) {
-        self.violations.push(what.into());
+    pub(crate) fn report_violation(&mut self, violation: impl Into<String>) {
+        self.violations.push(violation.into());
     }
 
-    pub(crate) fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    pub(crate) fn count(&mut self, event: &'static str) {
+        *self.counts.entry(event).or_default() += 1;
     }
 
-    pub(crate) fn did(&mut self, attempt: &str, deed: &'static str) {
-        self.asked.get_mut(attempt).into_iter().for_each(|asked| asked.deeds.push(deed));
+    /// Records what a server does with a request.
+    pub(crate) fn record_action(&mut self, attempt: &str, action: &'static str) {
+        self.requests.get_mut(attempt).into_iter().for_each(|request| request.actions.push(action));
     }
 
-    /// A server runs this.
-    pub(crate) fn run(&mut self, attempt: &str) {
-        let Some(asked) = self.asked.get_mut(attempt) else { return };
-        asked.runs += 1;
-        let (twice, promised) = (asked.once && asked.runs > 1, asked.promised);
-        if twice {
-            self.wrong(format!("TWICE: {attempt} has run again"));
+    /// Records that a server executes a request, and checks that it may.
+    pub(crate) fn record_run(&mut self, attempt: &str) {
+        let Some(request) = self.requests.get_mut(attempt) else { return };
+        request.run_count += 1;
+        let (runs_again, promised_not_to_run) =
+            (request.at_most_once && request.run_count > 1, request.promised_not_to_run);
+        if runs_again {
+            self.report_violation(format!("TWICE: {attempt} has run more than once"));
         }
-        if promised {
-            self.wrong(format!("REFUSED: {attempt} runs after the promise that it never will"));
+        if promised_not_to_run {
+            self.report_violation(format!(
+                "PROMISE BROKEN: {attempt} runs after a status that promised that it never will"
+            ));
         }
     }
 }
 
-/// The gateway and all around it.
+/// The gateway with its servers and the ledger.
 pub(crate) struct World {
     pub agent: Rc<Agent>,
     pub data_plane: Rc<DataPlane>,
     pub clients: Rc<ClientConnections>,
     pub ledger: Rc<RefCell<Ledger>>,
     servers: Rc<Servers>,
-    /// Until the end, servers do as they are drawn.
-    trouble: Rc<Cell<bool>>,
+    /// Whether servers take random actions; without faults each sends a normal response.
+    faults_enabled: Rc<Cell<bool>>,
 }
 
-/// No other processes are there.
-struct Nobody;
+/// Transport of a system of one process: there are no peers to connect to.
+struct NoPeers;
 
-impl Transport for Nobody {
+impl Transport for NoPeers {
     fn connect(&self, _address: ashvane_identifiers::Address) -> Connecting {
         Box::pin(async { None })
     }
@@ -127,9 +133,10 @@
                 seed-nodes = [\"10.0.0.1:8047\"]\nbeat-interval-ms = 3600000\ndata-dir = \"-\"\n\
                 [listen]\ncontrol = \"10.0.0.1:8047\"\nfront = \"10.0.0.1:8043\"\n\
                 [bounds]\nretry-ratio = 1.0\nretry-slack = 1000000.0\n";
-    Settings::parse(text, "-").expect("settings")
+    Settings::parse(text, "-").expect("the settings are valid")
 }
 
+/// Returns a configuration with routes for queries, for calls that must not run twice, and for gathering.
 fn configuration() -> String {
     let route = |name: &str, kind: &str, target: &str| {
         format!(
@@ -147,44 +154,45 @@
     format!(r#"{{"version":1,"routes":[{}],"services":[{}]}}"#, routes.join(","), services.join(","))
 }
 
-/// A disk that keeps all in a moment.
-fn disk() -> Disk {
+/// Starts a disk that stores all writes in memory within a millisecond.
+fn start_in_memory_disk() -> Disk {
     let (disk, inbox) = Disk::new();
     spawn_local(async move {
-        let mut whole = StoredState::default();
+        let mut state = StoredState::default();
         loop {
             sleep(ms(1)).await;
-            let Some(mut wanted) = inbox.take() else { continue };
-            wanted.apply_to(&mut whole);
-            wanted.notify_synced();
+            let Some(mut pending_write) = inbox.take() else { continue };
+            pending_write.apply_to(&mut state);
+            pending_write.notify_synced();
         }
     });
     disk
 }
 
 impl World {
+    /// Starts a gateway with its configuration in force and all servers known.
     pub(crate) async fn start(seed: u64) -> Rc<World> {
         fastrand::seed(seed);
         let (settings, log) = (settings(), Logger::root(Discard, o!()));
-        let (ledger, trouble) = (Rc::<RefCell<Ledger>>::default(), Rc::new(Cell::new(true)));
+        let (ledger, faults_enabled) = (Rc::<RefCell<Ledger>>::default(), Rc::new(Cell::new(true)));
         let servers = Rc::new(Servers::default());
         let plane = DataPlane::new(&settings, servers.clone(), log.clone());
-        let disk = disk();
+        let disk = start_in_memory_disk();
         let replica = recover_replica(&settings, &disk, StoredState::default().recovered(), &log).await;
         let name = replica.state().disk.clone();
         let own = own_node(&settings, 1, "10.0.0.1:7080".into(), Some(name));
         let local_replica = Some(LocalReplica { replica, disk });
         let data_plane = Some(plane.clone());
-        let transport = Rc::new(Nobody);
+        let transport = Rc::new(NoPeers);
         let agent = Agent::new(AgentParts { settings, own, local_replica, data_plane, transport, log });
         agent.tick();
         let put = agent.put(configuration().as_bytes()).await;
-        assert!(matches!(put, PutOutcome::Accepted { version: 1 }), "the configuration is in force");
+        assert!(matches!(put, PutOutcome::Accepted { version: 1 }), "the configuration is accepted");
         let mut rng = fastrand::Rng::with_seed(seed);
         for (service, count) in SERVICES {
             for n in 0..count {
-                let server = Server::start(service, n, rng.fork(), ledger.clone(), trouble.clone());
-                let beat = Heartbeat {
+                let server = Server::start(service, n, rng.fork(), ledger.clone(), faults_enabled.clone());
+                let heartbeat = Heartbeat {
                     id: server.id.clone().into(),
                     service: service.to_owned().into(),
                     address: server.address.clone().into(),
@@ -193,50 +201,62 @@
                     state: ServerState::Ready,
                     sequence: 1,
                 };
-                servers.is_there(server);
-                assert!(agent.record_heartbeat(beat).await.is_ok(), "the server is known");
+                servers.add(server);
+                assert!(agent.record_heartbeat(heartbeat).await.is_ok(), "the heartbeat is accepted");
             }
         }
-        let ticking = agent.clone();
+        let ticking_agent = agent.clone();
         spawn_local(async move {
             loop {
                 sleep(TICK_INTERVAL).await;
-                ticking.tick();
+                ticking_agent.tick();
             }
         });
-        Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, trouble })
+        Rc::new(World { agent, data_plane: plane, clients: Rc::default(), ledger, servers, faults_enabled })
     }
 
-    /// Ends in order while clients go on, as a process does on SIGTERM.
-    pub(crate) async fn shut_down_after(&self, after: Duration, closes_after: Duration) {
-        sleep(after).await;
+    /// Shuts the gateway down gracefully while clients continue, as a process does on SIGTERM.
+    pub(crate) async fn shut_down_after(&self, delay: Duration, close_delay: Duration) {
+        sleep(delay).await;
         self.agent.shut_down();
-        sleep(closes_after).await;
+        sleep(close_delay).await;
         self.clients.close_gracefully();
     }
 
-    /// Nothing is left open or owed, and no promise was broken after all.
+    /// Checks that no connection is left open and that no request has run against a promise.
     pub(crate) async fn check_final_state(&self) {
-        self.trouble.set(false);
+        self.faults_enabled.set(false);
         sleep(SETTLE_TIME).await;
-        self.servers.close_all();
+        self.servers.close_connections();
         sleep(ms(100)).await;
         let mut ledger = self.ledger.borrow_mut();
-        let broken: Vec<String> =
-            ledger.asked.iter().filter(|(_, a)| a.promised && a.runs > 0).map(|(id, _)| id.clone()).collect();
-        broken.into_iter().for_each(|id| ledger.wrong(format!("REFUSED: {id} was promised not to run")));
-        let open = self.data_plane.open_connection_count();
+        let violating: Vec<String> = ledger
+            .requests
+            .iter()
+            .filter(|(_, a)| a.promised_not_to_run && a.run_count > 0)
+            .map(|(id, _)| id.clone())
+            .collect();
+        violating.into_iter().for_each(|id| {
+            ledger.report_violation(format!(
+                "PROMISE BROKEN: {id} has run, though its status promised that it never would"
+            ))
+        });
+        let open_connections = self.data_plane.open_connection_count();
         if self.clients.open_count() + self.clients.in_flight_count() > 0 {
-            ledger.wrong("OPEN: clients' connections are counted though all have left");
+            ledger.report_violation(
+                "OPEN: connections or requests of clients are still counted after all clients have left",
+            );
         }
-        if open > 0 {
-            ledger.wrong(format!("OPEN: {open} connections to servers are counted though none is open"));
+        if open_connections > 0 {
+            ledger.report_violation(format!(
+                "OPEN: {open_connections} connections to servers are still counted after all were closed"
+            ));
         }
     }
 }
 
-/// Plays on one thread, with time that is counted.
-pub(crate) fn run_simulation<F: Future>(world: F) -> F::Output {
+/// Runs a simulation to its end on one thread, with simulated time.
+pub(crate) fn run_simulation<F: Future>(simulation: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), world)
+    LocalSet::new().block_on(&runtime.expect("the runtime can be created"), simulation)
 }
--- a/crates/node/tests/scripted/server.rs
+++ b/crates/node/tests/scripted/server.rs
@@ -1,4 +1,5 @@
-//! Servers that do everything wrong that a server may: what each does with a request is drawn, and noted in the ledger.
+//! Servers with every kind of fault. Each draws at random what it does with a request, and records it in the
+//! ledger.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,118 +12,128 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::wire::{Message, Wire, wires};
-use super::{Ledger, Sealed, ms};
+use super::wire::{Message, ResettableStream, stream_pair};
+use super::{Ledger, SealedResponse, ms};
 
-/// All that a server may do with a request or a connection.
+/// Everything that a server may do with a request or a connection, by name. The first one is a normal
+/// response.
 pub(crate) const SERVER_ACTIONS: [&str; 36] = [
-    "well",
-    "well, in chunks",
-    "well, and closes",
-    "well, and keeps a while",
-    "turned away",
-    "turned away twice",
-    "turned away, late",
-    "failed",
-    "failed with a seal",
-    "a promise that is none",
-    "not executed, with a success",
-    "reset after the run",
-    "closed after the run",
-    "silent",
-    "late",
-    "cut in the head",
-    "cut in the body",
-    "stands still in the body",
-    "the answer twice at once",
-    "the answer twice, late",
-    "the answer twice, much later",
-    "another's answer before",
-    "another's id",
-    "no id",
-    "two ids",
+    "normal response",
+    "chunked response",
+    "response, then close",
+    "response with Keep-Alive timeout",
+    "rejection",
+    "rejection sent twice",
+    "late rejection",
+    "error response",
+    "error response with a seal",
+    "rejection status without Not-Executed",
+    "success with Not-Executed",
+    "reset after execution",
+    "closed after execution",
+    "no response",
+    "late response",
+    "truncated head",
+    "truncated body",
+    "stalls in the body",
+    "response sent twice at once",
+    "response sent again shortly after",
+    "response sent again much later",
+    "response to another request first",
+    "Attempt-Id of another request",
+    "no Attempt-Id",
+    "two Attempt-Ids",
     "two seals",
-    "informational before",
+    "informational responses first",
     "switches protocols",
-    "longer than said",
-    "shorter than said, and closes",
-    "until closed, cut",
+    "longer than Content-Length",
+    "shorter than Content-Length, then closes",
+    "truncated, delimited by close",
     "no seal",
-    "encoded",
-    "nonsense",
-    "forgets an idle connection",
-    "resets inside a request",
+    "encoded body",
+    "invalid bytes",
+    "resets an idle connection",
+    "resets within a request",
 ];
-/// Those that go with a request; the last two are the connection's own.
-const WITH_REQUEST: usize = SERVER_ACTIONS.len() - 2;
-/// How many of all requests are served well, out of ten.
-const WELL: u32 = 6;
-/// Those after which more is said than was asked for: what stands where the next answer is due may be that.
-const SAYS_MORE: [&str; 7] = [
-    "turned away twice",
-    "the answer twice at once",
-    "the answer twice, late",
-    "the answer twice, much later",
-    "another's answer before",
+/// Number of actions that are drawn for a request. The last two of the list concern the connection instead.
+const REQUEST_ACTION_COUNT: usize = SERVER_ACTIONS.len() - 2;
+/// Average number of requests out of ten that get a normal response; the others get a random action.
+const NORMAL_PER_TEN: u32 = 6;
+/// Actions that send more than one response. After these, the next bytes on the connection may be surplus
+/// ones instead of the response to the next request.
+const SURPLUS_ACTIONS: [&str; 7] = [
+    "rejection sent twice",
+    "response sent twice at once",
+    "response sent again shortly after",
+    "response sent again much later",
+    "response to another request first",
     "switches protocols",
-    "longer than said",
+    "longer than Content-Length",
 ];
-/// Those whose answer is owed until their last step; of the others it is the first thing said.
-const SAID_IN_PARTS: [&str; 5] = [
-    "well, in chunks",
-    "cut in the head",
-    "cut in the body",
-    "stands still in the body",
-    "shorter than said, and closes",
+/// Actions with which a request counts as pending until their last step. With all others it does until the
+/// first write.
+const SPLIT_RESPONSE_ACTIONS: [&str; 5] = [
+    "chunked response",
+    "truncated head",
+    "truncated body",
+    "stalls in the body",
+    "shorter than Content-Length, then closes",
 ];
-/// The longest time for which a server holds what it does not answer.
-const HOLDS: std::time::Duration = ms(1500);
+/// Longest time for which a server keeps a request without responding.
+const HOLD_TIMEOUT: std::time::Duration = ms(1500);
 
+/// A step of an action.
 enum Step {
-    Say(Vec<u8>),
+    Write(Vec<u8>),
+    /// Waits for this number of milliseconds.
     Wait(u64),
     Reset,
     Close,
-    /// Nothing more, until the other side closes or the time is over.
+    /// Does nothing until the other side closes, for [`HOLD_TIMEOUT`] at most, and ends the connection.
     Hold,
 }
 
-use Step::{Close, Hold, Reset, Say, Wait};
+use Step::{Close, Hold, Reset, Wait, Write};
 
-/// What is done with one request.
-struct Deed {
+/// What a server does with one request.
+struct Action {
     name: &'static str,
-    /// Time in the queue; the request is dropped there if its connection closes, or is not.
-    queue: u64,
-    drops: bool,
-    runs: bool,
+    /// Time that the request waits in the queue.
+    queue_ms: u64,
+    /// Whether the request is dropped from the queue if its connection closes.
+    drops_if_closed: bool,
+    /// Whether the server executes the request.
+    executes: bool,
     steps: Vec<Step>,
 }
 
-/// What an answer consists of.
-struct Draft {
+/// Parts of a response.
+struct ResponseDraft {
     status: &'static str,
     ids: Vec<String>,
     seals: Vec<String>,
     headers: String,
     body: Vec<u8>,
-    /// The length that it states, if not its own.
+    /// Value of `Content-Length`, if not the length of the body.
     length: Option<usize>,
 }
 
-impl Draft {
+impl ResponseDraft {
+    /// Returns the head of the response; `framing` holds the header lines that delimit the body.
     fn head(&self, framing: &str) -> String {
         let ids: String = self.ids.iter().map(|id| format!("Attempt-Id: {id}\r\n")).collect();
         let seals: String = self.seals.iter().map(|seal| format!("Server-Seal: {seal}\r\n")).collect();
         format!("HTTP/1.1 {}\r\n{ids}{seals}{}{framing}\r\n", self.status, self.headers)
     }
 
-    fn whole(&self) -> Vec<u8> {
+    /// Returns the response with `Content-Length`.
+    fn with_length(&self) -> Vec<u8> {
         let length = self.length.unwrap_or(self.body.len());
         [self.head(&format!("Content-Length: {length}\r\n")).as_bytes(), &self.body].concat()
     }
 
-    fn in_chunks(&self) -> Vec<u8> {
+    /// Returns the response with chunked encoding.
+    fn chunked(&self) -> Vec<u8> {
         let mut bytes = self.head("Transfer-Encoding: chunked\r\n").into_bytes();
         for chunk in self.body.chunks(100) {
             bytes.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
@@ -133,50 +144,54 @@
         bytes
     }
 
-    fn until_closed(&self) -> Vec<u8> {
+    /// Returns the response with a body that ends when the connection closes.
+    fn until_close(&self) -> Vec<u8> {
         [self.head("Connection: close\r\n").as_bytes(), &self.body].concat()
     }
 }
 
+/// A scripted server of one service.
 pub(crate) struct Server {
     pub id: String,
     pub service: &'static str,
     pub address: String,
     rng: RefCell<fastrand::Rng>,
     ledger: Rc<RefCell<Ledger>>,
-    trouble: Rc<Cell<bool>>,
-    /// The last request that it read, whose answer may come again.
-    before: RefCell<Option<String>>,
-    runs: Cell<u32>,
-    door: mpsc::UnboundedSender<Wire>,
-    closed: watch::Sender<bool>,
+    faults_enabled: Rc<Cell<bool>>,
+    /// Attempt-Id of the last request that it responded to, for responses with the id of another request.
+    previous_attempt: RefCell<Option<String>>,
+    /// Number of seals issued so far.
+    seal_count: Cell<u32>,
+    connection_sender: mpsc::UnboundedSender<ResettableStream>,
+    close_signal: watch::Sender<bool>,
 }
 
 impl Server {
+    /// Starts a server, which accepts connections from now on.
     pub(crate) fn start(
         service: &'static str, number: usize, rng: fastrand::Rng, ledger: Rc<RefCell<Ledger>>,
-        trouble: Rc<Cell<bool>>,
+        faults_enabled: Rc<Cell<bool>>,
     ) -> Rc<Server> {
-        let (door, mut callers) = mpsc::unbounded_channel();
+        let (connection_sender, mut connections) = mpsc::unbounded_channel();
         let server = Rc::new(Server {
             id: format!("i-{service}-{number}"),
             service,
             address: format!("10.1.{}.{number}:80", service.len() * 10 + usize::from(service.as_bytes()[0])),
             rng: rng.into(),
             ledger,
-            trouble,
-            before: RefCell::default(),
-            runs: 0.into(),
-            door,
-            closed: watch::channel(false).0,
+            faults_enabled,
+            previous_attempt: RefCell::default(),
+            seal_count: 0.into(),
+            connection_sender,
+            close_signal: watch::channel(false).0,
         });
-        let serving = server.clone();
+        let accepting = server.clone();
         spawn_local(async move {
-            while let Some(wire) = callers.recv().await {
-                let (server, mut closed) = (serving.clone(), serving.closed.subscribe());
+            while let Some(stream) = connections.recv().await {
+                let (server, mut closed) = (accepting.clone(), accepting.close_signal.subscribe());
                 spawn_local(async move {
                     tokio::select! {
-                        () = server.connection(wire) => {}
+                        () = server.serve_connection(stream) => {}
                         _ = closed.wait_for(|closed| *closed) => {}
                     }
                 });
@@ -185,119 +200,135 @@
         server
     }
 
+    /// Draws a random value.
     fn draw<T>(&self, draw: impl FnOnce(&mut fastrand::Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
-    fn count(&self, deed: &'static str) {
-        self.ledger.borrow_mut().count(deed);
+    fn count(&self, action: &'static str) {
+        self.ledger.borrow_mut().count(action);
     }
 
-    async fn connection(&self, mut wire: Wire) {
-        let mut before = "";
+    /// Serves the requests of one connection, one after another.
+    async fn serve_connection(&self, mut stream: ResettableStream) {
+        let mut previous_action = "";
         loop {
-            // One that has rested may be forgotten: what comes next is reset.
-            let came = Instant::now();
-            if wire.begins().await.is_err() {
+            // The server may have forgotten a connection that was idle: it resets it at the next request.
+            let waiting_since = Instant::now();
+            if stream.wait_for_message().await.is_err() {
                 return;
             }
-            let troubled = self.trouble.get();
-            if troubled && came.elapsed() > ms(0) && self.draw(|rng| rng.u32(..25)) == 0 {
-                self.count("forgets an idle connection");
-                return wire.reset();
+            let faults_enabled = self.faults_enabled.get();
+            if faults_enabled && waiting_since.elapsed() > ms(0) && self.draw(|rng| rng.u32(..25)) == 0 {
+                self.count("resets an idle connection");
+                return stream.reset();
             }
-            if troubled && self.draw(|rng| rng.u32(..60)) == 0 {
-                self.count("resets inside a request");
-                return wire.reset();
+            if faults_enabled && self.draw(|rng| rng.u32(..60)) == 0 {
+                self.count("resets within a request");
+                return stream.reset();
             }
-            let Ok(request) = wire.message().await else { return };
-            let owes = !SAYS_MORE.contains(&before);
-            match self.serve(&mut wire, request, owes).await {
-                Some(deed) => before = deed,
+            let Ok(request) = stream.read_message().await else { return };
+            let owes_response = !SURPLUS_ACTIONS.contains(&previous_action);
+            match self.serve_request(&mut stream, request, owes_response).await {
+                Some(action) => previous_action = action,
                 None => return,
             }
         }
     }
 
-    /// Serves one request, which may owe an answer while it does; says what it did if the connection goes on.
-    async fn serve(&self, wire: &mut Wire, request: Message, owes: bool) -> Option<&'static str> {
+    /// Serves one request. `owes_response` says whether the request counts as pending until its response.
+    /// Returns the action that the server took, or `None` if the connection ends.
+    async fn serve_request(
+        &self, stream: &mut ResettableStream, request: Message, owes_response: bool,
+    ) -> Option<&'static str> {
         let attempt = request.header("attempt-id").unwrap_or_default().to_owned();
-        self.check(&request, &attempt);
+        self.check_request(&request, &attempt);
         if request.header("target-instance") != Some(&self.id) {
-            self.ledger.borrow_mut().wrong(format!("ROUTE: {attempt} came to {}", self.id));
+            self.ledger
+                .borrow_mut()
+                .report_violation(format!("MISROUTED: {attempt} was sent to {}", self.id));
         }
-        let deed = self.deed(&request, &attempt);
-        self.count(deed.name);
-        self.ledger.borrow_mut().did(&attempt, deed.name);
-        let mut at_work = owes.then(|| AtWork::begin(&self.ledger, &attempt));
-        let gone = timeout(ms(deed.queue), wire.read_u8()).await;
-        if matches!(gone, Ok(Ok(_))) {
-            let what = format!("PIPELINED: something came while {attempt} was at work");
-            self.ledger.borrow_mut().wrong(what);
+        let action = self.draw_action(&request, &attempt);
+        self.count(action.name);
+        self.ledger.borrow_mut().record_action(&attempt, action.name);
+        let mut pending = owes_response.then(|| PendingGuard::begin(&self.ledger, &attempt));
+        let early_read = timeout(ms(action.queue_ms), stream.read_u8()).await;
+        if matches!(early_read, Ok(Ok(_))) {
+            let violation = format!("PIPELINED: bytes arrived while {attempt} was in the queue");
+            self.ledger.borrow_mut().report_violation(violation);
         }
-        if deed.drops && matches!(gone, Ok(Err(_))) {
+        if action.drops_if_closed && matches!(early_read, Ok(Err(_))) {
             return None;
         }
-        if deed.runs {
-            self.ledger.borrow_mut().run(&attempt);
+        if action.executes {
+            self.ledger.borrow_mut().record_run(&attempt);
         }
-        let last = match SAID_IN_PARTS.contains(&deed.name) {
-            true => deed.steps.len() - 1,
-            false => deed.steps.iter().position(|step| matches!(step, Say(_))).unwrap_or(deed.steps.len()),
+        let final_step = match SPLIT_RESPONSE_ACTIONS.contains(&action.name) {
+            true => action.steps.len() - 1,
+            false => {
+                action.steps.iter().position(|step| matches!(step, Write(_))).unwrap_or(action.steps.len())
+            }
         };
-        for (at, step) in deed.steps.into_iter().enumerate() {
+        for (at, step) in action.steps.into_iter().enumerate() {
             match step {
-                Say(bytes) => {
-                    if at == last {
-                        drop(at_work.take());
+                Write(bytes) => {
+                    if at == final_step {
+                        drop(pending.take());
                     }
-                    if wire.write_all(&bytes).await.is_err() {
+                    if stream.write_all(&bytes).await.is_err() {
                         return None;
                     }
                 }
-                Wait(time) => sleep(ms(time)).await,
+                Wait(delay_ms) => sleep(ms(delay_ms)).await,
                 Reset | Close => {
-                    drop(at_work.take());
+                    drop(pending.take());
                     if matches!(step, Reset) {
-                        wire.reset();
+                        stream.reset();
                     }
                     return None;
                 }
                 Hold => {
-                    let _ = timeout(HOLDS, wire.read_u8()).await;
+                    let _ = timeout(HOLD_TIMEOUT, stream.read_u8()).await;
                     return None;
                 }
             }
         }
-        *self.before.borrow_mut() = Some(attempt);
-        Some(deed.name)
+        *self.previous_attempt.borrow_mut() = Some(attempt);
+        Some(action.name)
     }
 
-    /// It came as its client sent it, whole.
-    fn check(&self, request: &Message, attempt: &str) {
+    /// Checks that a request arrived completely and as its client sent it.
+    fn check_request(&self, request: &Message, attempt: &str) {
         let mut ledger = self.ledger.borrow_mut();
-        let Some(asked) = ledger.asked.get(attempt) else {
-            return ledger.wrong(format!("UNASKED: {attempt:?}, {}", request.start_line));
+        let Some(sent) = ledger.requests.get(attempt) else {
+            return ledger.report_violation(format!("UNKNOWN REQUEST: {attempt:?}, {}", request.start_line));
         };
-        let first = format!("{} {} HTTP/1.1", asked.method, asked.target);
-        if request.start_line != first || request.body != asked.body || !asked.whole {
-            let whole = asked.whole;
-            ledger
-                .wrong(format!("UNASKED: {attempt} is {}, was {first}, whole: {whole}", request.start_line));
+        let start_line = format!("{} {} HTTP/1.1", sent.method, sent.target);
+        if request.start_line != start_line || request.body != sent.body || !sent.is_sent_completely {
+            let is_sent_completely = sent.is_sent_completely;
+            ledger.report_violation(format!(
+                "UNKNOWN REQUEST: {attempt} arrived as {}, was sent as {start_line}, sent completely: {is_sent_completely}",
+                request.start_line
+            ));
         }
     }
 
-    /// A new seal for an answer to this.
-    fn seal(&self, attempt: &str, body: &[u8], success: bool) -> String {
-        self.runs.set(self.runs.get() + 1);
-        let seal = format!("{}.{}", self.id, self.runs.get());
-        let sealed =
-            Sealed { attempt: attempt.to_owned(), service: self.service, body: body.to_vec(), success };
-        self.ledger.borrow_mut().sealed.insert(seal.clone(), sealed);
+    /// Issues a new seal for a response, and records the response.
+    fn new_seal(&self, attempt: &str, body: &[u8], is_success: bool) -> String {
+        self.seal_count.set(self.seal_count.get() + 1);
+        let seal = format!("{}.{}", self.id, self.seal_count.get());
+        let sealed = SealedResponse {
+            attempt: attempt.to_owned(),
+            service: self.service,
+            body: body.to_vec(),
+            is_success,
+        };
+        self.ledger.borrow_mut().sealed_responses.insert(seal.clone(), sealed);
         seal
     }
 
-    fn body(&self) -> Vec<u8> {
+    /// Draws a body, mostly of whole 16-byte records.
+    fn draw_body(&self) -> Vec<u8> {
         self.draw(|rng| {
             let length = match rng.u32(..4) {
                 0 => rng.usize(..20),
@@ -308,201 +339,231 @@
         })
     }
 
-    fn draft(&self, attempt: &str, status: &'static str, success: bool) -> Draft {
-        let body = self.body();
-        let seals = vec![self.seal(attempt, &body, success)];
-        Draft { status, ids: vec![attempt.to_owned()], seals, headers: String::new(), body, length: None }
+    /// Returns a sealed response with a random body.
+    fn draft_response(&self, attempt: &str, status: &'static str, is_success: bool) -> ResponseDraft {
+        let body = self.draw_body();
+        let seals = vec![self.new_seal(attempt, &body, is_success)];
+        ResponseDraft {
+            status,
+            ids: vec![attempt.to_owned()],
+            seals,
+            headers: String::new(),
+            body,
+            length: None,
+        }
     }
 
-    fn turned_away(&self, attempt: &str) -> Draft {
-        let status =
-            self.draw(|rng| *rng.choice(&["503 Full", "429 Many", "400 Bad", "503 Full"]).expect("some"));
+    /// Returns a response that promises that the request has not run.
+    fn rejection(&self, attempt: &str) -> ResponseDraft {
+        let status = self.draw(|rng| {
+            *rng.choice(&["503 Full", "429 Many", "400 Bad", "503 Full"]).expect("the list is not empty")
+        });
         let headers = "Not-Executed: 1\r\n".to_owned();
         let ids = vec![attempt.to_owned()];
-        Draft { status, ids, seals: Vec::new(), headers, body: b"full".to_vec(), length: None }
+        ResponseDraft { status, ids, seals: Vec::new(), headers, body: b"full".to_vec(), length: None }
     }
 
-    /// What is drawn for this request.
-    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
-    fn deed(&self, request: &Message, attempt: &str) -> Deed {
-        let well = !self.trouble.get() || self.draw(|rng| rng.u32(..10)) < WELL;
-        let name =
-            if well { SERVER_ACTIONS[0] } else { SERVER_ACTIONS[self.draw(|rng| rng.usize(..WITH_REQUEST))] };
-        let (work, soon, late) = self.draw(|rng| (rng.u64(..12), rng.u64(..5), rng.u64(50..700)));
-        let other = self.before.borrow().clone().unwrap_or_else(|| "nobodys".to_owned());
-        let good = |headers: &str| {
-            let draft = self.draft(attempt, "200 OK", true);
-            Draft { headers: headers.to_owned(), ..draft }
+    /// Draws what the server does with a request.
+    #[expect(clippy::too_many_lines, reason = "it is one match with an arm for each action")]
+    fn draw_action(&self, request: &Message, attempt: &str) -> Action {
+        let is_normal = !self.faults_enabled.get() || self.draw(|rng| rng.u32(..10)) < NORMAL_PER_TEN;
+        let name = if is_normal {
+            SERVER_ACTIONS[0]
+        } else {
+            SERVER_ACTIONS[self.draw(|rng| rng.usize(..REQUEST_ACTION_COUNT))]
+        };
+        let (work_ms, short_ms, long_ms) = self.draw(|rng| (rng.u64(..12), rng.u64(..5), rng.u64(50..700)));
+        let other = self.previous_attempt.borrow().clone().unwrap_or_else(|| "nobodys".to_owned());
+        let success = |headers: &str| {
+            let draft = self.draft_response(attempt, "200 OK", true);
+            ResponseDraft { headers: headers.to_owned(), ..draft }
         };
-        let cut = |bytes: Vec<u8>, from: usize| {
+        let truncate = |bytes: Vec<u8>, from: usize| {
             let at = self.draw(|rng| rng.usize(from..bytes.len().max(from + 1)));
             bytes[..at.min(bytes.len())].to_vec()
         };
-        let breaks = || if self.draw(fastrand::Rng::bool) { Reset } else { Close };
-        let mut runs = true;
+        let end_connection = || if self.draw(fastrand::Rng::bool) { Reset } else { Close };
+        let mut executes = true;
         let steps = match name {
-            "well" => vec![Wait(work), Say(good("").whole())],
-            "well, in chunks" => {
-                let bytes = good("").in_chunks();
+            "normal response" => vec![Wait(work_ms), Write(success("").with_length())],
+            "chunked response" => {
+                let bytes = success("").chunked();
                 let at = self.draw(|rng| rng.usize(..bytes.len()));
-                vec![Say(bytes[..at].to_vec()), Wait(soon), Say(bytes[at..].to_vec())]
-            }
-            "well, and closes" => vec![Wait(work), Say(good("Connection: close\r\n").whole()), Close],
-            "well, and keeps a while" => {
-                vec![Say(good("Keep-Alive: timeout=2\r\n").whole())]
-            }
-            "turned away" => {
-                runs = false;
-                vec![Wait(soon), Say(self.turned_away(attempt).whole())]
-            }
-            "turned away twice" => {
-                runs = false;
-                let bytes = self.turned_away(attempt).whole();
-                vec![Say(bytes.clone()), Wait(self.draw(|rng| rng.u64(..80))), Say(bytes)]
-            }
-            "turned away, late" => {
-                runs = false;
-                vec![Wait(late), Say(self.turned_away(attempt).whole())]
-            }
-            "failed" => {
-                let status =
-                    self.draw(|rng| *rng.choice(&["500 Failed", "504 Late", "404 None"]).expect("some"));
-                vec![Say(Draft { status, seals: Vec::new(), ..good("") }.whole())]
-            }
-            "failed with a seal" => vec![Say(self.draft(attempt, "500 Failed", false).whole())],
-            "a promise that is none" => {
-                let status =
-                    self.draw(|rng| *rng.choice(&["503 Ill", "429 Many", "408 Late"]).expect("some"));
-                vec![Say(Draft { status, seals: Vec::new(), ..good("") }.whole())]
-            }
-            "not executed, with a success" => vec![Say(good("Not-Executed: 1\r\n").whole())],
-            "reset after the run" => vec![Wait(work), Reset],
-            "closed after the run" => vec![Wait(work), Close],
-            "silent" => {
-                runs = self.draw(fastrand::Rng::bool);
+                vec![Write(bytes[..at].to_vec()), Wait(short_ms), Write(bytes[at..].to_vec())]
+            }
+            "response, then close" => {
+                vec![Wait(work_ms), Write(success("Connection: close\r\n").with_length()), Close]
+            }
+            "response with Keep-Alive timeout" => {
+                vec![Write(success("Keep-Alive: timeout=2\r\n").with_length())]
+            }
+            "rejection" => {
+                executes = false;
+                vec![Wait(short_ms), Write(self.rejection(attempt).with_length())]
+            }
+            "rejection sent twice" => {
+                executes = false;
+                let bytes = self.rejection(attempt).with_length();
+                vec![Write(bytes.clone()), Wait(self.draw(|rng| rng.u64(..80))), Write(bytes)]
+            }
+            "late rejection" => {
+                executes = false;
+                vec![Wait(long_ms), Write(self.rejection(attempt).with_length())]
+            }
+            "error response" => {
+                let status = self.draw(|rng| {
+                    *rng.choice(&["500 Failed", "504 Late", "404 None"]).expect("the list is not empty")
+                });
+                vec![Write(ResponseDraft { status, seals: Vec::new(), ..success("") }.with_length())]
+            }
+            "error response with a seal" => {
+                vec![Write(self.draft_response(attempt, "500 Failed", false).with_length())]
+            }
+            "rejection status without Not-Executed" => {
+                let status = self.draw(|rng| {
+                    *rng.choice(&["503 Ill", "429 Many", "408 Late"]).expect("the list is not empty")
+                });
+                vec![Write(ResponseDraft { status, seals: Vec::new(), ..success("") }.with_length())]
+            }
+            "success with Not-Executed" => vec![Write(success("Not-Executed: 1\r\n").with_length())],
+            "reset after execution" => vec![Wait(work_ms), Reset],
+            "closed after execution" => vec![Wait(work_ms), Close],
+            "no response" => {
+                executes = self.draw(fastrand::Rng::bool);
                 vec![Hold]
             }
-            "late" => vec![Wait(late), Say(good("").whole())],
-            "cut in the head" => {
-                let draft = good("");
+            "late response" => vec![Wait(long_ms), Write(success("").with_length())],
+            "truncated head" => {
+                let draft = success("");
                 let head = draft.head("Content-Length: 10\r\n").into_bytes();
-                vec![Say(cut(head, 0)), Wait(soon), breaks()]
+                vec![Write(truncate(head, 0)), Wait(short_ms), end_connection()]
             }
-            "cut in the body" => {
-                let draft = good("");
-                let bytes = if self.draw(fastrand::Rng::bool) { draft.whole() } else { draft.in_chunks() };
+            "truncated body" => {
+                let draft = success("");
+                let bytes =
+                    if self.draw(fastrand::Rng::bool) { draft.with_length() } else { draft.chunked() };
                 let from = bytes.len().saturating_sub(draft.body.len().min(40) + 5);
-                vec![Say(cut(bytes, from)), Wait(soon), breaks()]
+                vec![Write(truncate(bytes, from)), Wait(short_ms), end_connection()]
             }
-            "stands still in the body" => {
-                let mut draft = good("");
+            "stalls in the body" => {
+                let mut draft = success("");
                 draft.length = Some(draft.body.len() + 1);
-                vec![Say(draft.whole()), Hold]
+                vec![Write(draft.with_length()), Hold]
+            }
+            "response sent twice at once" => {
+                let bytes = success("").with_length();
+                vec![Write([bytes.clone(), bytes].concat())]
             }
-            "the answer twice at once" => {
-                let bytes = good("").whole();
-                vec![Say([bytes.clone(), bytes].concat())]
+            "response sent again shortly after" => {
+                let bytes = success("").with_length();
+                vec![Write(bytes.clone()), Wait(short_ms), Write(bytes)]
             }
-            "the answer twice, late" => {
-                let bytes = good("").whole();
-                vec![Say(bytes.clone()), Wait(soon), Say(bytes)]
+            "response sent again much later" => {
+                let bytes = success("").with_length();
+                vec![Write(bytes.clone()), Wait(long_ms), Write(bytes)]
             }
-            "the answer twice, much later" => {
-                let bytes = good("").whole();
-                vec![Say(bytes.clone()), Wait(late), Say(bytes)]
+            "response to another request first" => {
+                let mut bytes = ResponseDraft { ids: vec![other], ..success("") }.with_length();
+                bytes.extend(success("").with_length());
+                vec![Write(bytes)]
             }
-            "another's answer before" => {
-                let mut bytes = Draft { ids: vec![other], ..good("") }.whole();
-                bytes.extend(good("").whole());
-                vec![Say(bytes)]
+            "Attempt-Id of another request" => {
+                vec![Write(ResponseDraft { ids: vec![other], ..success("") }.with_length())]
             }
-            "another's id" => vec![Say(Draft { ids: vec![other], ..good("") }.whole())],
-            "no id" => vec![Say(Draft { ids: Vec::new(), ..good("") }.whole())],
-            "two ids" => vec![Say(Draft { ids: vec![attempt.to_owned(), other], ..good("") }.whole())],
+            "no Attempt-Id" => vec![Write(ResponseDraft { ids: Vec::new(), ..success("") }.with_length())],
+            "two Attempt-Ids" => vec![Write(
+                ResponseDraft { ids: vec![attempt.to_owned(), other], ..success("") }.with_length(),
+            )],
             "two seals" => {
-                let mut draft = good("");
+                let mut draft = success("");
                 match self.draw(fastrand::Rng::bool) {
                     true => draft.seals.push("another.seal".to_owned()),
                     false => draft.seals[0] += ", another.seal",
                 }
-                vec![Say(draft.whole())]
+                vec![Write(draft.with_length())]
             }
-            "informational before" => {
+            "informational responses first" => {
                 let mut bytes =
                     b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_vec();
-                bytes.extend(good("").whole());
-                vec![Say(bytes)]
+                bytes.extend(success("").with_length());
+                vec![Write(bytes)]
             }
             "switches protocols" => {
-                let mut draft = Draft { status: "101 Switching", ..good("Upgrade: x\r\n") };
+                let mut draft = ResponseDraft { status: "101 Switching", ..success("Upgrade: x\r\n") };
                 draft.headers += "Connection: upgrade\r\n";
-                vec![Say(draft.head("").into_bytes()), Wait(soon), Say(good("").whole())]
+                vec![Write(draft.head("").into_bytes()), Wait(short_ms), Write(success("").with_length())]
             }
-            "longer than said" => {
-                let mut draft = good("");
+            "longer than Content-Length" => {
+                let mut draft = success("");
                 draft.body.extend(b"and more");
                 draft.length = Some(draft.body.len() - 8);
-                vec![Say(draft.whole())]
+                vec![Write(draft.with_length())]
             }
-            "shorter than said, and closes" => {
-                let mut draft = good("");
+            "shorter than Content-Length, then closes" => {
+                let mut draft = success("");
                 draft.length = Some(draft.body.len() + 7);
-                vec![Say(draft.whole()), Wait(soon), breaks()]
+                vec![Write(draft.with_length()), Wait(short_ms), end_connection()]
             }
-            "until closed, cut" => {
-                let draft = good("");
-                let bytes = draft.until_closed();
+            "truncated, delimited by close" => {
+                let draft = success("");
+                let bytes = draft.until_close();
                 let from = bytes.len() - draft.body.len();
-                vec![Say(cut(bytes, from)), Wait(soon), Close]
+                vec![Write(truncate(bytes, from)), Wait(short_ms), Close]
             }
-            "no seal" => vec![Say(Draft { seals: Vec::new(), ..good("") }.whole())],
-            "encoded" => vec![Say(good("Content-Encoding: gzip\r\n").whole())],
-            "nonsense" => vec![Say(self.body()), Wait(soon), Say(good("").whole()), breaks()],
-            other => unreachable!("{other} is no deed"),
+            "no seal" => vec![Write(ResponseDraft { seals: Vec::new(), ..success("") }.with_length())],
+            "encoded body" => vec![Write(success("Content-Encoding: gzip\r\n").with_length())],
+            "invalid bytes" => vec![
+                Write(self.draw_body()),
+                Wait(short_ms),
+                Write(success("").with_length()),
+                end_connection(),
+            ],
+            other => unreachable!("{other} is not an action for a request"),
         };
-        let (queue, drops) = self.draw(|rng| (rng.u64(..4), rng.bool()));
+        let (queue_ms, drops_if_closed) = self.draw(|rng| (rng.u64(..4), rng.bool()));
         let _ = request;
-        Deed { name, queue, drops, runs, steps }
+        Action { name, queue_ms, drops_if_closed, executes, steps }
     }
 }
 
-/// A server owes an answer, as long as this lives.
-struct AtWork(Rc<RefCell<Ledger>>, String);
+/// Counts a request as pending while the guard lives.
+struct PendingGuard(Rc<RefCell<Ledger>>, String);
 
-impl AtWork {
+impl PendingGuard {
+    /// Counts the request as pending from now on.
     fn begin(ledger: &Rc<RefCell<Ledger>>, attempt: &str) -> Self {
-        let at_work = AtWork(ledger.clone(), attempt.to_owned());
-        at_work.change(1);
-        at_work
+        let guard = PendingGuard(ledger.clone(), attempt.to_owned());
+        guard.change(1);
+        guard
     }
 
     fn change(&self, by: i32) {
-        if let Some(asked) = self.0.borrow_mut().asked.get_mut(&self.1) {
-            asked.at_work = asked.at_work.saturating_add_signed(by);
+        if let Some(request) = self.0.borrow_mut().requests.get_mut(&self.1) {
+            request.pending_count = request.pending_count.saturating_add_signed(by);
         }
     }
 }
 
-impl Drop for AtWork {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
         self.change(-1);
     }
 }
 
-/// All servers, by their addresses.
+/// All servers, by address. Connects the gateway to them.
 #[derive(Default)]
 pub(crate) struct Servers(RefCell<BTreeMap<String, Rc<Server>>>);
 
 impl Servers {
-    pub(crate) fn is_there(&self, server: Rc<Server>) {
-        let before = self.0.borrow_mut().insert(server.address.clone(), server);
-        assert!(before.is_none(), "an address of its own");
+    pub(crate) fn add(&self, server: Rc<Server>) {
+        let replaced = self.0.borrow_mut().insert(server.address.clone(), server);
+        assert!(replaced.is_none(), "each server has its own address");
     }
 
-    /// All of their connections end.
-    pub(crate) fn close_all(&self) {
+    /// Ends all connections of all servers.
+    pub(crate) fn close_connections(&self) {
         for server in self.0.borrow().values() {
-            server.closed.send_replace(true);
+            server.close_signal.send_replace(true);
         }
     }
 }
@@ -513,17 +574,17 @@
         Box::pin(async move {
             let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
             let server = server.ok_or_else(refused)?;
-            let (drawn, time) = server.draw(|rng| (rng.u32(..60), rng.u64(..3)));
-            sleep(ms(time)).await;
-            if server.trouble.get() && drawn == 0 {
+            let (draw, delay_ms) = server.draw(|rng| (rng.u32(..60), rng.u64(..3)));
+            sleep(ms(delay_ms)).await;
+            if server.faults_enabled.get() && draw == 0 {
                 return Err(refused());
             }
-            if server.trouble.get() && drawn == 1 {
+            if server.faults_enabled.get() && draw == 1 {
                 std::future::pending::<()>().await;
             }
-            let (near, far) = wires();
-            server.door.send(far).map_err(|_| refused())?;
-            Ok(Box::new(near) as _)
+            let (client_end, server_end) = stream_pair();
+            server.connection_sender.send(server_end).map_err(|_| refused())?;
+            Ok(Box::new(client_end) as _)
         })
     }
 }
