--- a/crates/gatherer/src/live.rs
+++ b/crates/gatherer/src/live.rs
@@ -8,6 +8,6 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 /// Bytes that are allocated and not freed.
-pub(crate) fn bytes() -> u64 {
+pub(crate) fn allocated_bytes() -> u64 {
     ALLOCATOR.allocated() as u64
 }
--- a/crates/gatherer/src/main.rs
+++ b/crates/gatherer/src/main.rs
@@ -31,7 +31,7 @@
 ";
 
 /// Memory that a settings file is checked for where nothing says how much there is, in MB.
-const MEMORY_MB: u64 = 192;
+const DEFAULT_MEMORY_MB: u64 = 192;
 
 fn serve(level: log::LevelFilter, settings: Option<String>, as_json: bool) -> Result<(), String> {
     let path = std::env::var("GW_CONFIG");
@@ -46,7 +46,7 @@
         let config = protocol::config::load(&std::env::var("GW_CONFIG").ok()?, false).ok()?;
         Some(config.memory_mb << 20)
     };
-    let memory = memory.or_else(configured).unwrap_or(MEMORY_MB << 20);
+    let memory = memory.or_else(configured).unwrap_or(DEFAULT_MEMORY_MB << 20);
     match Program::check(file, memory)? {
         faults if faults.is_empty() => {
             println!("ok");
@@ -59,18 +59,18 @@
     }
 }
 
-fn command() -> Result<(), String> {
+fn run_command() -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
         print!("{HELP}");
         return Ok(());
     }
-    let wrong = |e: pico_args::Error| e.to_string();
-    let command = arguments.subcommand().map_err(wrong)?;
-    let level = arguments.opt_value_from_str("--log").map_err(wrong)?;
-    let form: Option<String> = arguments.opt_value_from_str("--log-form").map_err(wrong)?;
-    let settings: Option<String> = arguments.opt_value_from_str("--settings").map_err(wrong)?;
-    let memory_mb: Option<u64> = arguments.opt_value_from_str("--memory-mb").map_err(wrong)?;
+    let parse_error = |e: pico_args::Error| e.to_string();
+    let command = arguments.subcommand().map_err(parse_error)?;
+    let level = arguments.opt_value_from_str("--log").map_err(parse_error)?;
+    let form: Option<String> = arguments.opt_value_from_str("--log-form").map_err(parse_error)?;
+    let settings: Option<String> = arguments.opt_value_from_str("--settings").map_err(parse_error)?;
+    let memory_mb: Option<u64> = arguments.opt_value_from_str("--memory-mb").map_err(parse_error)?;
     if let Some(unknown) = arguments.finish().first() {
         return Err(format!("unknown argument {unknown:?}; see ashvane help"));
     }
@@ -98,9 +98,9 @@
 }
 
 fn main() -> ExitCode {
-    let ended = command();
+    let result = run_command();
     log::logger().flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             eprintln!("ashvane: {reason}");
--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -22,28 +22,28 @@
 use crate::routing::{Routing, RoutingContext};
 use crate::transport::admin::Admin;
 use crate::transport::answers::Answers;
-use crate::transport::discovery::Discovery;
-use crate::transport::front::{self, CLIENT_BYTES, Door, Front};
-use crate::transport::keepers::Keepers;
-use crate::transport::lane::LANE_BYTES;
+use crate::transport::discovery::DiscoveryClient;
+use crate::transport::front::{self, CLIENT_CONNECTION_BYTES, ClientSlots, HandlerContext};
+use crate::transport::keepers::KeeperSession;
+use crate::transport::lane::SERVER_CONNECTION_BYTES;
 use crate::{live, log_lines};
 
 /// Events that may wait for the decisions; past it, handlers and connections wait.
-const EVENTS_MOST: usize = 256;
+const EVENT_QUEUE_CAPACITY: usize = 256;
 /// Descriptors for all but clients and shard servers: standard streams, the runtime, discovery, the listener.
-const SOCKETS_APART: usize = 64;
+const RESERVED_SOCKETS: usize = 64;
 /// New connections count as having stopped once none has come for so long: they come for up to 0.4 s.
-const QUIET: Duration = Duration::from_millis(600);
+const QUIET_PERIOD: Duration = Duration::from_millis(600);
 /// How often an ending program looks whether it is done.
-const LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The longest deadline counts as this where it is longer.
-const LONGEST_MOST: Duration = Duration::from_secs(3);
+const MAX_QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Beyond the longest deadline, what is open is given up; a program is killed no sooner than 0.7 s beyond it.
-const LAST_MARGIN: Duration = Duration::from_millis(500);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 /// Share of the time until then in which clients are served on as before: perhaps nobody else is there.
-const SERVED_SHARE: f64 = 0.6;
+const DRAINING_RATIO: f64 = 0.6;
 /// Time for the last answers to be written.
-const LAST_WRITES: Duration = Duration::from_millis(100);
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(100);
 
 /// The files that the program starts from and reads again when it is told to.
 pub(crate) struct Files {
@@ -57,7 +57,7 @@
     hangup: Signal,
     terminate: Signal,
     interrupt: Signal,
-    table: Signal,
+    memory_report: Signal,
 }
 
 impl Signals {
@@ -67,7 +67,7 @@
             hangup: listen(SignalKind::hangup())?,
             terminate: listen(SignalKind::terminate())?,
             interrupt: listen(SignalKind::interrupt())?,
-            table: listen(SignalKind::user_defined1())?,
+            memory_report: listen(SignalKind::user_defined1())?,
         })
     }
 }
@@ -86,10 +86,10 @@
     admin: RefCell<AdminTask>,
     phase: watch::Sender<Phase>,
     discovery: watch::Sender<SocketAddr>,
-    door: Rc<Door>,
+    clients: Rc<ClientSlots>,
     events: mpsc::Sender<Event>,
     /// Once told to end, it ends after this at the latest.
-    last: Duration,
+    shutdown_timeout: Duration,
 }
 
 fn runtime() -> Result<Runtime, String> {
@@ -98,7 +98,7 @@
 }
 
 /// All faults of a settings file, one to a line.
-fn told(faults: &[Fault]) -> String {
+fn format_faults(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
@@ -116,7 +116,7 @@
         Ok(runtime()?.block_on(own::load(file, memory)).err().unwrap_or_default())
     }
 
-    async fn own(files: &Files, as_json: bool, memory: u64) -> Result<Settings, Vec<Fault>> {
+    async fn load_settings(files: &Files, as_json: bool, memory: u64) -> Result<Settings, Vec<Fault>> {
         let mut settings = match &files.settings {
             Some(file) => own::load(file, memory).await?,
             None => Settings::default(),
@@ -126,22 +126,23 @@
         Ok(settings)
     }
 
-    async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+    async fn bind(address: SocketAddr) -> Result<TcpListener, String> {
         TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
     }
 
     /// The room that there is for each purpose, and for each tenant by its rate.
-    fn ledger(config: &Config, own: &Settings) -> Ledger {
-        let limits = own.limits(config.memory_mb << 20);
+    fn create_ledger(config: &Config, settings: &Settings) -> Ledger {
+        let limits = settings.limits(config.memory_mb << 20);
         let (names, rates) = (config.network.tenants.iter(), config.settings.tenant_rates.iter());
         Ledger::new(limits, &names.cloned().zip(rates.copied()).collect::<Vec<_>>())
     }
 
     /// How many clients, and as many connections to servers, descriptors and memory leave room for.
-    fn places(config: &Config, ledger: &Ledger) -> usize {
-        let sockets = config.sockets.saturating_sub(SOCKETS_APART).max(2) / 2;
-        let room = ledger.limits().of(Purpose::Connections).cap / (CLIENT_BYTES + LANE_BYTES);
-        sockets.min(usize::try_from(room).unwrap_or(usize::MAX)).max(1)
+    fn max_clients(config: &Config, ledger: &Ledger) -> usize {
+        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
+        let memory_slots = ledger.limits().of(Purpose::Connections).cap
+            / (CLIENT_CONNECTION_BYTES + SERVER_CONNECTION_BYTES);
+        sockets.min(usize::try_from(memory_slots).unwrap_or(usize::MAX)).max(1)
     }
 
     #[expect(
@@ -152,115 +153,128 @@
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
         let mut signals = Signals::listen()?;
-        let own = Self::own(&files, as_json, config.memory_mb << 20).await.map_err(|faults| told(&faults))?;
+        let settings = Self::load_settings(&files, as_json, config.memory_mb << 20)
+            .await
+            .map_err(|faults| format_faults(&faults))?;
         let listener = front::listen(config.listen);
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-        let ledger = Self::ledger(&config, &own);
-        log_lines::start(&config.name, level, &own.log, ledger.clone());
-        let (events, inbox) = mpsc::channel(EVENTS_MOST);
+        let ledger = Self::create_ledger(&config, &settings);
+        log_lines::start(&config.name, level, &settings.log, ledger.clone());
+        let (events, inbox) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (phase, phases) = watch::channel(Phase::Starting);
         let (ready, is_ready) = oneshot::channel();
-        let (left, list_requested, followed) =
+        let (ended_handlers, list_requested, first_list_received) =
             (Arc::<EndedHandlers>::default(), Rc::default(), Rc::new(Notify::new()));
         let (discovery, address) = watch::channel(config.discovery);
-        let each = Self::places(&config, &ledger);
+        let max_clients = Self::max_clients(&config, &ledger);
         log::info!(
-            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb, clients = each;
+            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb, clients = max_clients;
             "starts, with as many connections to servers as to clients"
         );
-        let door = Rc::new(Door::new(each, ledger.clone()));
+        let clients = Rc::new(ClientSlots::new(max_clients, ledger.clone()));
         let network = Arc::new(config.network.clone());
-        let fronting = Front {
+        let handler_context = HandlerContext {
             network: network.clone(),
             events: events.clone(),
-            left: left.clone(),
+            ended_handlers: ended_handlers.clone(),
             phase: phases,
             ledger: ledger.clone(),
             answers: Arc::new(Answers::new(ledger.clone())),
-            back_after: config.settings.max_retry_after,
+            retry_after: config.settings.max_retry_after,
         };
-        let watching = Discovery {
+        let discovery_client = DiscoveryClient {
             address,
             network: network.clone(),
             ledger: ledger.clone(),
             events: events.clone(),
-            asked: Rc::clone(&list_requested),
-            followed: followed.clone(),
+            list_requested: Rc::clone(&list_requested),
+            first_list_received: first_list_received.clone(),
         };
-        if let Some(fleet) = &own.fleet {
-            let keepers = Keepers::new(&config.name, config.settings.seed, fleet, events.clone());
+        if let Some(fleet) = &settings.fleet {
+            let keepers = KeeperSession::new(&config.name, config.settings.seed, fleet, events.clone());
             spawn_local(keepers.run(phase.subscribe()));
         }
-        let ends = RoutingContext {
-            max_connections: each,
+        let routing_context = RoutingContext {
+            max_connections: max_clients,
             events: events.clone(),
             list_requested,
             ready,
             ledger: ledger.clone(),
         };
-        let routing = Routing::new(&config.settings, &network, &config.initial_servers, ends);
+        let routing = Routing::new(&config.settings, &network, &config.initial_servers, routing_context);
         let routing = routing.map_err(|e| e.to_string())?;
-        let deciding = spawn_local(routing.run(inbox, left));
-        spawn_local(watching.run(config.initial_servers.revision));
-        spawn_local(door.clone().run(listener, Arc::new(fronting)));
+        let routing_task = spawn_local(routing.run(inbox, ended_handlers));
+        spawn_local(discovery_client.run(config.initial_servers.revision));
+        spawn_local(clients.clone().run(listener, Arc::new(handler_context)));
         spawn_local(async {
             loop {
-                sleep(log_lines::LOOK_AGAIN).await;
-                log_lines::write_waiting();
+                sleep(log_lines::RETRY_INTERVAL).await;
+                log_lines::write_queued_lines();
             }
         });
-        let last = network.longest.min(LONGEST_MOST) + LAST_MARGIN;
+        let shutdown_timeout = network.longest.min(MAX_QUERY_TIMEOUT) + SHUTDOWN_MARGIN;
         let admin = RefCell::default();
-        let fleet = own.fleet.clone();
-        let program =
-            Program { config, files, fleet, as_json, ledger, admin, phase, discovery, door, events, last };
-        program.attend(program.admin_listener(&own).await?);
+        let fleet = settings.fleet.clone();
+        let program = Program {
+            config,
+            files,
+            fleet,
+            as_json,
+            ledger,
+            admin,
+            phase,
+            discovery,
+            clients,
+            events,
+            shutdown_timeout,
+        };
+        program.replace_admin_listener(program.admin_listener(&settings).await?);
         let terminated = async {
             tokio::select! { _ = signals.terminate.recv() => {}, _ = signals.interrupt.recv() => {} }
         };
         let serving = async {
-            tokio::select! { () = terminated => {}, () = program.start(is_ready, &followed) => {} }
-            program.end().await;
+            tokio::select! { () = terminated => {}, () = program.track_readiness(is_ready, &first_list_received) => {} }
+            program.shut_down().await;
         };
         let reloading = async {
             while signals.hangup.recv().await.is_some() {
-                if let Err(words) = program.reload().await {
-                    words.lines().for_each(|line| log::error!("not reloaded: {line}"));
+                if let Err(message) = program.reload().await {
+                    message.lines().for_each(|line| log::error!("not reloaded: {line}"));
                 }
             }
         };
-        let telling = async {
-            while signals.table.recv().await.is_some() {
-                program.tell_memory();
+        let reporting = async {
+            while signals.memory_report.recv().await.is_some() {
+                program.log_memory_report();
             }
         };
         tokio::select! {
             () = serving => Ok(()),
-            _ = deciding => Err("the decisions stopped".into()),
+            _ = routing_task => Err("the decisions stopped".into()),
             () = reloading => Err("no signals".into()),
-            () = telling => Err("no signals".into()),
+            () = reporting => Err("no signals".into()),
         }
     }
 
     /// A listener for what settings newly say; none where they leave it as it is. The inner one is none where
     /// there is to be no listener any more.
-    async fn admin_listener(&self, own: &Settings) -> Result<Option<Option<TcpListener>>, String> {
-        if own.admin == self.admin.borrow().as_ref().map(|(address, _)| *address) {
+    async fn admin_listener(&self, settings: &Settings) -> Result<Option<Option<TcpListener>>, String> {
+        if settings.admin == self.admin.borrow().as_ref().map(|(address, _)| *address) {
             return Ok(None);
         }
-        match own.admin {
-            Some(address) => Ok(Some(Some(Self::listen(address).await?))),
+        match settings.admin {
+            Some(address) => Ok(Some(Some(Self::bind(address).await?))),
             None => Ok(Some(None)),
         }
     }
 
     /// Goes over to a newer admin listener, if there is one.
-    fn attend(&self, newer: Option<Option<TcpListener>>) {
-        let Some(newer) = newer else { return };
-        let task = newer.and_then(|listener| {
+    fn replace_admin_listener(&self, replacement: Option<Option<TcpListener>>) {
+        let Some(replacement) = replacement else { return };
+        let task = replacement.and_then(|listener| {
             let address = listener.local_addr().ok()?;
             log::info!(listen:% = address; "the admin listener is up");
-            let admin = Admin { ledger: self.ledger.clone(), live: live::bytes };
+            let admin = Admin { ledger: self.ledger.clone(), allocated_bytes: live::allocated_bytes };
             Some((address, spawn_local(Arc::new(admin).run(listener))))
         });
         if let Some((_, before)) = self.admin.replace(task) {
@@ -269,8 +283,8 @@
     }
 
     /// Logs what memory is used for.
-    fn tell_memory(&self) {
-        let table = self.ledger.table(live::bytes());
+    fn log_memory_report(&self) {
+        let table = self.ledger.table(live::allocated_bytes());
         log::info!(
             live = table.live, sum = table.sum, total = table.total, unattributed = table.unattributed;
             "memory"
@@ -285,14 +299,14 @@
     }
 
     /// Becomes ready with the first ready server, and again each time that a reload is done.
-    async fn start(&self, is_ready: oneshot::Receiver<()>, followed: &Notify) {
+    async fn track_readiness(&self, is_ready: oneshot::Receiver<()>, first_list_received: &Notify) {
         if is_ready.await.is_ok() {
-            self.enter(Phase::Ready);
+            self.enter_phase(Phase::Ready);
         }
         loop {
-            followed.notified().await;
+            first_list_received.notified().await;
             if *self.phase.borrow() == Phase::Reloading {
-                self.enter(Phase::Ready);
+                self.enter_phase(Phase::Ready);
             }
         }
     }
@@ -300,49 +314,57 @@
     /// Reads both files anew and takes them over: the discovery that the one names, our own settings from the
     /// other. In trouble all stays as it is.
     async fn reload(&self) -> Result<(), String> {
-        let newer = config::load(&self.files.config, true)?;
+        let reloaded = config::load(&self.files.config, true)?;
         let memory = self.config.memory_mb << 20;
-        let own = Self::own(&self.files, self.as_json, memory).await.map_err(|faults| told(&faults))?;
-        let admin = self.admin_listener(&own).await?;
-        let mut fixed = self.config.restart_only_changes(&newer);
-        if own.fleet != self.fleet {
-            fixed.push("fleet");
+        let settings = Self::load_settings(&self.files, self.as_json, memory)
+            .await
+            .map_err(|faults| format_faults(&faults))?;
+        let admin = self.admin_listener(&settings).await?;
+        let mut restart_only = self.config.restart_only_changes(&reloaded);
+        if settings.fleet != self.fleet {
+            restart_only.push("fleet");
         }
-        if !fixed.is_empty() {
-            log::warn!("only a restart takes over what is new in {}", fixed.join(", "));
+        if !restart_only.is_empty() {
+            log::warn!("only a restart takes over what is new in {}", restart_only.join(", "));
         }
-        self.ledger.limit(own.limits(memory));
-        log_lines::adopt(&own.log);
-        self.attend(admin);
-        log::info!(discovery:% = newer.discovery; "reloaded");
+        self.ledger.limit(settings.limits(memory));
+        log_lines::apply_settings(&settings.log);
+        self.replace_admin_listener(admin);
+        log::info!(discovery:% = reloaded.discovery; "reloaded");
         if *self.phase.borrow() == Phase::Ready {
-            self.enter(Phase::Reloading);
+            self.enter_phase(Phase::Reloading);
         }
-        self.discovery.send_replace(newer.discovery);
+        self.discovery.send_replace(reloaded.discovery);
         Ok(())
     }
 
-    fn enter(&self, phase: Phase) {
-        log::info!(phase:? = phase, clients = self.door.open(); "goes on");
+    fn enter_phase(&self, phase: Phase) {
+        log::info!(phase:? = phase, clients = self.clients.open_count(); "goes on");
         self.phase.send_replace(phase);
     }
 
     /// Ends: serves on as long as that leaves time to answer what is open, then sends its clients away.
-    async fn end(&self) {
-        let told = Instant::now();
-        let is_left = || self.door.open() == 0 && self.door.quiet_for().min(told.elapsed()) >= QUIET;
-        self.enter(Phase::Draining);
-        while !is_left() && told.elapsed() < self.last.mul_f64(SERVED_SHARE) {
-            sleep(LOOK).await;
+    async fn shut_down(&self) {
+        let signalled_at = Instant::now();
+        let is_drained = || {
+            self.clients.open_count() == 0
+                && self.clients.since_last_accept().min(signalled_at.elapsed()) >= QUIET_PERIOD
+        };
+        self.enter_phase(Phase::Draining);
+        while !is_drained() && signalled_at.elapsed() < self.shutdown_timeout.mul_f64(DRAINING_RATIO) {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        self.enter(Phase::Closing);
-        while !is_left() && told.elapsed() < self.last {
-            sleep(LOOK).await;
+        self.enter_phase(Phase::Closing);
+        while !is_drained() && signalled_at.elapsed() < self.shutdown_timeout {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        if self.door.open() > 0 {
-            log::warn!("{} clients are still connected: what they wait for is given up", self.door.open());
+        if self.clients.open_count() > 0 {
+            log::warn!(
+                "{} clients are still connected: what they wait for is given up",
+                self.clients.open_count()
+            );
             let _ = self.events.send(Event::ShuttingDown).await;
-            sleep(LAST_WRITES).await;
+            sleep(FINAL_WRITE_DELAY).await;
         }
         log::info!("ends");
     }
--- a/crates/gatherer/src/program/own.rs
+++ b/crates/gatherer/src/program/own.rs
@@ -12,11 +12,11 @@
 /// The program that evaluates; it stands beside this one.
 const EVALUATOR: &str = "ashvane-script";
 /// Time in which a script must be evaluated: it takes some milliseconds.
-const TIME_MOST: Duration = Duration::from_secs(5);
+const EVALUATION_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest result that is read, in bytes.
-const RESULT_MOST: u64 = 1 << 20;
+const MAX_RESULT_BYTES: u64 = 1 << 20;
 
-fn fault(file: &str, words: String) -> Vec<Fault> {
+fn file_fault(file: &str, words: String) -> Vec<Fault> {
     vec![Fault { file: file.to_owned(), line: 0, key: String::new(), words }]
 }
 
@@ -29,18 +29,18 @@
         let mut child = command.spawn()?;
         let mut text = Vec::new();
         if let Some(out) = child.stdout.take() {
-            out.take(RESULT_MOST).read_to_end(&mut text).await?;
+            out.take(MAX_RESULT_BYTES).read_to_end(&mut text).await?;
         }
         Ok::<_, std::io::Error>((child.wait().await?, text))
     };
-    let (status, text) = match timeout(TIME_MOST, evaluating).await {
-        Ok(Ok(ended)) => ended,
-        Ok(Err(e)) => return Err(fault(file, format!("{EVALUATOR} could not evaluate it: {e}"))),
-        Err(_) => return Err(fault(file, format!("not evaluated within {TIME_MOST:?}"))),
+    let (status, text) = match timeout(EVALUATION_TIMEOUT, evaluating).await {
+        Ok(Ok(result)) => result,
+        Ok(Err(e)) => return Err(file_fault(file, format!("{EVALUATOR} could not evaluate it: {e}"))),
+        Err(_) => return Err(file_fault(file, format!("not evaluated within {EVALUATION_TIMEOUT:?}"))),
     };
     match serde_json::from_slice(&text) {
         Ok(Evaluated::Settings(settings)) => Ok(settings),
         Ok(Evaluated::Faults(faults)) => Err(faults),
-        Err(_) => Err(fault(file, format!("takes more memory or stack than it may ({status})"))),
+        Err(_) => Err(file_fault(file, format!("takes more memory or stack than it may ({status})"))),
     }
 }
--- a/crates/gatherer/src/routing/pool/calls.rs
+++ b/crates/gatherer/src/routing/pool/calls.rs
@@ -70,7 +70,7 @@
     pub(super) fn withdraw(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let Some(call) = self.calls.get(&key) else { return true };
         if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
-            if !connection.lane.withdraw(&call.request.id) {
+            if !connection.task.withdraw(&call.request.id) {
                 return false;
             }
             connection.in_flight.remove(&call.request.id);
@@ -92,7 +92,7 @@
         let (id, deadline) = (call.request.id.clone(), call.deadline);
         if let Some(connection) = call.connection.and_then(|number| self.connections.get_mut(&number)) {
             connection.in_flight.remove(&id);
-            connection.lane.give_up(id.clone());
+            connection.task.cancel(id.clone());
             connection.cancelled.push_back((id, deadline));
             if connection.cancelled.len() > self.max_parts_per_connection * CANCELLED_HISTORY_RATIO {
                 connection.cancelled.pop_front();
@@ -128,7 +128,7 @@
             self.cancel_call(key, unsent, Outcome::TimedOut);
         }
         for connection in self.connections.values_mut() {
-            let since = connection.lane.reads_since().filter(|_| !connection.draining);
+            let since = connection.task.partial_since().filter(|_| !connection.draining);
             if since.is_some_and(|since| self.now >= since + self.dial_timeout) {
                 // The rest of a frame that stalls for this long is not going to arrive.
                 log::warn!(
--- a/crates/gatherer/src/routing/pool/connections.rs
+++ b/crates/gatherer/src/routing/pool/connections.rs
@@ -11,12 +11,12 @@
 use tokio::time::Instant;
 
 use super::{CallKey, Pool};
-use crate::transport::lane::{LANE_BYTES, Lane};
+use crate::transport::lane::{ConnectionTask, SERVER_CONNECTION_BYTES};
 
 /// A connection to a shard server, from the dial on.
 pub(super) struct Connection {
     /// Queue to the task that reads and writes the socket.
-    pub(super) lane: Rc<Lane>,
+    pub(super) task: Rc<ConnectionTask>,
     pub(super) server: Rc<str>,
     /// Whether the dial has succeeded.
     pub(super) connected: bool,
@@ -62,13 +62,13 @@
     /// Closes the connection at once. The calls in flight on it end with it.
     pub(super) fn close_now(&mut self) {
         self.draining = true;
-        self.lane.close();
+        self.task.close();
     }
 
     /// Closes the connection if it is draining and no call is in flight.
     pub(super) fn close_if_drained(&self) {
         if self.draining && self.in_flight.is_empty() {
-            self.lane.close();
+            self.task.close();
         }
     }
 }
@@ -98,7 +98,7 @@
     pub(in crate::routing) fn connection_down(&mut self, number: u64) {
         let Some(connection) = self.connections.remove(&number) else { return };
         for (id, key) in &connection.in_flight {
-            let unwritten = connection.lane.unwritten(id);
+            let unwritten = connection.task.is_unwritten(id);
             self.end_call(*key, if unwritten { Outcome::Unreachable } else { Outcome::ConnectionLost });
         }
         let Some(server) = self.servers.get_mut(&connection.server) else { return };
@@ -149,13 +149,15 @@
             return false;
         }
         // `max_connections` is derived from the memory limit, so this fails only after the limit was lowered.
-        let Ok(charge) = self.ledger.take(Purpose::Connections, None, LANE_BYTES) else { return false };
+        let Ok(charge) = self.ledger.take(Purpose::Connections, None, SERVER_CONNECTION_BYTES) else {
+            return false;
+        };
         let number = self.next_connection;
         self.next_connection += 1;
-        let lane = Rc::new(Lane::default());
+        let task = Rc::new(ConnectionTask::default());
         server.connections.push(number);
         let connection = Connection {
-            lane: lane.clone(),
+            task: task.clone(),
             server: id.clone(),
             connected: false,
             draining: false,
@@ -168,7 +170,7 @@
         };
         self.connections.insert(number, connection);
         let (events, ledger) = (self.events.clone(), self.ledger.clone());
-        tokio::task::spawn_local(lane.run(number, server.address, self.dial_timeout, events, ledger));
+        tokio::task::spawn_local(task.run(number, server.address, self.dial_timeout, events, ledger));
         true
     }
 }
--- a/crates/gatherer/src/routing/pool/frames.rs
+++ b/crates/gatherer/src/routing/pool/frames.rs
@@ -7,7 +7,7 @@
 use super::connections::Connection;
 use super::{CallKey, Pool};
 use crate::routing::book::CallRequest;
-use crate::transport::lane::Queued;
+use crate::transport::lane::QueuedPart;
 
 /// Memory of a part in a queued frame without its id and payload: numbers, separators and its records.
 const PART_OVERHEAD_BYTES: usize = 96;
@@ -76,16 +76,16 @@
             self.expiries.insert((call.expires_at(self.dial_timeout), key));
             let request = &call.request;
             connection.in_flight.insert(request.id.clone(), key);
-            frame.push(Queued {
+            frame.push(QueuedPart {
                 id: request.id.clone(),
                 shard: request.shard,
-                text: request.payload.clone(),
-                until: call.deadline,
+                payload: request.payload.clone(),
+                deadline: call.deadline,
             });
         }
         connection.last_used = self.now;
         connection.unanswered_since.get_or_insert(self.now);
-        connection.lane.call(frame, charge);
+        connection.task.queue_call(frame, charge);
         true
     }
 }
--- a/crates/gatherer/src/script.rs
+++ b/crates/gatherer/src/script.rs
@@ -13,10 +13,10 @@
 
 /// Share of the gatherer's memory that evaluating may take, and its least in bytes: what the evaluator itself
 /// needs, several times.
-const MEMORY_SHARE: f64 = 0.33;
-const MEMORY_LEAST: u64 = 8 << 20;
+const MEMORY_RATIO: f64 = 0.33;
+const MIN_MEMORY_BYTES: u64 = 8 << 20;
 /// The longest file that is read, in bytes: past what is evaluated, so that it is told.
-const FILE_MOST: u64 = 64 * 1024 + 1;
+const MAX_FILE_BYTES: u64 = 64 * 1024 + 1;
 
 fn read(file: &str) -> std::io::Result<String> {
     let opened = std::fs::File::open(file)?;
@@ -24,7 +24,7 @@
         return Err(std::io::Error::other("not a file"));
     }
     let mut text = String::new();
-    opened.take(FILE_MOST).read_to_string(&mut text)?;
+    opened.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
     Ok(text)
 }
 
@@ -32,9 +32,9 @@
     let mut arguments = pico_args::Arguments::from_env();
     let file: String = arguments.value_from_str("--settings").map_err(|e| e.to_string())?;
     let memory: u64 = arguments.value_from_str("--memory-bytes").map_err(|e| e.to_string())?;
-    let most = MEMORY_LEAST.max((memory as f64 * MEMORY_SHARE) as u64);
+    let memory_limit = MIN_MEMORY_BYTES.max((memory as f64 * MEMORY_RATIO) as u64);
     // Beyond it the process ends, which the one that started it tells.
-    ALLOCATOR.set_limit(most as usize).map_err(|()| "there is no memory to evaluate with")?;
+    ALLOCATOR.set_limit(memory_limit as usize).map_err(|()| "there is no memory to evaluate with")?;
     let evaluated = match read(&file) {
         Ok(text) => ashvane_script::evaluate(&file, &text, memory),
         Err(e) => Err(vec![Fault { file, line: 0, key: String::new(), words: e.to_string() }]),
--- a/crates/gatherer/src/transport/admin.rs
+++ b/crates/gatherer/src/transport/admin.rs
@@ -24,20 +24,20 @@
 use crate::protocol::query;
 
 /// Connections at once: an operator and a scraper or two. Their descriptors are among those set apart.
-const OPEN_MOST: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 /// The longest that one connection lasts.
-const OPEN_FOR: Duration = Duration::from_secs(10);
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which a request's head must be whole.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest head that is read.
-const HEAD_MOST: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 pub(crate) struct Admin {
     pub ledger: Ledger,
     /// What the allocator has given out.
-    pub live: fn() -> u64,
+    pub allocated_bytes: fn() -> u64,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -52,31 +52,31 @@
 }
 
 /// The table as metrics in the OpenMetrics text form.
-fn metrics(table: &Table) -> Result<String, std::fmt::Error> {
+fn encode_metrics(table: &Table) -> Result<String, std::fmt::Error> {
     let mut registry = Registry::with_prefix("ashvane_memory");
-    let one = |registry: &mut Registry, name: &str, help: &str, value: i64| {
+    let register_gauge = |registry: &mut Registry, name: &str, help: &str, value: i64| {
         let gauge = <Gauge>::default();
         gauge.set(value);
         registry.register_with_unit(name, help, Unit::Bytes, gauge);
     };
-    one(&mut registry, "live", "What the allocator has given out", table.live as i64);
-    one(&mut registry, "attributed", "What all purposes have open", table.sum as i64);
-    one(&mut registry, "unattributed", "What is live and has no purpose", table.unattributed);
-    one(&mut registry, "total", "What all purposes may take together", table.total as i64);
+    register_gauge(&mut registry, "live", "What the allocator has given out", table.live as i64);
+    register_gauge(&mut registry, "attributed", "What all purposes have open", table.sum as i64);
+    register_gauge(&mut registry, "unattributed", "What is live and has no purpose", table.unattributed);
+    register_gauge(&mut registry, "total", "What all purposes may take together", table.total as i64);
     let gauges = || Family::<PurposeLabel, Gauge>::default();
     let (open, peak, cap, reserve) = (gauges(), gauges(), gauges(), gauges());
     let refused = Family::<PurposeLabel, Counter>::default();
     let tenants = Family::<TenantLabel, Gauge>::default();
     for row in &table.purposes {
         let label = PurposeLabel { purpose: row.purpose };
-        let shown = [(&open, row.now), (&peak, row.peak), (&cap, row.cap), (&reserve, row.reserve)];
-        for (family, value) in shown {
+        let values = [(&open, row.now), (&peak, row.peak), (&cap, row.cap), (&reserve, row.reserve)];
+        for (family, value) in values {
             family.get_or_create(&label).set(value as i64);
         }
         refused.get_or_create(&label).inc_by(row.refused);
-        for t in &row.tenants {
-            let label = TenantLabel { purpose: row.purpose, tenant: t.tenant.clone() };
-            tenants.get_or_create(&label).set(t.now as i64);
+        for entry in &row.tenants {
+            let label = TenantLabel { purpose: row.purpose, tenant: entry.tenant.clone() };
+            tenants.get_or_create(&label).set(entry.now as i64);
         }
     }
     registry.register_with_unit("open", "What a purpose has open", Unit::Bytes, open);
@@ -95,11 +95,11 @@
         if request.method() != Method::GET {
             return query::text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET");
         }
-        let table = || self.ledger.table((self.live)());
-        let (kind, text) = match request.uri().path() {
+        let table = || self.ledger.table((self.allocated_bytes)());
+        let (content_type, text) = match request.uri().path() {
             "/memory" => ("application/json", serde_json::to_string(&table()).ok()),
             "/metrics" => {
-                ("application/openmetrics-text; version=1.0.0; charset=utf-8", metrics(&table()).ok())
+                ("application/openmetrics-text; version=1.0.0; charset=utf-8", encode_metrics(&table()).ok())
             }
             _ => return query::text_response(StatusCode::NOT_FOUND, "there are /memory and /metrics"),
         };
@@ -107,7 +107,7 @@
             return query::text_response(StatusCode::INTERNAL_SERVER_ERROR, "not told");
         };
         let mut answer = Response::new(Body::from(text));
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
         answer
     }
 
@@ -118,25 +118,25 @@
         });
         let mut http = hyper::server::conn::http1::Builder::new();
         // One answer each: who keeps a connection would find it closed under its next request.
-        http.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT).max_buf_size(HEAD_MOST);
+        http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
         http.keep_alive(false);
         // One that lasts too long or breaks is of no more use; whoever asked asks again.
-        let _ = timeout(OPEN_FOR, http.serve_connection(TokioIo::new(stream), service)).await;
+        let _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await;
     }
 
     pub(crate) async fn run(self: Arc<Self>, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(OPEN_MOST));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let admin = self.clone();
                     tokio::task::spawn_local(async move {
                         admin.serve(stream).await;
-                        drop(place);
+                        drop(permit);
                     });
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
--- a/crates/gatherer/src/transport/front.rs
+++ b/crates/gatherer/src/transport/front.rs
@@ -27,70 +27,70 @@
 
 use crate::protocol::event::{EndedHandlers, Event, Phase};
 use crate::protocol::query::{self, Query, Reply, RequestError};
-use crate::transport::answers::{Answers, Wire};
-use crate::transport::head::{Framing, LINGER, Watched};
+use crate::transport::answers::{Answers, ConnectionHandle};
+use crate::transport::head::{ClientStream, Framing, LINGER_TIMEOUT};
 
 /// The longest body that is read, as the protocol states it.
-const BODY_MOST: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The longest head that is read; what is kept of a body at once is as much.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Time in which a new connection's first head must be whole.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// The same for later ones, from the answer before. A client that has asked keeps its connection while there
 /// are places: in a restart it may have no other way to a gatherer.
-const KEEP_LIMIT: Duration = Duration::from_secs(60);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time in which a body must be whole once its head is. A client is told or closed within three seconds.
-const BODY_LIMIT: Duration = Duration::from_millis(800);
+const BODY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after a failed accept, and between looks for an idle client while all places are taken.
-const ROOM_PAUSE: Duration = Duration::from_millis(50);
+const SLOT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// What a client's connection takes while it is open, in bytes: HTTP's buffers, its task and its request's.
 /// An estimate: what it misses shows as unattributed.
-pub(crate) const CLIENT_BYTES: u64 = 20 * 1024;
+pub(crate) const CLIENT_CONNECTION_BYTES: u64 = 20 * 1024;
 /// What the machine may hold of an answer that its client does not read, in bytes: it counts this twice. Much
 /// more would stand outside every cap, and much less slow down far clients.
-const SEND_BYTES: u32 = 64 * 1024;
+const SEND_BUFFER_BYTES: u32 = 64 * 1024;
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 /// Time after which it is told again that all places are taken.
-const TOLD_AGAIN: Duration = Duration::from_secs(60);
+const FULL_WARNING_INTERVAL: Duration = Duration::from_secs(60);
 
 /// A listener for clients.
 pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     // Accepted connections take it over.
-    socket.set_send_buffer_size(SEND_BYTES)?;
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// What every request's handler needs.
-pub(crate) struct Front {
+pub(crate) struct HandlerContext {
     pub network: Arc<Network>,
     pub events: mpsc::Sender<Event>,
     /// The handlers that ended: their clients may have left.
-    pub left: Arc<EndedHandlers>,
+    pub ended_handlers: Arc<EndedHandlers>,
     pub phase: watch::Receiver<Phase>,
     pub ledger: Ledger,
     pub answers: Arc<Answers>,
     /// When those who find no room may come back.
-    pub back_after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Why a request never became a query.
-enum Unread {
-    Refused(RequestError),
-    NoRoom,
+enum ReadError {
+    Invalid(RequestError),
+    NoMemory,
 }
 
-impl From<RequestError> for Unread {
-    fn from(refusal: RequestError) -> Self {
-        Unread::Refused(refusal)
+impl From<RequestError> for ReadError {
+    fn from(error: RequestError) -> Self {
+        ReadError::Invalid(error)
     }
 }
 
-async fn health(State(front): State<Arc<Front>>) -> Response<Body> {
-    match *front.phase.borrow() {
+async fn handle_health(State(context): State<Arc<HandlerContext>>) -> Response<Body> {
+    match *context.phase.borrow() {
         Phase::Ready | Phase::Reloading => query::text_response(StatusCode::OK, "ready"),
         _ => query::text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
     }
@@ -98,10 +98,10 @@
 
 async fn read_body(body: Body) -> Result<Bytes, RequestError> {
     let too_long = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_long);
     }
-    let read = timeout(BODY_LIMIT, Limited::new(body, BODY_MOST).collect()).await;
+    let read = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     match read.map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come"))? {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(too_long),
@@ -110,169 +110,172 @@
 }
 
 /// Reads a request whole. Room for its body is taken before a byte of that is read.
-async fn read(request: Request, front: &Front) -> Result<(Query, Charge), Unread> {
-    let network = &front.network;
+async fn read_query(request: Request, context: &HandlerContext) -> Result<(Query, Charge), ReadError> {
+    let network = &context.network;
     let (head, body) = request.into_parts();
     let path = head.uri.path();
     let vertical = query::find_vertical(path, network)?;
     let tenant = query::find_tenant(&head.headers, network)?;
-    let length = body.size_hint().exact().unwrap_or(BODY_MOST as u64).min(BODY_MOST as u64);
-    let room = front.ledger.take(Purpose::Bodies, tenant, length).map_err(|_| Unread::NoRoom)?;
+    let length = body.size_hint().exact().unwrap_or(MAX_BODY_BYTES as u64).min(MAX_BODY_BYTES as u64);
+    let charge = context.ledger.take(Purpose::Bodies, tenant, length).map_err(|_| ReadError::NoMemory)?;
     let body = read_body(body).await?;
-    Ok((query::decode(vertical, path, &head.headers, &body, network)?, room))
+    Ok((query::decode(vertical, path, &head.headers, &body, network)?, charge))
 }
 
-async fn ask(State(front): State<Arc<Front>>, request: Request) -> Response<Body> {
+async fn handle_query(State(context): State<Arc<HandlerContext>>, request: Request) -> Response<Body> {
     let arrived = Instant::now();
-    let wire = request.extensions().get::<Wire>().cloned();
-    let (query, room) = match read(request, &front).await {
+    let handle = request.extensions().get::<ConnectionHandle>().cloned();
+    let (query, charge) = match read_query(request, &context).await {
         Ok(read) => read,
-        Err(Unread::Refused((status, words))) => return query::text_response(status, words),
-        Err(Unread::NoRoom) => {
+        Err(ReadError::Invalid((status, text))) => return query::text_response(status, text),
+        Err(ReadError::NoMemory) => {
             // Its body is not read: nothing else can come on this connection.
-            let mut answer = query::encode(Reply::Rejected(front.back_after));
-            ask_to_leave(&mut answer);
+            let mut answer = query::encode(Reply::Rejected(context.retry_after));
+            set_connection_close(&mut answer);
             return answer;
         }
     };
-    let (tenant, until) = (query.tenant, arrived + query.timeout);
-    let leaving = front.left.register();
+    let (tenant, deadline) = (query.tenant, arrived + query.timeout);
+    let guard = context.ended_handlers.register();
     let (reply, answer) = oneshot::channel();
-    let came = Event::QueryReceived { query, arrived, charge: room, ticket: leaving.ticket, reply };
-    if front.events.send(came).await.is_err() {
+    let event = Event::QueryReceived { query, arrived, charge, ticket: guard.ticket, reply };
+    if context.events.send(event).await.is_err() {
         return query::text_response(StatusCode::SERVICE_UNAVAILABLE, "closing");
     }
     let reply = answer.await.unwrap_or(Reply::Aborted);
-    front.answers.encode(reply, wire, tenant, until).await
+    context.answers.encode(reply, handle, tenant, deadline).await
 }
 
-fn ask_to_leave(answer: &mut Response<Body>) {
+fn set_connection_close(answer: &mut Response<Body>) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// While the program closes, each answer asks its client to connect anew, elsewhere.
-async fn drain(State(front): State<Arc<Front>>, request: Request, next: Next) -> Response<Body> {
+async fn close_when_closing(
+    State(context): State<Arc<HandlerContext>>, request: Request, next: Next,
+) -> Response<Body> {
     let mut answer = next.run(request).await;
-    if *front.phase.borrow() >= Phase::Closing {
-        ask_to_leave(&mut answer);
+    if *context.phase.borrow() >= Phase::Closing {
+        set_connection_close(&mut answer);
     }
     answer
 }
 
-fn router(front: Arc<Front>) -> Router {
+fn router(context: Arc<HandlerContext>) -> Router {
     Router::new()
-        .route("/healthz", get(health))
-        .route("/{vertical}", post(ask))
-        .route("/{vertical}/{*key}", post(ask))
-        .layer(middleware::from_fn_with_state(front.clone(), drain))
-        .with_state(front)
+        .route("/healthz", get(handle_health))
+        .route("/{vertical}", post(handle_query))
+        .route("/{vertical}/{*key}", post(handle_query))
+        .layer(middleware::from_fn_with_state(context.clone(), close_when_closing))
+        .with_state(context)
 }
 
 /// Serves one connection until it ends. Once the program closes, or its place is wanted, it ends after the
 /// request it has, or at once where it has none.
 async fn serve(
-    stream: TcpStream, router: Router, mut phase: watch::Receiver<Phase>, place: Place, answers: Arc<Answers>,
+    stream: TcpStream, router: Router, mut phase: watch::Receiver<Phase>, slot: ClientSlot,
+    answers: Arc<Answers>,
 ) {
     let (framing, router) = (Framing::default(), TowerToHyperService::new(router));
-    let wire = place.wire.clone();
+    let handle = slot.handle.clone();
     let service = service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
-        request.extensions_mut().insert(wire.clone());
+        request.extensions_mut().insert(handle.clone());
         let length = request.body().size_hint().exact();
-        let answering = framing.sound(length).then(|| router.call(request));
-        place.asked();
-        let place = &place;
+        let response = framing.begin_body(length).then(|| router.call(request));
+        slot.mark_busy();
+        let slot = &slot;
         async move {
-            let mut answer = match answering {
-                Some(answering) => answering.await?,
+            let mut answer = match response {
+                Some(response) => response.await?,
                 None => query::text_response(StatusCode::BAD_REQUEST, "the body's length is stated twice"),
             };
             if length.is_none() || answer.status() == StatusCode::BAD_REQUEST {
-                ask_to_leave(&mut answer);
+                set_connection_close(&mut answer);
             }
-            place.idle();
+            slot.mark_idle();
             Ok::<_, std::convert::Infallible>(answer)
         }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(KEEP_LIMIT).max_buf_size(HEAD_MOST);
-    let meter = move |bytes| answers.wrote(place.wire.number, bytes);
-    let watched = Watched::new(stream, framing.clone(), meter);
-    let mut connection = std::pin::pin!(http.serve_connection(TokioIo::new(watched), service));
+    http.timer(TokioTimer::new()).header_read_timeout(KEEP_ALIVE_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
+    let on_written = move |bytes| answers.record_written(slot.handle.number, bytes);
+    let client_stream = ClientStream::new(stream, framing.clone(), on_written);
+    let mut connection = std::pin::pin!(http.serve_connection(TokioIo::new(client_stream), service));
     // One that comes when the program closes already is served: its request may be on the way.
-    let in_time = *phase.borrow() < Phase::Closing;
+    let accepted_before_closing = *phase.borrow() < Phase::Closing;
     let closing = async {
         tokio::select! {
-            _ = phase.wait_for(|phase| *phase == Phase::Closing), if in_time => {}
-            () = place.wire.wanted.notified() => {}
-            () = place.is_silent() => {}
+            _ = phase.wait_for(|phase| *phase == Phase::Closing), if accepted_before_closing => {}
+            () = slot.handle.close_requested.notified() => {}
+            () = slot.first_request_timeout() => {}
         }
     };
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = closing => {
             // The shutdown leaves a connection open that has not asked for anything yet.
-            if place.is_new() || wire.is_cut() {
+            if slot.is_unused() || handle.is_aborted() {
                 return;
             }
             connection.as_mut().graceful_shutdown();
             loop {
-                match timeout(LINGER, connection.as_mut()).await {
-                    Ok(ended) => break ended,
+                match timeout(LINGER_TIMEOUT, connection.as_mut()).await {
+                    Ok(result) => break result,
                     // Its last answer is not read.
-                    Err(_) if place.is_idle() => return,
+                    Err(_) if slot.is_idle() => return,
                     Err(_) => {}
                 }
             }
         }
     };
-    if let Err(e) = ended {
+    if let Err(e) = result {
         log::debug!("client connection: {e}");
     }
 }
 
 /// A client's connection among the open ones: whether it has an open request, and since when it has none.
-struct Place {
-    door: Rc<Door>,
+struct ClientSlot {
+    slots: Rc<ClientSlots>,
     /// Its number among the idle ones, the longest idle first; none while it has an open request.
     idle: Cell<Option<u64>>,
-    new: Cell<bool>,
-    wire: Wire,
+    unused: Cell<bool>,
+    handle: ConnectionHandle,
     _permit: OwnedSemaphorePermit,
-    _room: Charge,
+    _charge: Charge,
 }
 
-impl Place {
-    fn new(door: Rc<Door>, permit: OwnedSemaphorePermit, room: Charge) -> Self {
-        let (idle, new) = (Cell::new(None), Cell::new(true));
-        let wire = Wire::new(door.number());
-        let place = Place { door, idle, new, wire, _permit: permit, _room: room };
-        place.idle();
-        place
+impl ClientSlot {
+    fn new(slots: Rc<ClientSlots>, permit: OwnedSemaphorePermit, charge: Charge) -> Self {
+        let (idle, unused) = (Cell::new(None), Cell::new(true));
+        let handle = ConnectionHandle::new(slots.take_number());
+        let slot = ClientSlot { slots, idle, unused, handle, _permit: permit, _charge: charge };
+        slot.mark_idle();
+        slot
     }
 
-    fn asked(&self) {
-        self.new.set(false);
+    fn mark_busy(&self) {
+        self.unused.set(false);
         if let Some(number) = self.idle.take() {
-            self.door.idle.borrow_mut().remove(&number);
+            self.slots.idle.borrow_mut().remove(&number);
         }
     }
 
-    fn idle(&self) {
-        let number = self.door.number();
+    fn mark_idle(&self) {
+        let number = self.slots.take_number();
         self.idle.set(Some(number));
-        self.door.idle.borrow_mut().insert(number, self.wire.wanted.clone());
+        self.slots.idle.borrow_mut().insert(number, self.handle.close_requested.clone());
     }
 
     /// Comes to an end if nothing was asked in time.
-    async fn is_silent(&self) {
-        sleep(HEAD_LIMIT).await;
-        if !self.is_new() {
+    async fn first_request_timeout(&self) {
+        sleep(FIRST_HEAD_TIMEOUT).await;
+        if !self.is_unused() {
             std::future::pending().await
         }
     }
 
-    fn is_new(&self) -> bool {
-        self.new.get()
+    fn is_unused(&self) -> bool {
+        self.unused.get()
     }
 
     fn is_idle(&self) -> bool {
@@ -280,91 +283,99 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
-        self.asked();
+        self.mark_busy();
     }
 }
 
 /// The open connections and when the last one came.
-pub(crate) struct Door {
+pub(crate) struct ClientSlots {
     permits: Arc<Semaphore>,
     ledger: Ledger,
-    most: usize,
-    last: Cell<Instant>,
+    max_slots: usize,
+    last_accepted_at: Cell<Instant>,
     /// Those without an open request, the longest idle first, and the number of the next.
     idle: RefCell<BTreeMap<u64, Arc<Notify>>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
     /// When it was last told that all places are taken.
-    told: Cell<Option<Instant>>,
+    last_full_warning: Cell<Option<Instant>>,
 }
 
-impl Door {
-    pub(crate) fn new(most: usize, ledger: Ledger) -> Self {
-        let permits = Arc::new(Semaphore::new(most));
-        let (idle, next, told) = Default::default();
-        Door { permits, ledger, most, last: Instant::now().into(), idle, next, told }
+impl ClientSlots {
+    pub(crate) fn new(max_slots: usize, ledger: Ledger) -> Self {
+        let permits = Arc::new(Semaphore::new(max_slots));
+        let (idle, next_number, last_full_warning) = Default::default();
+        ClientSlots {
+            permits,
+            ledger,
+            max_slots,
+            last_accepted_at: Instant::now().into(),
+            idle,
+            next_number,
+            last_full_warning,
+        }
     }
 
-    fn number(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+    fn take_number(&self) -> u64 {
+        self.next_number.replace(self.next_number.get() + 1)
     }
 
-    pub(crate) fn open(&self) -> usize {
-        self.most - self.permits.available_permits()
+    pub(crate) fn open_count(&self) -> usize {
+        self.max_slots - self.permits.available_permits()
     }
 
-    pub(crate) fn quiet_for(&self) -> Duration {
-        self.last.get().elapsed()
+    pub(crate) fn since_last_accept(&self) -> Duration {
+        self.last_accepted_at.get().elapsed()
     }
 
     /// Closes the connection that has stood idle for longest.
-    fn make_room(&self) {
-        if self.told.get().is_none_or(|told| told.elapsed() > TOLD_AGAIN) {
-            log::warn!("{} clients are connected: those longest idle are closed", self.open());
-            self.told.set(Some(Instant::now()));
+    fn close_longest_idle(&self) {
+        if self.last_full_warning.get().is_none_or(|warned_at| warned_at.elapsed() > FULL_WARNING_INTERVAL) {
+            log::warn!("{} clients are connected: those longest idle are closed", self.open_count());
+            self.last_full_warning.set(Some(Instant::now()));
         }
-        if let Some((_, wanted)) = self.idle.borrow_mut().pop_first() {
-            wanted.notify_one();
+        if let Some((_, close_requested)) = self.idle.borrow_mut().pop_first() {
+            close_requested.notify_one();
         }
     }
 
     /// A place for one more. Where all are taken one that stands idle is closed, for a client that waits here
     /// has been accepted by the machine, and counts on an answer.
-    async fn place(self: &Rc<Self>) -> Option<Place> {
+    async fn acquire(self: &Rc<Self>) -> Option<ClientSlot> {
         loop {
             if self.permits.available_permits() == 0 {
-                self.make_room();
+                self.close_longest_idle();
             }
-            let Ok(permit) = timeout(ROOM_PAUSE, self.permits.clone().acquire_owned()).await else {
+            let Ok(permit) = timeout(SLOT_RETRY_DELAY, self.permits.clone().acquire_owned()).await else {
                 continue;
             };
             let permit = permit.ok()?;
-            if let Ok(room) = self.ledger.take(Purpose::Connections, None, CLIENT_BYTES) {
-                return Some(Place::new(self.clone(), permit, room));
+            if let Ok(charge) = self.ledger.take(Purpose::Connections, None, CLIENT_CONNECTION_BYTES) {
+                return Some(ClientSlot::new(self.clone(), permit, charge));
             }
             // The number of places follows from the room for them: only a lowered cap leaves none.
-            self.make_room();
-            sleep(ROOM_PAUSE).await;
+            self.close_longest_idle();
+            sleep(SLOT_RETRY_DELAY).await;
         }
     }
 
-    pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, front: Arc<Front>) {
-        let (phase, answers) = (front.phase.clone(), front.answers.clone());
-        let router = router(front);
+    pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, context: Arc<HandlerContext>) {
+        let (phase, answers) = (context.phase.clone(), context.answers.clone());
+        let router = router(context);
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.last.set(Instant::now());
+                    self.last_accepted_at.set(Instant::now());
                     let _ = stream.set_nodelay(true);
-                    let Some(place) = self.place().await else { return };
-                    let serving = serve(stream, router.clone(), phase.clone(), place, answers.clone());
+                    let Some(slot) = self.acquire().await else { return };
+                    let serving = serve(stream, router.clone(), phase.clone(), slot, answers.clone());
                     tokio::task::spawn_local(serving);
                 }
                 Err(e) => {
                     log::warn!("no connection could be accepted: {e}");
-                    self.make_room();
-                    sleep(ROOM_PAUSE).await;
+                    self.close_longest_idle();
+                    sleep(SLOT_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/gatherer/src/transport/head.rs
+++ b/crates/gatherer/src/transport/head.rs
@@ -15,150 +15,157 @@
 use tokio::time::{Sleep, sleep};
 
 /// Bytes of a line that are kept: as many as tell the names that matter from all others.
-const LINE_KEPT: usize = 32;
+const MAX_LINE_PREFIX_BYTES: usize = 32;
 /// Bytes and time for what a client still sends after its answer: unread, they would take the answer along.
-const LINGER_MOST: usize = 256 * 1024;
-pub(super) const LINGER: Duration = Duration::from_millis(300);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What the next byte belongs to.
-enum Next {
+enum ReadState {
     Head {
         line: Vec<u8>,
-        begun: bool,
+        started: bool,
         /// How many headers state the body's length or form.
-        framings: u32,
+        length_headers: u32,
     },
     /// To what follows a head that HTTP has not spoken of yet.
-    Unsaid {
-        framings: u32,
+    HeadEnd {
+        length_headers: u32,
     },
     Body(u64),
     /// To a body in chunks. Where it ends is not followed: no request comes after it.
-    Chunks,
+    ChunkedBody,
 }
 
-impl Default for Next {
+impl Default for ReadState {
     fn default() -> Self {
-        Next::Head { line: Vec::new(), begun: false, framings: 0 }
+        ReadState::Head { line: Vec::new(), started: false, length_headers: 0 }
     }
 }
 
-impl Next {
+impl ReadState {
     /// How many of the bytes belong here; what follows them is the next thing's.
-    fn pass(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let passed = match self {
-            Next::Head { line, begun, framings } => {
-                let Some(passed) = bytes.iter().position(|byte| ends_head(*byte, line, begun, framings))
+    fn consume(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        let consumed = match self {
+            ReadState::Head { line, started, length_headers } => {
+                let Some(consumed) =
+                    bytes.iter().position(|byte| consume_head_byte(*byte, line, started, length_headers))
                 else {
                     return Ok(bytes.len());
                 };
-                *self = Next::Unsaid { framings: *framings };
-                return Ok(passed + 1);
+                *self = ReadState::HeadEnd { length_headers: *length_headers };
+                return Ok(consumed + 1);
             }
-            Next::Unsaid { .. } if !bytes.is_empty() => return Err(io::ErrorKind::InvalidData.into()),
-            Next::Unsaid { .. } | Next::Chunks => return Ok(bytes.len()),
-            Next::Body(left) => {
-                let passed = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                *left -= passed as u64;
-                passed
+            ReadState::HeadEnd { .. } if !bytes.is_empty() => return Err(io::ErrorKind::InvalidData.into()),
+            ReadState::HeadEnd { .. } | ReadState::ChunkedBody => return Ok(bytes.len()),
+            ReadState::Body(remaining_bytes) => {
+                let consumed = bytes.len().min(usize::try_from(*remaining_bytes).unwrap_or(usize::MAX));
+                *remaining_bytes -= consumed as u64;
+                consumed
             }
         };
-        if matches!(self, Next::Body(0)) {
-            *self = Next::default();
+        if matches!(self, ReadState::Body(0)) {
+            *self = ReadState::default();
         }
-        Ok(passed)
+        Ok(consumed)
     }
 }
 
 /// Takes a head's next byte: whether it is the last.
-fn ends_head(byte: u8, line: &mut Vec<u8>, begun: &mut bool, framings: &mut u32) -> bool {
+fn consume_head_byte(byte: u8, line: &mut Vec<u8>, started: &mut bool, length_headers: &mut u32) -> bool {
     if byte != b'\n' {
-        if byte != b'\r' && line.len() < LINE_KEPT {
+        if byte != b'\r' && line.len() < MAX_LINE_PREFIX_BYTES {
             line.push(byte);
         }
         return false;
     }
     if line.is_empty() {
-        return *begun;
+        return *started;
     }
     let name = line.split(|b| *b == b':').next().unwrap_or_default();
-    let frames = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
-    *framings += u32::from(frames("content-length") || frames("transfer-encoding"));
-    (*begun, *line) = (true, Vec::new());
+    let is_name = |expected: &str| name.eq_ignore_ascii_case(expected.as_bytes());
+    *length_headers += u32::from(is_name("content-length") || is_name("transfer-encoding"));
+    (*started, *line) = (true, Vec::new());
     false
 }
 
 /// Shared by a connection's bytes and those who serve its requests.
 #[derive(Clone, Default)]
-pub(super) struct Framing(Rc<RefCell<Next>>);
+pub(super) struct Framing(Rc<RefCell<ReadState>>);
 
 impl Framing {
     /// A request is served whose body has this length; none if it comes in chunks. False if its head says
     /// more than one thing about that.
-    pub(super) fn sound(&self, length: Option<u64>) -> bool {
+    pub(super) fn begin_body(&self, length: Option<u64>) -> bool {
         let mut next = self.0.borrow_mut();
-        let sound = matches!(*next, Next::Unsaid { framings: 0 | 1 });
+        let is_valid = matches!(*next, ReadState::HeadEnd { length_headers: 0 | 1 });
         *next = match length {
-            Some(0) => Next::default(),
-            Some(length) => Next::Body(length),
-            None => Next::Chunks,
+            Some(0) => ReadState::default(),
+            Some(length) => ReadState::Body(length),
+            None => ReadState::ChunkedBody,
         };
-        sound
+        is_valid
     }
 }
 
 /// A client's connection.
-pub(super) struct Watched<S> {
+pub(super) struct ClientStream<S> {
     stream: S,
     /// Told of the bytes that went out.
-    wrote: Box<dyn Fn(usize)>,
+    on_written: Box<dyn Fn(usize)>,
     framing: Framing,
     /// Came with bytes that belong to what was before them.
-    rest: BytesMut,
+    unconsumed: BytesMut,
     linger: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
-impl<S> Watched<S> {
-    pub(super) fn new(stream: S, framing: Framing, wrote: impl Fn(usize) + 'static) -> Self {
-        Watched { stream, wrote: Box::new(wrote), framing, rest: BytesMut::new(), linger: None }
+impl<S> ClientStream<S> {
+    pub(super) fn new(stream: S, framing: Framing, on_written: impl Fn(usize) + 'static) -> Self {
+        ClientStream {
+            stream,
+            on_written: Box::new(on_written),
+            framing,
+            unconsumed: BytesMut::new(),
+            linger: None,
+        }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ClientStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = out.filled().len();
-        if self.rest.is_empty() {
+        if self.unconsumed.is_empty() {
             ready!(Pin::new(&mut self.stream).poll_read(cx, out))?;
         } else {
-            let length = self.rest.len().min(out.remaining());
-            out.put_slice(&self.rest.split_to(length));
+            let length = self.unconsumed.len().min(out.remaining());
+            out.put_slice(&self.unconsumed.split_to(length));
         }
-        let got = &out.filled()[before..];
-        let passed = self.framing.0.borrow_mut().pass(got)?;
-        let mut rest = BytesMut::from(&got[passed..]);
-        rest.unsplit(std::mem::take(&mut self.rest));
-        self.rest = rest;
-        out.set_filled(before + passed);
+        let received = &out.filled()[before..];
+        let consumed = self.framing.0.borrow_mut().consume(received)?;
+        let mut unconsumed = BytesMut::from(&received[consumed..]);
+        unconsumed.unsplit(std::mem::take(&mut self.unconsumed));
+        self.unconsumed = unconsumed;
+        out.set_filled(before + consumed);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> AsyncWrite for ClientStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = ready!(Pin::new(&mut self.stream).poll_write(cx, bytes))?;
-        (self.wrote)(wrote);
-        Poll::Ready(Ok(wrote))
+        let written = ready!(Pin::new(&mut self.stream).poll_write(cx, bytes))?;
+        (self.on_written)(written);
+        Poll::Ready(Ok(written))
     }
 
     /// HTTP then writes from an answer's own bytes, and makes no copy of them that has no room.
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bytes))?;
-        (self.wrote)(wrote);
-        Poll::Ready(Ok(wrote))
+        let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bytes))?;
+        (self.on_written)(written);
+        Poll::Ready(Ok(written))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -171,16 +178,19 @@
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-        if matches!(*self.framing.0.borrow(), Next::Head { begun: false, .. }) {
+        if matches!(*self.framing.0.borrow(), ReadState::Head { started: false, .. }) {
             return Poll::Ready(Ok(()));
         }
-        let Watched { stream, linger, .. } = &mut *self;
-        let (time, left) = linger.get_or_insert_with(|| (Box::pin(sleep(LINGER)), LINGER_MOST));
+        let ClientStream { stream, linger, .. } = &mut *self;
+        let (timer, remaining_bytes) =
+            linger.get_or_insert_with(|| (Box::pin(sleep(LINGER_TIMEOUT)), MAX_LINGER_BYTES));
         let mut bytes = [0; 4096];
-        while *left > 0 && time.as_mut().poll(cx).is_pending() {
+        while *remaining_bytes > 0 && timer.as_mut().poll(cx).is_pending() {
             let mut unread = ReadBuf::new(&mut bytes);
             match ready!(Pin::new(&mut *stream).poll_read(cx, &mut unread)) {
-                Ok(()) if !unread.filled().is_empty() => *left = left.saturating_sub(unread.filled().len()),
+                Ok(()) if !unread.filled().is_empty() => {
+                    *remaining_bytes = remaining_bytes.saturating_sub(unread.filled().len())
+                }
                 _ => break,
             }
         }
@@ -196,32 +206,32 @@
     use super::*;
 
     /// Reads as HTTP does, from bytes that come in these cuts: each head, then its body; were all sound?
-    async fn heads(bytes: &[u8], cuts: &[u8], bodies: &[u64]) -> (Vec<usize>, bool) {
-        let (near, mut far) = tokio::io::duplex(bytes.len().max(1));
+    async fn read_requests(bytes: &[u8], cuts: &[u8], bodies: &[u64]) -> (Vec<usize>, bool) {
+        let (server_end, mut client_end) = tokio::io::duplex(bytes.len().max(1));
         let writing = async {
             let mut at = 0;
             for cut in cuts.iter().map(|c| usize::from(*c)).chain([bytes.len()]) {
                 let next = (at + cut).min(bytes.len());
-                tokio::io::AsyncWriteExt::write_all(&mut far, &bytes[at..next]).await.expect("room");
+                tokio::io::AsyncWriteExt::write_all(&mut client_end, &bytes[at..next]).await.expect("room");
                 tokio::task::yield_now().await;
                 at = next;
             }
-            drop(far);
+            drop(client_end);
         };
         let framing = Framing::default();
-        let mut watched = Watched::new(near, framing.clone(), |_| {});
+        let mut client_stream = ClientStream::new(server_end, framing.clone(), |_| {});
         let reading = async {
-            let (mut lengths, mut sound) = (Vec::new(), true);
+            let (mut head_lengths, mut all_valid) = (Vec::new(), true);
             for body in bodies {
                 let mut head = 0;
-                while !matches!(*framing.0.borrow(), Next::Unsaid { .. }) {
-                    head += watched.read(&mut [0; 64]).await.expect("bytes");
+                while !matches!(*framing.0.borrow(), ReadState::HeadEnd { .. }) {
+                    head += client_stream.read(&mut [0; 64]).await.expect("bytes");
                 }
-                lengths.push(head);
-                sound &= framing.sound(Some(*body));
-                watched.read_exact(&mut vec![0; *body as usize]).await.expect("the body");
+                head_lengths.push(head);
+                all_valid &= framing.begin_body(Some(*body));
+                client_stream.read_exact(&mut vec![0; *body as usize]).await.expect("the body");
             }
-            (lengths, sound)
+            (head_lengths, all_valid)
         };
         tokio::join!(writing, reading).1
     }
@@ -235,8 +245,8 @@
             let second = "POST /b HTTP/1.1\nTransfer-Encoding : no\nX: y\n\n";
             let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
             let all = [first, body, second].concat();
-            let got = runtime.block_on(heads(all.as_bytes(), &cuts, &[body.len() as u64, 0]));
-            got == (vec![first.len(), second.len()], true)
+            let received = runtime.block_on(read_requests(all.as_bytes(), &cuts, &[body.len() as u64, 0]));
+            received == (vec![first.len(), second.len()], true)
         }
         QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).quickcheck(arrive as fn(Vec<u8>) -> bool);
     }
@@ -248,7 +258,7 @@
         let lines = [[length, chunks], [chunks, length], [length, "CONTENT-length:5"], [chunks, chunks]];
         for [one, two] in lines {
             let head = format!("POST /a HTTP/1.1\r\n{one}\r\nHost: x\r\n{two}\r\n\r\n");
-            assert!(!heads(head.as_bytes(), &[], &[0]).await.1, "{head}");
+            assert!(!read_requests(head.as_bytes(), &[], &[0]).await.1, "{head}");
         }
     }
 }
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -27,13 +27,13 @@
 use crate::protocol::event::{Event, Phase};
 
 /// The longest answer that is read, in bytes: a table at its longest, and some more.
-const ANSWER_MOST: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 /// The longest that a call may take, whatever the lease.
-const CALL_MOST: Duration = Duration::from_secs(1);
+const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before an owner tries another keeper for its renewal.
-const AGAIN: Duration = Duration::from_millis(150);
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Time in which a duty is handed over at the end.
-const HAND_OVER: Duration = Duration::from_millis(400);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time on the clock that also runs while the machine sleeps.
 fn now() -> Duration {
@@ -43,7 +43,7 @@
 
 /// What a keeper tells.
 #[derive(Deserialize)]
-struct Told {
+struct CallResponse {
     leader: Option<u64>,
     free: bool,
     #[serde(default)]
@@ -55,37 +55,37 @@
 /// What it answers to an owner.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Answered {
+enum AskResponse {
     Reply(Reply),
     Elsewhere { leader: Option<u64> },
 }
 
 /// What is asked of whoever leads the keepers about this gatherer's own participant. Acts of an owner are not among it: they
 /// need a permit.
-enum Asked {
-    Take,
+enum LeaseRequest {
+    Acquire,
     Renew(u64),
-    Give(u64),
+    Release(u64),
 }
 
 /// Why a call brought no answer, and whether the keeper may have heard it.
-struct Failed {
-    words: String,
-    heard: bool,
+struct CallError {
+    message: String,
+    may_have_arrived: bool,
 }
 
 /// Calls to keepers, each within a limit.
 #[derive(Clone)]
-struct Line {
+struct KeeperClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    limit: Duration,
+    timeout: Duration,
 }
 
-impl Line {
+impl KeeperClient {
     async fn send<T: DeserializeOwned>(
         &self, address: SocketAddr, path: &str, body: Option<Value>,
-    ) -> Result<T, Failed> {
-        let failed = |heard: bool| move |words: String| Failed { words, heard };
+    ) -> Result<T, CallError> {
+        let failed = |may_have_arrived: bool| move |message: String| CallError { message, may_have_arrived };
         let uri = format!("http://{address}{path}");
         let request = match body {
             Some(body) => Request::post(uri)
@@ -94,26 +94,28 @@
             None => Request::get(uri).body(Full::default()),
         };
         let request = request.map_err(|e| failed(false)(e.to_string()))?;
-        let asking = async {
+        let exchange = async {
             let answer = self.client.request(request).await;
             let answer = answer.map_err(|e| failed(!e.is_connect())(e.to_string()))?;
-            let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|e| failed(true)(e.to_string()))?.to_bytes();
             serde_json::from_slice(&body).map_err(|e| failed(true)(e.to_string()))
         };
-        timeout(self.limit, asking).await.unwrap_or_else(|_| Err(failed(true)("no answer in time".into())))
+        timeout(self.timeout, exchange)
+            .await
+            .unwrap_or_else(|_| Err(failed(true)("no answer in time".into())))
     }
 }
 
-pub(crate) struct Keepers {
+pub(crate) struct KeeperSession {
     /// This process, by a name that no other process has or had.
-    who: String,
+    process_id: String,
     name: String,
-    numbers: Vec<u64>,
+    keeper_ids: Vec<u64>,
     addresses: Vec<SocketAddr>,
     terms: LeaseTerms,
-    every: Duration,
-    line: Line,
+    interval: Duration,
+    client: KeeperClient,
     events: mpsc::Sender<Event>,
     schedule: CallSchedule,
     participant: LeaseParticipant,
@@ -123,42 +125,42 @@
     /// The keeper that leads, as a place in the list, as far as is known.
     leader: Option<usize>,
     /// How long the last call took.
-    took: Duration,
+    last_call_duration: Duration,
     renew_at: Duration,
     round_at: Duration,
-    alive: Option<u32>,
+    reported_count: Option<u32>,
 }
 
-impl Keepers {
+impl KeeperSession {
     pub(crate) fn new(
         name: &str, seed: u64, settings: &FleetSettings, events: mpsc::Sender<Event>,
-    ) -> Keepers {
-        let (began, every, terms) = (now(), settings.every(), settings.terms());
+    ) -> KeeperSession {
+        let (started_at, interval, terms) = (now(), settings.every(), settings.terms());
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(1).build(connector);
-        let (numbers, addresses): (Vec<u64>, Vec<SocketAddr>) =
+        let (keeper_ids, addresses): (Vec<u64>, Vec<SocketAddr>) =
             settings.keepers.iter().map(|(n, a)| (*n, *a)).unzip();
-        let short = |most: usize| name.chars().take(most).collect::<String>();
-        Keepers {
-            who: format!("{}@{}", short(MAX_NAME_LENGTH / 8), began.as_nanos()),
-            name: short(MAX_NAME_LENGTH / 4),
-            schedule: CallSchedule::new(every, addresses.len(), seed, began),
-            numbers,
+        let truncated = |max_chars: usize| name.chars().take(max_chars).collect::<String>();
+        KeeperSession {
+            process_id: format!("{}@{}", truncated(MAX_NAME_LENGTH / 8), started_at.as_nanos()),
+            name: truncated(MAX_NAME_LENGTH / 4),
+            schedule: CallSchedule::new(interval, addresses.len(), seed, started_at),
+            keeper_ids,
             addresses,
             terms,
-            every,
-            line: Line { client, limit: terms.max_call_duration().min(CALL_MOST) },
+            interval,
+            client: KeeperClient { client, timeout: terms.max_call_duration().min(MAX_CALL_TIMEOUT) },
             events,
             participant: LeaseParticipant::default(),
-            roster: Roster::new(every),
+            roster: Roster::new(interval),
             reader: RosterReader::default(),
             fence: FencingGuard::default(),
             leader: None,
-            took: Duration::MAX,
+            last_call_duration: Duration::MAX,
             renew_at: Duration::MAX,
             round_at: Duration::MAX,
-            alive: None,
+            reported_count: None,
         }
     }
 
@@ -166,17 +168,17 @@
     pub(crate) async fn run(mut self, mut phase: watch::Receiver<Phase>) {
         loop {
             let at = now();
-            if let Some(turn) = self.participant.tick(at, &self.terms) {
-                self.turned(turn);
+            if let Some(transition) = self.participant.tick(at, &self.terms) {
+                self.handle_transition(transition);
             }
             if at >= self.renew_at {
                 self.renew().await;
             } else if at >= self.round_at {
-                self.round().await;
+                self.run_owner_round().await;
             } else if at >= self.schedule.next().at {
                 self.call().await;
             }
-            self.tell().await;
+            self.report_gatherer_count().await;
             let next = self.schedule.next().at.min(self.renew_at).min(self.round_at);
             let ending = async {
                 let draining = |phase: &Phase| matches!(phase, Phase::Draining | Phase::Closing);
@@ -186,86 +188,92 @@
             };
             tokio::select! {
                 () = sleep(next.saturating_sub(now())) => {}
-                () = ending => return self.hand_over().await,
+                () = ending => return self.release_ownership().await,
             }
         }
     }
 
     /// The usual call: that this gatherer is alive, for what the keepers know.
     async fn call(&mut self) {
-        let (began, at) = (now(), self.schedule.next().keeper);
-        self.schedule.call_made(began);
-        let seeks = self.participant.is_seeking(self.took.min(self.line.limit), began, &self.terms);
+        let (started_at, at) = (now(), self.schedule.next().keeper);
+        self.schedule.call_made(started_at);
+        let seeks = self.participant.is_seeking(
+            self.last_call_duration.min(self.client.timeout),
+            started_at,
+            &self.terms,
+        );
         let body = json!({"name": self.name, "seeks": seeks.then_some(Roster::NAME)});
-        match self.line.send::<Told>(self.addresses[at], "/v1/call", Some(body)).await {
-            Ok(told) => {
-                self.took = now() - began;
-                self.know(&told);
-                if told.free && self.participant.is_seeking(self.took, now(), &self.terms) {
-                    self.ask(Asked::Take).await;
+        match self.client.send::<CallResponse>(self.addresses[at], "/v1/call", Some(body)).await {
+            Ok(response) => {
+                self.last_call_duration = now() - started_at;
+                self.apply_response(&response);
+                if response.free && self.participant.is_seeking(self.last_call_duration, now(), &self.terms) {
+                    self.request_lease(LeaseRequest::Acquire).await;
                 }
             }
-            Err(Failed { words, .. }) => {
-                log::debug!("keeper {}: {words}", self.numbers[at]);
+            Err(CallError { message, .. }) => {
+                log::debug!("keeper {}: {message}", self.keeper_ids[at]);
                 self.schedule.keeper_failed();
                 self.leader = self.leader.filter(|leader| *leader != at);
             }
         }
     }
 
-    fn place(&self, number: Option<u64>) -> Option<usize> {
-        self.numbers.iter().position(|n| Some(*n) == number)
+    fn keeper_index(&self, number: Option<u64>) -> Option<usize> {
+        self.keeper_ids.iter().position(|n| Some(*n) == number)
     }
 
     /// What is older than what was seen is dropped: a keeper may lag, and a relay may have held this for a minute.
-    fn know(&mut self, told: &Told) {
-        self.leader = self.place(told.leader).or(self.leader);
-        let Some(table) = told.tables.get(Roster::NAME) else { return };
+    fn apply_response(&mut self, response: &CallResponse) {
+        self.leader = self.keeper_index(response.leader).or(self.leader);
+        let Some(table) = response.tables.get(Roster::NAME) else { return };
         let token = FencingToken { role: Roster::NAME.to_owned(), epoch: table.epoch };
         let before = self.fence.highest(Roster::NAME);
         if !self.fence.admits(&token) {
             return;
         }
         if table.epoch > before {
-            let holds = told.duties.get(Roster::NAME).map_or(0, |lease| lease.epoch);
+            let holds = response.duties.get(Roster::NAME).map_or(0, |lease| lease.epoch);
             log::info!(duty = Roster::NAME, epoch = table.epoch, holds = holds; "follows");
         }
         self.reader.table_received(table, now());
     }
 
     /// Asks the leading keeper about this gatherer's participant; what it says goes there, with when it was asked.
-    async fn ask(&mut self, asked: Asked) -> Option<Reply> {
-        let (duty, who) = (Roster::NAME, &self.who);
-        let asked = match asked {
-            Asked::Take => json!({"take": {"duty": duty, "who": who}}),
-            Asked::Renew(epoch) => json!({"renew": {"duty": duty, "who": who, "epoch": epoch}}),
-            Asked::Give(epoch) => json!({"give": {"duty": duty, "who": who, "epoch": epoch}}),
+    async fn request_lease(&mut self, request: LeaseRequest) -> Option<Reply> {
+        let (duty, process_id) = (Roster::NAME, &self.process_id);
+        let request = match request {
+            LeaseRequest::Acquire => json!({"take": {"duty": duty, "who": process_id}}),
+            LeaseRequest::Renew(epoch) => json!({"renew": {"duty": duty, "who": process_id, "epoch": epoch}}),
+            LeaseRequest::Release(epoch) => {
+                json!({"give": {"duty": duty, "who": process_id, "epoch": epoch}})
+            }
         };
-        self.ask_leader(asked).await
+        self.send_to_leader(request).await
     }
 
     /// An act of the roster's owner: its table. The permit is looked at last of all.
-    async fn write(&mut self, permit: Permit<Roster>, text: &str) {
+    async fn write_table(&mut self, permit: Permit<Roster>, text: &str) {
         let Some(FencingToken { role, epoch }) = permit.token(now()) else { return };
-        self.ask_leader(json!({"write": {"duty": role, "epoch": epoch, "text": text}})).await;
+        self.send_to_leader(json!({"write": {"duty": role, "epoch": epoch, "text": text}})).await;
     }
 
-    async fn ask_leader(&mut self, asked: Value) -> Option<Reply> {
+    async fn send_to_leader(&mut self, request: Value) -> Option<Reply> {
         let at = self.leader.unwrap_or(self.schedule.next().keeper);
-        let began = now();
-        match self.line.send::<Answered>(self.addresses[at], "/v1/ask", Some(asked)).await {
-            Ok(Answered::Reply(reply)) => {
-                let turn = self.participant.reply_received(began, &reply, now(), &self.terms);
-                turn.into_iter().for_each(|turn| self.turned(turn));
+        let started_at = now();
+        match self.client.send::<AskResponse>(self.addresses[at], "/v1/ask", Some(request)).await {
+            Ok(AskResponse::Reply(reply)) => {
+                let transition = self.participant.reply_received(started_at, &reply, now(), &self.terms);
+                transition.into_iter().for_each(|transition| self.handle_transition(transition));
                 return Some(reply);
             }
-            Ok(Answered::Elsewhere { leader }) => {
-                self.leader = self.place(leader).filter(|leader| *leader != at);
+            Ok(AskResponse::Elsewhere { leader }) => {
+                self.leader = self.keeper_index(leader).filter(|leader| *leader != at);
             }
-            Err(Failed { words, heard }) => {
-                log::debug!("keeper {}: {words}", self.numbers[at]);
+            Err(CallError { message, may_have_arrived }) => {
+                log::debug!("keeper {}: {message}", self.keeper_ids[at]);
                 self.leader = None;
-                if heard {
+                if may_have_arrived {
                     self.participant.call_unanswered();
                 }
             }
@@ -276,8 +284,8 @@
         None
     }
 
-    fn turned(&mut self, turn: Transition) {
-        match turn {
+    fn handle_transition(&mut self, transition: Transition) {
+        match transition {
             Transition::Acquired { epoch } => {
                 log::info!(duty = Roster::NAME, epoch = epoch; "owns");
                 self.roster.acquired(epoch);
@@ -299,59 +307,60 @@
             self.renew_at = Duration::MAX;
             return;
         }
-        let granted = matches!(self.ask(Asked::Renew(epoch)).await, Some(Reply::Granted { .. }));
+        let granted =
+            matches!(self.request_lease(LeaseRequest::Renew(epoch)).await, Some(Reply::Granted { .. }));
         if self.participant.epoch().is_some() {
-            self.renew_at = now() + if granted { self.terms.renewal_interval() } else { AGAIN };
+            self.renew_at = now() + if granted { self.terms.renewal_interval() } else { RENEWAL_RETRY_DELAY };
         }
     }
 
     /// One round as the roster's owner: asks all keepers at once whom they have heard, and writes who is alive. Where
     /// fewer than most of them answer nothing is written, lest those that only the others hear be left out.
-    async fn round(&mut self) {
-        let began = now();
-        self.round_at = began + self.every;
-        let (mut asking, mut seen) = (JoinSet::new(), Vec::new());
+    async fn run_owner_round(&mut self) {
+        let started_at = now();
+        self.round_at = started_at + self.interval;
+        let (mut requests, mut responses) = (JoinSet::new(), Vec::new());
         for address in self.addresses.iter().copied() {
-            let line = self.line.clone();
-            asking.spawn_local(async move { line.send::<LastHeard>(address, "/v1/heard", None).await });
+            let client = self.client.clone();
+            requests.spawn_local(async move { client.send::<LastHeard>(address, "/v1/heard", None).await });
         }
         // The renewal goes first.
-        let until = self.renew_at.saturating_sub(began);
-        let hearing = async {
-            while let Some(heard) = asking.join_next().await {
-                seen.extend(heard.ok().and_then(Result::ok));
+        let time_limit = self.renew_at.saturating_sub(started_at);
+        let collecting = async {
+            while let Some(response) = requests.join_next().await {
+                responses.extend(response.ok().and_then(Result::ok));
             }
         };
-        let _ = timeout(until, hearing).await;
-        if seen.len() * 2 <= self.addresses.len() {
+        let _ = timeout(time_limit, collecting).await;
+        if responses.len() * 2 <= self.addresses.len() {
             return;
         }
-        let Some(text) = self.roster.round(&seen) else { return };
+        let Some(text) = self.roster.round(&responses) else { return };
         if let Some(permit) = self.participant.permit::<Roster>(now()) {
-            self.write(permit, &text).await;
+            self.write_table(permit, &text).await;
         }
     }
 
     /// Tells the decisions how many are alive, where that is new.
-    async fn tell(&mut self) {
-        let alive = self.reader.alive(self.every, now());
-        if alive != self.alive {
-            self.alive = alive;
+    async fn report_gatherer_count(&mut self) {
+        let alive = self.reader.alive(self.interval, now());
+        if alive != self.reported_count {
+            self.reported_count = alive;
             log::info!(alive = alive.unwrap_or_default(); "roster");
             let _ = self.events.send(Event::GathererCount(alive)).await;
         }
     }
 
-    async fn hand_over(&mut self) {
+    async fn release_ownership(&mut self) {
         let Some(epoch) = self.participant.epoch() else { return };
         // First it stops, then it says so.
-        let turn = self.participant.release();
-        self.turned(turn);
-        let giving = async {
-            while self.ask(Asked::Give(epoch)).await.is_none() {
+        let transition = self.participant.release();
+        self.handle_transition(transition);
+        let releasing = async {
+            while self.request_lease(LeaseRequest::Release(epoch)).await.is_none() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let _ = timeout(HAND_OVER, giving).await;
+        let _ = timeout(RELEASE_TIMEOUT, releasing).await;
     }
 }
--- a/crates/gatherer/src/transport/lane.rs
+++ b/crates/gatherer/src/transport/lane.rs
@@ -19,68 +19,68 @@
 use crate::protocol::frame::{self, FrameCodec, FrameError, IncomingFrame, OutgoingFrame, PartCall};
 
 /// Bytes that a buffer keeps between frames; what a longer frame needed is given back.
-const BUFFER_KEPT: usize = 4 * 1024;
+const RETAINED_BUFFER_BYTES: usize = 4 * 1024;
 /// Bytes that are read at once at least, where so many are there.
-const READ_LEAST: usize = 1024;
+const MIN_READ_BYTES: usize = 1024;
 /// What a connection takes while it is open, in bytes: both buffers, its task and its records. An estimate:
 /// what it misses shows as unattributed.
-pub(crate) const LANE_BYTES: u64 = 12 * 1024;
+pub(crate) const SERVER_CONNECTION_BYTES: u64 = 12 * 1024;
 /// What the machine may hold of answers that are not read yet, in bytes: some of the longest frames.
-const RECEIVE_BYTES: u32 = 256 * 1024;
+const RECEIVE_BUFFER_BYTES: u32 = 256 * 1024;
 /// Pause between looks for room for a frame: the decisions take up what is in meanwhile.
-const LOOK: Duration = Duration::from_millis(5);
+const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// A part that waits for its frame to be written.
 #[derive(Clone)]
-pub(crate) struct Queued {
+pub(crate) struct QueuedPart {
     pub id: Arc<str>,
     pub shard: u32,
-    pub text: Arc<str>,
-    pub until: Instant,
+    pub payload: Arc<str>,
+    pub deadline: Instant,
 }
 
-enum Out {
-    Call(Vec<Queued>, Charge),
-    GiveUp(Arc<str>),
+enum QueuedFrame {
+    Call(Vec<QueuedPart>, Charge),
+    Cancel(Arc<str>),
 }
 
 /// What the owner and the task share. The owner bounds what is queued: parts by the connection's
 /// number, each given up once.
 #[derive(Default)]
-pub(crate) struct Lane {
-    outbox: RefCell<VecDeque<Out>>,
+pub(crate) struct ConnectionTask {
+    outbox: RefCell<VecDeque<QueuedFrame>>,
     /// The parts of the frame that is being written.
     writing: RefCell<Vec<Arc<str>>>,
-    news: Notify,
-    closing: Notify,
-    frames: FrameCodec,
+    frame_queued: Notify,
+    close_requested: Notify,
+    codec: FrameCodec,
 }
 
-impl Lane {
+impl ConnectionTask {
     /// Queues a frame, with the room that it takes.
-    pub(crate) fn call(&self, parts: Vec<Queued>, room: Charge) {
-        self.outbox.borrow_mut().push_back(Out::Call(parts, room));
-        self.news.notify_one();
+    pub(crate) fn queue_call(&self, parts: Vec<QueuedPart>, charge: Charge) {
+        self.outbox.borrow_mut().push_back(QueuedFrame::Call(parts, charge));
+        self.frame_queued.notify_one();
     }
 
-    pub(crate) fn give_up(&self, id: Arc<str>) {
-        self.outbox.borrow_mut().push_back(Out::GiveUp(id));
-        self.news.notify_one();
+    pub(crate) fn cancel(&self, id: Arc<str>) {
+        self.outbox.borrow_mut().push_back(QueuedFrame::Cancel(id));
+        self.frame_queued.notify_one();
     }
 
     /// Ends the connection at once, even if nothing can be written; what is out on it is given up.
     pub(crate) fn close(&self) {
-        self.closing.notify_one();
+        self.close_requested.notify_one();
     }
 
     /// Takes a part back whose frame is not begun; false if it is.
     pub(crate) fn withdraw(&self, id: &str) -> bool {
         let mut outbox = self.outbox.borrow_mut();
-        for out in outbox.iter_mut() {
-            let Out::Call(parts, _) = out else { continue };
+        for frame in outbox.iter_mut() {
+            let QueuedFrame::Call(parts, _) = frame else { continue };
             if let Some(at) = parts.iter().position(|p| &*p.id == id) {
                 parts.remove(at);
-                outbox.retain(|out| !matches!(out, Out::Call(parts, _) if parts.is_empty()));
+                outbox.retain(|frame| !matches!(frame, QueuedFrame::Call(parts, _) if parts.is_empty()));
                 return true;
             }
         }
@@ -88,90 +88,91 @@
     }
 
     /// Whether the last byte of a part's frame is still to be written.
-    pub(crate) fn unwritten(&self, id: &str) -> bool {
-        let queued = |out: &Out| matches!(out, Out::Call(parts, _) if parts.iter().any(|p| &*p.id == id));
-        self.outbox.borrow().iter().any(queued) || self.writing.borrow().iter().any(|w| &**w == id)
+    pub(crate) fn is_unwritten(&self, id: &str) -> bool {
+        let has_part = |frame: &QueuedFrame| matches!(frame, QueuedFrame::Call(parts, _) if parts.iter().any(|p| &*p.id == id));
+        self.outbox.borrow().iter().any(has_part) || self.writing.borrow().iter().any(|w| &**w == id)
     }
 
     /// Since when a frame has begun to come that is not whole yet.
-    pub(crate) fn reads_since(&self) -> Option<Instant> {
-        self.frames.partial_since.get()
+    pub(crate) fn partial_since(&self) -> Option<Instant> {
+        self.codec.partial_since.get()
     }
 
     /// The next frame to write, and the room that it takes until it is written.
-    fn next(&self) -> Option<(OutgoingFrame, Option<Charge>)> {
-        let (parts, room) = match self.outbox.borrow_mut().pop_front()? {
-            Out::GiveUp(id) => return Some((OutgoingFrame::Cancel(id), None)),
-            Out::Call(parts, room) => (parts, room),
+    fn next_frame(&self) -> Option<(OutgoingFrame, Option<Charge>)> {
+        let (parts, charge) = match self.outbox.borrow_mut().pop_front()? {
+            QueuedFrame::Cancel(id) => return Some((OutgoingFrame::Cancel(id), None)),
+            QueuedFrame::Call(parts, charge) => (parts, charge),
         };
         *self.writing.borrow_mut() = parts.iter().map(|p| p.id.clone()).collect();
         let now = Instant::now();
-        let wait = |p: &Queued| (p.until.saturating_duration_since(now).as_millis() as u64).max(1);
-        let part = |p: Queued| PartCall { timeout_ms: wait(&p), id: p.id, shard: p.shard, payload: p.text };
-        Some((OutgoingFrame::Call(parts.into_iter().map(part).collect()), Some(room)))
+        let wait = |p: &QueuedPart| (p.deadline.saturating_duration_since(now).as_millis() as u64).max(1);
+        let part =
+            |p: QueuedPart| PartCall { timeout_ms: wait(&p), id: p.id, shard: p.shard, payload: p.payload };
+        Some((OutgoingFrame::Call(parts.into_iter().map(part).collect()), Some(charge)))
     }
 
     /// Takes room for a frame that comes, and waits for it where there will be some. Meanwhile nothing is read,
     /// which is no fault of the server's.
-    async fn room(&self, length: u64, ledger: &Ledger) -> Result<Charge, FrameError> {
+    async fn reserve_memory(&self, length: u64, ledger: &Ledger) -> Result<Charge, FrameError> {
         loop {
-            if let Ok(room) = ledger.take(Purpose::Frames, None, length) {
-                return Ok(room);
+            if let Ok(charge) = ledger.take(Purpose::Frames, None, length) {
+                return Ok(charge);
             }
             if length > ledger.limits().of(Purpose::Frames).cap {
                 return Err(FrameError::MemoryLimit);
             }
-            self.frames.partial_since.set(None);
-            sleep(LOOK).await;
+            self.codec.partial_since.set(None);
+            sleep(MEMORY_RETRY_DELAY).await;
         }
     }
 
-    async fn work(
-        &self, number: u64, address: SocketAddr, dial_limit: Duration, events: &mpsc::Sender<Event>,
+    async fn connect_and_exchange(
+        &self, number: u64, address: SocketAddr, dial_timeout: Duration, events: &mpsc::Sender<Event>,
         ledger: &Ledger,
     ) -> Result<(), FrameError> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        socket.set_recv_buffer_size(RECEIVE_BYTES)?;
-        let dialled = timeout(dial_limit, socket.connect(address)).await;
-        let stream = dialled.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
+        socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
+        let connected = timeout(dial_timeout, socket.connect(address)).await;
+        let stream = connected.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
         let _ = events.send(Event::Connected(number)).await;
-        self.talk(stream, number, address, events, ledger).await
+        self.exchange_frames(stream, number, address, events, ledger).await
     }
 
-    async fn talk(
+    async fn exchange_frames(
         &self, stream: impl AsyncRead + AsyncWrite, number: u64, address: SocketAddr,
         events: &mpsc::Sender<Event>, ledger: &Ledger,
     ) -> Result<(), FrameError> {
         let (mut read, mut write) = tokio::io::split(stream);
         let reading = async {
-            let (mut frames, mut bytes) = (self.frames.clone(), BytesMut::new());
-            let mut room = None;
+            let (mut codec, mut bytes) = (self.codec.clone(), BytesMut::new());
+            let mut charge = None;
             loop {
                 // What comes is held by others from here on, so room is taken before it is whole.
-                if let (Some(length), None) = (frame::expected_frame_bytes(&bytes), &room) {
-                    room = Some(self.room(length as u64, ledger).await?);
+                if let (Some(length), None) = (frame::expected_frame_bytes(&bytes), &charge) {
+                    charge = Some(self.reserve_memory(length as u64, ledger).await?);
                 }
-                let Some(got) = frames.decode(&mut bytes)? else {
-                    if bytes.capacity() - bytes.len() < READ_LEAST {
-                        bytes.reserve(BUFFER_KEPT);
+                let Some(incoming) = codec.decode(&mut bytes)? else {
+                    if bytes.capacity() - bytes.len() < MIN_READ_BYTES {
+                        bytes.reserve(RETAINED_BUFFER_BYTES);
                     }
                     if read.read_buf(&mut bytes).await? == 0 {
                         return Ok(());
                     }
                     continue;
                 };
-                if bytes.is_empty() && bytes.capacity() > 2 * BUFFER_KEPT {
+                if bytes.is_empty() && bytes.capacity() > 2 * RETAINED_BUFFER_BYTES {
                     bytes = BytesMut::new();
                 }
-                match (got, room.take()) {
-                    (IncomingFrame::Answer { id, status, value }, Some(room)) => {
+                match (incoming, charge.take()) {
+                    (IncomingFrame::Answer { id, status, value }, Some(charge)) => {
                         let _ = events
-                            .send(Event::CallAnswered { connection: number, id, status, value, charge: room })
+                            .send(Event::CallAnswered { connection: number, id, status, value, charge })
                             .await;
                     }
-                    (IncomingFrame::ProtocolError(words), _) => {
-                        log::warn!("{address} could not use a frame: {words:?}");
+                    (IncomingFrame::ProtocolError(message), _) => {
+                        log::warn!("{address} could not use a frame: {message:?}");
                         return Err(FrameError::Malformed("frame not usable"));
                     }
                     (IncomingFrame::Answer { .. }, None) => {
@@ -181,37 +182,37 @@
             }
         };
         let writing = async {
-            let (mut frames, mut bytes) = (self.frames.clone(), BytesMut::new());
+            let (mut codec, mut bytes) = (self.codec.clone(), BytesMut::new());
             loop {
-                while let Some((frame, _room)) = self.next() {
-                    frames.encode(frame, &mut bytes)?;
+                while let Some((frame, _charge)) = self.next_frame() {
+                    codec.encode(frame, &mut bytes)?;
                     write.write_all_buf(&mut bytes).await?;
                     self.writing.borrow_mut().clear();
-                    if bytes.capacity() > BUFFER_KEPT {
+                    if bytes.capacity() > RETAINED_BUFFER_BYTES {
                         bytes = BytesMut::new();
                     }
                 }
-                self.news.notified().await;
+                self.frame_queued.notified().await;
             }
         };
         tokio::select! {
-            ended = reading => ended,
-            ended = writing => ended,
-            () = self.closing.notified() => Ok(()),
+            result = reading => result,
+            result = writing => result,
+            () = self.close_requested.notified() => Ok(()),
         }
     }
 
     pub(crate) async fn run(
-        self: Rc<Self>, number: u64, address: SocketAddr, dial_limit: Duration, events: mpsc::Sender<Event>,
-        ledger: Ledger,
+        self: Rc<Self>, number: u64, address: SocketAddr, dial_timeout: Duration,
+        events: mpsc::Sender<Event>, ledger: Ledger,
     ) {
-        match self.work(number, address, dial_limit, &events, &ledger).await {
+        match self.connect_and_exchange(number, address, dial_timeout, &events, &ledger).await {
             Ok(()) => {}
             Err(FrameError::Io(e)) => log::debug!("connection to {address}: {e}"),
             Err(FrameError::MemoryLimit) => {
                 log::warn!("connection to {address} dropped: no room for a frame this long")
             }
-            Err(FrameError::Malformed(what)) => log::warn!("connection to {address} dropped: {what}"),
+            Err(FrameError::Malformed(reason)) => log::warn!("connection to {address} dropped: {reason}"),
         }
         let _ = events.send(Event::Disconnected(number)).await;
     }
@@ -229,18 +230,23 @@
         Ledger::new(Limits::of_memory(32 << 20), &[])
     }
 
-    fn room() -> Charge {
+    fn reserve_memory() -> Charge {
         ledger().take(Purpose::Calls, None, 1).expect("room")
     }
 
     /// A connection that takes so many bytes of a frame and then breaks: is the part unwritten?
-    async fn unwritten_after(bytes: usize) -> bool {
-        let lane = Lane::default();
-        let part = Queued { id: "a.1".into(), shard: 1, text: "c".repeat(200).into(), until: Instant::now() };
-        lane.call(vec![part], room());
+    async fn is_unwritten_after(bytes: usize) -> bool {
+        let task = ConnectionTask::default();
+        let part = QueuedPart {
+            id: "a.1".into(),
+            shard: 1,
+            payload: "c".repeat(200).into(),
+            deadline: Instant::now(),
+        };
+        task.queue_call(vec![part], reserve_memory());
         let (ours, mut theirs) = tokio::io::duplex(1);
         let (events, _inbox) = mpsc::channel(1);
-        let breaking = async {
+        let disconnecting = async {
             let mut taken = vec![0; bytes];
             theirs.read_exact(&mut taken).await.expect("so much is written");
             tokio::task::yield_now().await;
@@ -248,8 +254,8 @@
             std::future::pending::<()>().await
         };
         let (address, ledger) = (([127, 0, 0, 1], 1).into(), ledger());
-        tokio::select! { _ = lane.talk(ours, 1, address, &events, &ledger) => {}, () = breaking => {} }
-        lane.unwritten("a.1")
+        tokio::select! { _ = task.exchange_frames(ours, 1, address, &events, &ledger) => {}, () = disconnecting => {} }
+        task.is_unwritten("a.1")
     }
 
     /// Guards against a part that may have run and counts as never sent, and the other way round.
@@ -257,23 +263,24 @@
     async fn a_part_is_written_with_the_last_byte_of_its_frame_and_not_before() {
         let frame = 4 + "Sa.1 1 d=1 200\n".len() + 200;
         for bytes in [0, 1, frame - 2] {
-            assert!(unwritten_after(bytes).await, "{bytes} of {frame} bytes");
+            assert!(is_unwritten_after(bytes).await, "{bytes} of {frame} bytes");
         }
-        assert!(!unwritten_after(frame).await);
+        assert!(!is_unwritten_after(frame).await);
     }
 
     #[test]
     fn a_part_can_be_withdrawn_until_its_frame_is_begun() {
-        let lane = Lane::default();
-        let part = |id: &str| Queued { id: id.into(), shard: 1, text: "c".into(), until: Instant::now() };
-        lane.call(vec![part("a.1"), part("a.2")], room());
-        assert!(lane.withdraw("a.1") && !lane.withdraw("a.1"));
+        let task = ConnectionTask::default();
+        let part =
+            |id: &str| QueuedPart { id: id.into(), shard: 1, payload: "c".into(), deadline: Instant::now() };
+        task.queue_call(vec![part("a.1"), part("a.2")], reserve_memory());
+        assert!(task.withdraw("a.1") && !task.withdraw("a.1"));
         assert!(matches!(
-            lane.next(),
+            task.next_frame(),
             Some((OutgoingFrame::Call(parts), _)) if parts.len() == 1 && &*parts[0].id == "a.2"
         ));
-        assert!(!lane.withdraw("a.2") && lane.unwritten("a.2"));
-        lane.call(vec![part("a.3")], room());
-        assert!(lane.withdraw("a.3") && lane.next().is_none(), "no empty frame is left");
+        assert!(!task.withdraw("a.2") && task.is_unwritten("a.2"));
+        task.queue_call(vec![part("a.3")], reserve_memory());
+        assert!(task.withdraw("a.3") && task.next_frame().is_none(), "no empty frame is left");
     }
 }
