--- a/crates/gatherer/src/live.rs
+++ b/crates/gatherer/src/live.rs
@@ -1,4 +1,4 @@
-//! What the allocator has given out, counted by a library around the system's own allocator.
+//! The global allocator: the system's allocator, wrapped to count allocated bytes.
 
 use std::alloc::System;
 
@@ -7,7 +7,7 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Bytes that are allocated and not freed.
+/// Returns the number of bytes that are allocated and not freed.
 pub(crate) fn allocated_bytes() -> u64 {
     ALLOCATOR.allocated() as u64
 }
--- a/crates/gatherer/src/log_lines.rs
+++ b/crates/gatherer/src/log_lines.rs
@@ -1,7 +1,7 @@
-//! Structured log lines on standard error, as text or JSON. They are bounded in rate, so that nothing from
-//! outside can flood it, and in the memory that waiting lines take. A line is written only where that takes no
-//! waiting, so that a reader that stands still holds up no query. No thread is kept for it: with a second one
-//! every call to the machine costs more.
+//! Structured log lines on standard error, as text or JSON. Their rate is limited, so that external input
+//! cannot flood the log, and so is the memory of queued lines. A line is written only if that does not block,
+//! so that a stalled reader delays no query. There is no separate writer thread, because system calls are
+//! slower in a process with more than one thread.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -14,19 +14,22 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-/// Lines a second at the most, unless the settings say otherwise; what is left out is counted.
+/// Maximum number of lines per second unless the settings state another. Dropped lines are counted.
 const DEFAULT_LINES_PER_SECOND: u32 = 50;
-/// Characters of a line's words, and of each value, at the most: some come from outside.
+/// Maximum length of a line's message and of each value. Longer ones, which may be external input, are
+/// truncated.
 const MAX_TEXT_CHARS: usize = 400;
-/// Bytes that a pipe takes at once where it takes any: longer lines are left out.
+/// Maximum length of a line: the number of bytes that a pipe accepts without blocking if it is writable.
+/// Longer lines are dropped.
 const MAX_LINE_BYTES: usize = 4096;
-/// How often lines that wait are looked at again.
+/// Interval between attempts to write queued lines.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the program's end waits for lines that are still to be written.
+/// Maximum time that the exit waits for queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between looks for that.
+/// Interval between attempts to write queued lines at the exit.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
+/// The number of lines in the current second, for the rate limit.
 struct RateWindow {
     started_at: Instant,
     written: u32,
@@ -44,7 +47,7 @@
 
 static LOGGER: OnceLock<Logger> = OnceLock::new();
 
-/// Keys and values of a record, as text or as members of a JSON object.
+/// Formats the keys and values of a record, as text or as members of a JSON object.
 struct Pairs<'a> {
     out: &'a mut String,
     as_json: bool,
@@ -74,7 +77,7 @@
 }
 
 impl Logger {
-    /// Lets a record's line wait to be written, with a line on those left out before it.
+    /// Queues the line of a record. If lines were dropped before it, another line states how many.
     fn log_record(&self, record: &Record<'_>) {
         let as_json = self.as_json.load(Ordering::Relaxed);
         if !self.within_rate_limit() || !self.enqueue(self.line(record, as_json)) {
@@ -83,7 +86,8 @@
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            let (args, count) = (format_args!("lines were left out"), [("lines", dropped)]);
+            let (args, count) =
+                (format_args!("lines dropped: rate or memory limit reached"), [("lines", dropped)]);
             let mut record = Record::builder();
             let record = record.level(log::Level::Warn).args(args).key_values(&count).build();
             if !self.enqueue(self.line(&record, as_json)) {
@@ -92,7 +96,7 @@
         }
     }
 
-    /// A record as a line. What is in it from outside stays on its line.
+    /// Formats a record as one line. Line breaks in its message and values are escaped.
     fn line(&self, record: &Record<'_>, as_json: bool) -> String {
         let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         let message = truncate(&record.args().to_string());
@@ -109,7 +113,7 @@
         out
     }
 
-    /// Whether one more line may be written in this second.
+    /// Counts a line, and returns whether the rate limit allows it.
     fn within_rate_limit(&self) -> bool {
         let mut rate_window = self.rate_window.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -124,7 +128,7 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets a line wait to be written; false if there is no room for it.
+    /// Queues a line. Returns false if it is too long or there is no memory for it.
     fn enqueue(&self, line: String) -> bool {
         let Ok(charge) = self.ledger.take(Purpose::Logs, None, line.capacity() as u64) else { return false };
         let fits = line.len() <= MAX_LINE_BYTES;
@@ -132,7 +136,7 @@
         fits
     }
 
-    /// Writes what waits, as far as that is taken at once.
+    /// Writes queued lines for as long as that does not block.
     fn write_queued(&self, is_writable: impl Fn() -> bool, out: &mut impl std::io::Write) {
         let mut queue = self.lock_queue();
         while !queue.is_empty() && is_writable() {
@@ -142,7 +146,7 @@
     }
 }
 
-/// Whether standard error takes a line without waiting.
+/// Whether a write to standard error does not block.
 fn is_writable() -> bool {
     let err = std::io::stderr();
     let mut polled = [PollFd::new(&err, PollFlags::OUT)];
@@ -174,7 +178,7 @@
     }
 }
 
-/// Starts writing. Before it nothing is written.
+/// Installs the logger. Earlier log lines are discarded.
 pub(crate) fn start(name: &str, level: LevelFilter, settings: &LogSettings, ledger: Ledger) {
     let rate_window = Mutex::new(RateWindow { started_at: Instant::now(), written: 0 });
     let name = name.to_owned();
@@ -186,14 +190,14 @@
     }
 }
 
-/// Writes lines that had to wait, as far as that is taken now.
+/// Writes queued lines for as long as that does not block.
 pub(crate) fn write_queued_lines() {
     if let Some(logger) = LOGGER.get() {
         logger.write_queued(is_writable, &mut std::io::stderr());
     }
 }
 
-/// Takes over settings, at the start and at a reload.
+/// Applies settings, at start and at each reload.
 pub(crate) fn apply_settings(settings: &LogSettings) {
     let Some(logger) = LOGGER.get() else { return };
     logger.as_json.store(settings.form.unwrap_or_default() == LogForm::Json, Ordering::Relaxed);
@@ -219,12 +223,12 @@
         }
     }
 
-    /// What is written once so many lines are taken.
+    /// Returns what the logger writes while standard error accepts `lines` lines.
     fn write_lines(logger: &Logger, lines: usize) -> Vec<String> {
         let (remaining, mut out) = (std::cell::Cell::new(lines), Vec::new());
         let is_writable = || remaining.replace(remaining.get().saturating_sub(1)) > 0;
         logger.write_queued(is_writable, &mut out);
-        let text = String::from_utf8(out).expect("text");
+        let text = String::from_utf8(out).expect("log lines are UTF-8");
         text.split_inclusive('\n').map(str::to_owned).collect()
     }
 
@@ -241,20 +245,20 @@
         );
     }
 
-    /// Guards against a flood of faults that takes memory while nobody reads the lines.
+    /// Guards against memory growth from a flood of log lines that nobody reads.
     #[test]
     fn a_hundred_thousand_lines_in_a_row_stay_within_their_cap_and_are_counted() {
         let logger = logger(u32::MAX, false);
         let cap = logger.ledger.limits().of(Purpose::Logs).cap;
         for _ in 0..100_000 {
-            log_message(&logger, "something from outside went wrong once more");
+            log_message(&logger, "an external request failed");
         }
         let queued_bytes = logger.ledger.open(Purpose::Logs);
         assert!(queued_bytes <= cap && queued_bytes > cap / 2, "{queued_bytes} of {cap}");
-        assert_eq!(write_lines(&logger, 1).len(), 1, "no more is written than is taken");
+        assert_eq!(write_lines(&logger, 1).len(), 1, "only the accepted lines are written");
         let kept = 1 + write_lines(&logger, usize::MAX).len() as u64;
         assert_eq!(kept + logger.dropped.load(Ordering::Relaxed), 100_000);
-        assert_eq!(logger.ledger.open(Purpose::Logs), 0, "what is written is given back");
+        assert_eq!(logger.ledger.open(Purpose::Logs), 0, "the memory of written lines is released");
         log_message(&logger, "the next");
         let next = write_lines(&logger, 2);
         assert!(next[0].contains("the next") && next[1].contains(&format!("lines={}", 100_000 - kept)));
@@ -270,7 +274,7 @@
         let json = logger(10, true);
         log_message(&json, &"x\ny".repeat(1000));
         let line = write_lines(&json, 1).remove(0);
-        let read: serde_json::Value = serde_json::from_str(&line).expect("JSON");
+        let read: serde_json::Value = serde_json::from_str(&line).expect("the line is JSON");
         assert!(line.len() < 3000 && line.ends_with("}\n") && line.lines().count() == 1);
         assert!(read["server"].as_str().is_some_and(|v| v.starts_with("x\ny")) && read["level"] == "WARN");
     }
--- a/crates/gatherer/src/main.rs
+++ b/crates/gatherer/src/main.rs
@@ -1,4 +1,5 @@
-//! ashvane, the gatherer: takes clients' queries, asks shard servers for their parts, answers.
+//! ashvane, the gatherer: receives queries from clients, requests their parts from shard servers, and
+//! answers.
 
 mod live;
 mod log_lines;
@@ -30,17 +31,19 @@
 SIGUSR1 logs what memory is used for. docs/memory.md has the settings.
 ";
 
-/// Memory that a settings file is checked for where nothing says how much there is, in MB.
+/// Memory that a settings file is checked against if neither the command line nor the configuration states
+/// it.
 const DEFAULT_MEMORY_MB: u64 = 192;
 
+/// Loads the configuration and runs the program.
 fn serve(level: log::LevelFilter, settings: Option<String>, as_json: bool) -> Result<(), String> {
     let path = std::env::var("GW_CONFIG");
-    let path = path.map_err(|_| "GW_CONFIG is not set: it names the configuration file")?;
+    let path = path.map_err(|_| "GW_CONFIG is not set; it must name the configuration file")?;
     let config = protocol::config::load(&path, false)?;
     Program::run(config, Files { config: path, settings }, level, as_json)
 }
 
-/// Checks a settings file, for the memory that is stated, else for that of the configuration.
+/// Checks a settings file, for `memory` bytes if given, else for the memory in the configuration.
 fn check(file: &str, memory: Option<u64>) -> Result<(), String> {
     let configured = || {
         let config = protocol::config::load(&std::env::var("GW_CONFIG").ok()?, false).ok()?;
@@ -54,11 +57,12 @@
         }
         faults => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            Err(format!("{} faults in {file}", faults.len()))
+            Err(format!("{file} has {} faults", faults.len()))
         }
     }
 }
 
+/// Parses the command line and runs the command.
 fn run_command() -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
@@ -77,12 +81,12 @@
     let as_json = match form.as_deref() {
         None | Some("text") => false,
         Some("json") => true,
-        Some(other) => return Err(format!("--log-form {other:?} is not text or json")),
+        Some(other) => return Err(format!("--log-form {other:?} is neither text nor json")),
     };
     match command.as_deref() {
         Some("serve") => serve(level.unwrap_or(log::LevelFilter::Info), settings, as_json),
         Some("check") => {
-            let file = settings.ok_or("check needs --settings FILE")?;
+            let file = settings.ok_or("check requires --settings FILE")?;
             check(&file, memory_mb.map(|mb| mb << 20))
         }
         Some("version") => {
--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program from start to exit, as named phases of one object.
+//! The program from start to exit: start, readiness, reload and graceful shutdown.
 
 mod own;
 
@@ -28,28 +28,32 @@
 use crate::transport::lane::SERVER_CONNECTION_BYTES;
 use crate::{live, log_lines};
 
-/// Events that may wait for the decisions; past it, handlers and connections wait.
+/// Capacity of the queue of events for routing. Handlers and connections wait while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 256;
-/// Descriptors for all but clients and shard servers: standard streams, the runtime, discovery, the listener.
+/// Number of descriptors for everything but connections to clients and shard servers: standard streams, the
+/// runtime, discovery and the listeners.
 const RESERVED_SOCKETS: usize = 64;
-/// New connections count as having stopped once none has come for so long: they come for up to 0.4 s.
+/// Time without new connections after which clients count as having moved elsewhere. They may connect for up
+/// to 0.4 s after the signal to end.
 const QUIET_PERIOD: Duration = Duration::from_millis(600);
-/// How often an ending program looks whether it is done.
+/// Interval of the check whether all clients have disconnected.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest deadline counts as this where it is longer.
+/// Maximum query timeout that the shutdown waits for.
 const MAX_QUERY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Beyond the longest deadline, what is open is given up; a program is killed no sooner than 0.7 s beyond it.
+/// Time beyond the longest query timeout after which open queries are aborted. The program may be killed 0.7
+/// s beyond that timeout, and not earlier.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
-/// Share of the time until then in which clients are served on as before: perhaps nobody else is there.
+/// Ratio of the draining phase to the whole shutdown. Clients are served as usual in it, because there may be
+/// no other gatherer yet.
 const DRAINING_RATIO: f64 = 0.6;
-/// Time for the last answers to be written.
+/// Time for writing the last answers.
 const FINAL_WRITE_DELAY: Duration = Duration::from_millis(100);
 
-/// The files that the program starts from and reads again when it is told to.
+/// Paths of the files that the program reads at start and at each reload.
 pub(crate) struct Files {
-    /// What the platform tells it.
+    /// The configuration file, written by the platform.
     pub config: String,
-    /// Our own settings, where there are any.
+    /// The settings file, if one is given.
     pub settings: Option<String>,
 }
 
@@ -62,7 +66,7 @@
 
 impl Signals {
     fn listen() -> Result<Signals, String> {
-        let listen = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
+        let listen = |kind| signal(kind).map_err(|e| format!("cannot install the signal handlers: {e}"));
         Ok(Signals {
             hangup: listen(SignalKind::hangup())?,
             terminate: listen(SignalKind::terminate())?,
@@ -72,15 +76,16 @@
     }
 }
 
-/// The admin listener, where there is one.
+/// Address and task of the admin listener, if there is one.
 type AdminTask = Option<(SocketAddr, JoinHandle<()>)>;
 
+/// The running program.
 pub(crate) struct Program {
     config: Config,
     files: Files,
-    /// The keepers that it talks with, until its end.
+    /// Settings of the keepers, which only a restart changes.
     fleet: Option<FleetSettings>,
-    /// Whether log lines are JSON where the settings don't say.
+    /// Whether log lines are JSON if the settings file does not state the form.
     as_json: bool,
     ledger: Ledger,
     admin: RefCell<AdminTask>,
@@ -88,34 +93,35 @@
     discovery: watch::Sender<SocketAddr>,
     clients: Rc<ClientSlots>,
     events: mpsc::Sender<Event>,
-    /// Once told to end, it ends after this at the latest.
+    /// Time after the signal to end at which open queries are aborted.
     shutdown_timeout: Duration,
 }
 
 fn runtime() -> Result<Runtime, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("no runtime: {e}"))
+    runtime.map_err(|e| format!("cannot start the async runtime: {e}"))
 }
 
-/// All faults of a settings file, one to a line.
+/// Formats the faults of a settings file, one per line.
 fn format_faults(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 impl Program {
-    /// Runs until told to end and done, or until it cannot start.
+    /// Runs the program until its graceful shutdown is complete. Fails if it cannot start.
     pub(crate) fn run(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
         LocalSet::new().block_on(&runtime()?, Self::serve(config, files, level, as_json))
     }
 
-    /// All faults of a settings file for a program that may take so much memory.
+    /// Returns all faults of a settings file, for a program with `memory` bytes of memory.
     pub(crate) fn check(file: &str, memory: u64) -> Result<Vec<Fault>, String> {
         Ok(runtime()?.block_on(own::load(file, memory)).err().unwrap_or_default())
     }
 
+    /// Loads the settings file, or the defaults if there is none.
     async fn load_settings(files: &Files, as_json: bool, memory: u64) -> Result<Settings, Vec<Fault>> {
         let mut settings = match &files.settings {
             Some(file) => own::load(file, memory).await?,
@@ -130,14 +136,15 @@
         TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
     }
 
-    /// The room that there is for each purpose, and for each tenant by its rate.
+    /// Creates the ledger: a memory limit for each purpose, divided among the tenants by their rates.
     fn create_ledger(config: &Config, settings: &Settings) -> Ledger {
         let limits = settings.limits(config.memory_mb << 20);
         let (names, rates) = (config.network.tenants.iter(), config.settings.tenant_rates.iter());
         Ledger::new(limits, &names.cloned().zip(rates.copied()).collect::<Vec<_>>())
     }
 
-    /// How many clients, and as many connections to servers, descriptors and memory leave room for.
+    /// Returns the maximum number of client connections. The number of connections to servers has the same
+    /// limit, and descriptors and memory suffice for both.
     fn max_clients(config: &Config, ledger: &Ledger) -> usize {
         let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let memory_slots = ledger.limits().of(Purpose::Connections).cap
@@ -149,6 +156,7 @@
         clippy::too_many_lines,
         reason = "not done yet: The path of a request reads as well as it works"
     )]
+    /// Starts all tasks, and runs until the graceful shutdown is complete.
     async fn serve(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
@@ -168,8 +176,9 @@
         let (discovery, address) = watch::channel(config.discovery);
         let max_clients = Self::max_clients(&config, &ledger);
         log::info!(
-            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb, clients = max_clients;
-            "starts, with as many connections to servers as to clients"
+            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb,
+            clients = max_clients;
+            "starting; at most as many connections to servers as to clients"
         );
         let clients = Rc::new(ClientSlots::new(max_clients, ledger.clone()));
         let network = Arc::new(config.network.clone());
@@ -233,13 +242,18 @@
             tokio::select! { _ = signals.terminate.recv() => {}, _ = signals.interrupt.recv() => {} }
         };
         let serving = async {
-            tokio::select! { () = terminated => {}, () = program.track_readiness(is_ready, &first_list_received) => {} }
+            tokio::select! {
+                () = terminated => {},
+                () = program.track_readiness(is_ready, &first_list_received) => {}
+            }
             program.shut_down().await;
         };
         let reloading = async {
             while signals.hangup.recv().await.is_some() {
                 if let Err(message) = program.reload().await {
-                    message.lines().for_each(|line| log::error!("not reloaded: {line}"));
+                    message
+                        .lines()
+                        .for_each(|line| log::error!("reload failed, keeping the current settings: {line}"));
                 }
             }
         };
@@ -250,14 +264,14 @@
         };
         tokio::select! {
             () = serving => Ok(()),
-            _ = routing_task => Err("the decisions stopped".into()),
-            () = reloading => Err("no signals".into()),
-            () = reporting => Err("no signals".into()),
+            _ = routing_task => Err("the routing task ended unexpectedly".into()),
+            () = reloading => Err("SIGHUP can no longer be received".into()),
+            () = reporting => Err("SIGUSR1 can no longer be received".into()),
         }
     }
 
-    /// A listener for what settings newly say; none where they leave it as it is. The inner one is none where
-    /// there is to be no listener any more.
+    /// Binds the admin listener if its address in the settings has changed. Returns `None` if it has not, and
+    /// `Some(None)` if the settings no longer state one.
     async fn admin_listener(&self, settings: &Settings) -> Result<Option<Option<TcpListener>>, String> {
         if settings.admin == self.admin.borrow().as_ref().map(|(address, _)| *address) {
             return Ok(None);
@@ -268,12 +282,12 @@
         }
     }
 
-    /// Goes over to a newer admin listener, if there is one.
+    /// Replaces the admin listener as [`Program::admin_listener`] determined.
     fn replace_admin_listener(&self, replacement: Option<Option<TcpListener>>) {
         let Some(replacement) = replacement else { return };
         let task = replacement.and_then(|listener| {
             let address = listener.local_addr().ok()?;
-            log::info!(listen:% = address; "the admin listener is up");
+            log::info!(listen:% = address; "admin listener started");
             let admin = Admin { ledger: self.ledger.clone(), allocated_bytes: live::allocated_bytes };
             Some((address, spawn_local(Arc::new(admin).run(listener))))
         });
@@ -282,7 +296,7 @@
         }
     }
 
-    /// Logs what memory is used for.
+    /// Logs the memory use by purpose.
     fn log_memory_report(&self) {
         let table = self.ledger.table(live::allocated_bytes());
         log::info!(
@@ -298,7 +312,7 @@
         }
     }
 
-    /// Becomes ready with the first ready server, and again each time that a reload is done.
+    /// Enters the ready phase when a list has a ready server for the first time, and again after each reload.
     async fn track_readiness(&self, is_ready: oneshot::Receiver<()>, first_list_received: &Notify) {
         if is_ready.await.is_ok() {
             self.enter_phase(Phase::Ready);
@@ -311,8 +325,8 @@
         }
     }
 
-    /// Reads both files anew and takes them over: the discovery that the one names, our own settings from the
-    /// other. In trouble all stays as it is.
+    /// Reads both files again, and applies the address of discovery from the configuration and all of the
+    /// settings file. If either file is invalid, nothing changes.
     async fn reload(&self) -> Result<(), String> {
         let reloaded = config::load(&self.files.config, true)?;
         let memory = self.config.memory_mb << 20;
@@ -325,12 +339,15 @@
             restart_only.push("fleet");
         }
         if !restart_only.is_empty() {
-            log::warn!("only a restart takes over what is new in {}", restart_only.join(", "));
+            log::warn!(
+                "changes to these settings need a restart and are ignored: {}",
+                restart_only.join(", ")
+            );
         }
         self.ledger.limit(settings.limits(memory));
         log_lines::apply_settings(&settings.log);
         self.replace_admin_listener(admin);
-        log::info!(discovery:% = reloaded.discovery; "reloaded");
+        log::info!(discovery:% = reloaded.discovery; "configuration reloaded");
         if *self.phase.borrow() == Phase::Ready {
             self.enter_phase(Phase::Reloading);
         }
@@ -338,12 +355,14 @@
         Ok(())
     }
 
+    /// Enters a phase.
     fn enter_phase(&self, phase: Phase) {
-        log::info!(phase:? = phase, clients = self.clients.open_count(); "goes on");
+        log::info!(phase:? = phase, clients = self.clients.open_count(); "entering phase");
         self.phase.send_replace(phase);
     }
 
-    /// Ends: serves on as long as that leaves time to answer what is open, then sends its clients away.
+    /// Shuts down gracefully. Clients are served as usual in the draining phase, and are then asked to
+    /// reconnect elsewhere. Queries that are still open after `shutdown_timeout` are aborted.
     async fn shut_down(&self) {
         let signalled_at = Instant::now();
         let is_drained = || {
@@ -360,12 +379,12 @@
         }
         if self.clients.open_count() > 0 {
             log::warn!(
-                "{} clients are still connected: what they wait for is given up",
+                "aborting all open queries: {} clients are still connected at the end of the shutdown",
                 self.clients.open_count()
             );
             let _ = self.events.send(Event::ShuttingDown).await;
             sleep(FINAL_WRITE_DELAY).await;
         }
-        log::info!("ends");
+        log::info!("shutdown complete");
     }
 }
--- a/crates/gatherer/src/program/own.rs
+++ b/crates/gatherer/src/program/own.rs
@@ -1,5 +1,5 @@
-//! Our own settings file. It is evaluated by a process of its own, which is bounded in time and memory and whose
-//! end harms nobody; the program takes over typed values or nothing.
+//! The settings file. A separate process with bounded time and memory evaluates it, so that a crash of the
+//! evaluation does not affect the program. The result is the typed settings or a list of faults.
 
 use std::process::Stdio;
 use std::time::Duration;
@@ -9,18 +9,19 @@
 use tokio::process::Command;
 use tokio::time::timeout;
 
-/// The program that evaluates; it stands beside this one.
+/// Name of the evaluator's executable, which is in the same directory as this program's.
 const EVALUATOR: &str = "ashvane-script";
-/// Time in which a script must be evaluated: it takes some milliseconds.
+/// Maximum time for the evaluation, which usually takes a few milliseconds.
 const EVALUATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest result that is read, in bytes.
+/// Maximum length of the evaluator's output.
 const MAX_RESULT_BYTES: u64 = 1 << 20;
 
+/// Returns a fault of the file as a whole.
 fn file_fault(file: &str, words: String) -> Vec<Fault> {
     vec![Fault { file: file.to_owned(), line: 0, key: String::new(), words }]
 }
 
-/// Evaluates a file for a program that may take so many bytes, in a process of its own.
+/// Evaluates a settings file in a separate process, for a program with `memory` bytes of memory.
 pub(super) async fn load(file: &str, memory: u64) -> Result<Settings, Vec<Fault>> {
     let evaluating = async {
         let mut command = Command::new(std::env::current_exe()?.with_file_name(EVALUATOR));
@@ -35,12 +36,16 @@
     };
     let (status, text) = match timeout(EVALUATION_TIMEOUT, evaluating).await {
         Ok(Ok(result)) => result,
-        Ok(Err(e)) => return Err(file_fault(file, format!("{EVALUATOR} could not evaluate it: {e}"))),
-        Err(_) => return Err(file_fault(file, format!("not evaluated within {EVALUATION_TIMEOUT:?}"))),
+        Ok(Err(e)) => {
+            return Err(file_fault(file, format!("cannot run {EVALUATOR} to evaluate the settings: {e}")));
+        }
+        Err(_) => {
+            return Err(file_fault(file, format!("evaluation not finished within {EVALUATION_TIMEOUT:?}")));
+        }
     };
     match serde_json::from_slice(&text) {
         Ok(Evaluated::Settings(settings)) => Ok(settings),
         Ok(Evaluated::Faults(faults)) => Err(faults),
-        Err(_) => Err(file_fault(file, format!("takes more memory or stack than it may ({status})"))),
+        Err(_) => Err(file_fault(file, format!("evaluation exceeded its memory or stack limit ({status})"))),
     }
 }
--- a/crates/gatherer/src/transport/admin.rs
+++ b/crates/gatherer/src/transport/admin.rs
@@ -1,5 +1,6 @@
-//! The admin listener: what the program's memory is used for, as JSON and as metrics. Off unless the settings
-//! name a loopback address for it. It takes nothing from any purpose, so that it answers while all are full.
+//! The admin listener, which reports memory use by purpose as JSON and as metrics. It is off unless the
+//! settings state a loopback address for it. It charges no purpose, so that it answers even if all caps are
+//! reached.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,20 +24,22 @@
 
 use crate::protocol::query;
 
-/// Connections at once: an operator and a scraper or two. Their descriptors are among those set apart.
+/// Maximum number of open connections: an operator and one or two scrapers. Their descriptors are part of
+/// `RESERVED_SOCKETS`.
 const MAX_CONNECTIONS: usize = 8;
-/// The longest that one connection lasts.
+/// Maximum duration of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a request's head must be whole.
+/// Time within which a request head must be complete.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The longest head that is read.
+/// Maximum length of a request head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
+/// What the admin listener reports on.
 pub(crate) struct Admin {
     pub ledger: Ledger,
-    /// What the allocator has given out.
+    /// Returns the number of bytes that are allocated.
     pub allocated_bytes: fn() -> u64,
 }
 
@@ -51,7 +54,7 @@
     tenant: String,
 }
 
-/// The table as metrics in the OpenMetrics text form.
+/// Encodes the table as metrics in the OpenMetrics text format.
 fn encode_metrics(table: &Table) -> Result<String, std::fmt::Error> {
     let mut registry = Registry::with_prefix("ashvane_memory");
     let register_gauge = |registry: &mut Registry, name: &str, help: &str, value: i64| {
@@ -91,6 +94,7 @@
 }
 
 impl Admin {
+    /// Answers a request.
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.method() != Method::GET {
             return query::text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET");
@@ -111,19 +115,22 @@
         answer
     }
 
+    /// Serves one connection.
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let answer = self.answer(&request);
             async move { Ok::<_, Infallible>(answer) }
         });
         let mut http = hyper::server::conn::http1::Builder::new();
-        // One answer each: who keeps a connection would find it closed under its next request.
+        // Each connection serves one request. With keep-alive, the connection timeout could interrupt a later
+        // request.
         http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
         http.keep_alive(false);
-        // One that lasts too long or breaks is of no more use; whoever asked asks again.
+        // A failure is ignored, because the client can retry.
         let _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await;
     }
 
+    /// Accepts and serves connections.
     pub(crate) async fn run(self: Arc<Self>, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
--- a/crates/gatherer/src/transport/answers.rs
+++ b/crates/gatherer/src/transport/answers.rs
@@ -1,5 +1,6 @@
-//! Answers on their way to clients: room is taken before one is written and given back with its last byte.
-//! Where there is none, the client stalled longest gives way.
+//! Answers that are being written to clients. The memory of an answer is charged before it is encoded and
+//! released when it is written. If there is not enough, the connection that has been stalled for longest is
+//! closed.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,18 +15,20 @@
 
 use crate::protocol::query::{self, Reply};
 
-/// Pause between looks for room: a client that reads makes some within it.
+/// Delay before memory is requested again. Clients that read their answers release some meanwhile.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Share of the cap that is kept free where a stalled client can make it: those that read then wait for none.
+/// Ratio of the cap that is kept free by closing connections of stalled clients, so that answers to other
+/// clients do not wait for memory.
 const MIN_FREE_RATIO: f64 = 0.25;
 
-/// A client's connection, as its answers know it.
+/// Handle to a client's connection.
 #[derive(Clone)]
 pub(crate) struct ConnectionHandle {
     pub number: u64,
-    /// Its place is wanted.
+    /// Notified when the connection is to be closed after its current request.
     pub close_requested: Arc<Notify>,
+    /// Whether the connection is to be closed without waiting for its current request.
     aborted: Arc<AtomicBool>,
 }
 
@@ -34,7 +37,7 @@
         ConnectionHandle { number, close_requested: Arc::default(), aborted: Arc::default() }
     }
 
-    /// Ends the connection at once.
+    /// Closes the connection at once.
     fn abort(&self) {
         self.aborted.store(true, Ordering::Relaxed);
         self.close_requested.notify_one();
@@ -48,17 +51,19 @@
 #[derive(Default)]
 struct OpenAnswers {
     writers: Writers,
-    /// With the number of its answers that are open: clients may ask ahead.
+    /// Connections with open answers, and how many each has: clients may pipeline requests.
     connections: BTreeMap<u64, (ConnectionHandle, u32)>,
 }
 
+/// All answers that are being written.
 pub(crate) struct Answers {
     ledger: Ledger,
     start: Instant,
     open: Mutex<OpenAnswers>,
 }
 
-/// An answer's bytes, which hold their room until HTTP lets go of them.
+/// The bytes of an answer, with the charge for their memory. The HTTP library drops them when they are
+/// written.
 struct AnswerBytes {
     bytes: Vec<u8>,
     _charge: Charge,
@@ -93,25 +98,26 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// So many bytes of an answer have gone to a client.
+    /// Records that bytes have been written to a client.
     pub(crate) fn record_written(&self, number: u64, bytes: usize) {
         self.lock().writers.wrote(number, bytes as u64);
     }
 
-    /// Ends the connection of the client stalled longest; false if none is stalled.
+    /// Closes the connection that has been stalled for longest, among those of `only_tenant` if it is given.
+    /// Returns false if none is stalled.
     fn close_longest_stalled(&self, only_tenant: Option<usize>) -> bool {
         let mut open = self.lock();
         let Some(number) = open.writers.give_way(only_tenant, self.start.elapsed()) else { return false };
         let handle = open.connections.remove(&number);
         drop(open);
         if let Some((handle, _)) = handle {
-            log::warn!(client = number; "a client does not read its answer: its connection is closed");
+            log::warn!(client = number; "answers are short of memory; closing a connection that reads no answer");
             handle.abort();
         }
         true
     }
 
-    /// Has a stalled client give way before those that read find no room.
+    /// Closes a stalled connection if less than [`MIN_FREE_RATIO`] of the cap is free.
     fn ensure_free(&self, tenant: Option<usize>) {
         let free = self.ledger.limits().of(Purpose::Answers).cap as f64 * MIN_FREE_RATIO;
         if let Some(no_memory) = self.ledger.lacks(Purpose::Answers, tenant, free as u64) {
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Takes room for an answer, at the latest by the time that its client stops waiting.
+    /// Charges the memory of an answer. Waits for it until `deadline`, when the client stops waiting.
     async fn reserve_memory(
         &self, tenant: Option<usize>, bytes: u64, deadline: Instant,
     ) -> Result<Charge, NoRoom> {
@@ -137,8 +143,8 @@
         }
     }
 
-    /// Makes a reply an answer to the client at this wire. What ran and finds no room is given up with no
-    /// promise: it must not be called rejected.
+    /// Encodes a reply as an HTTP response to the client of `handle`. If there is no memory for an answer,
+    /// the query is reported as aborted, not as rejected, because its parts have run.
     pub(crate) async fn encode(
         self: &Arc<Self>, reply: Reply, handle: Option<ConnectionHandle>, tenant: Option<usize>,
         deadline: Instant,
--- a/crates/gatherer/src/transport/discovery.rs
+++ b/crates/gatherer/src/transport/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: one call after the other, each waiting for news.
+//! The client of discovery: follows the server list with long polls, one at a time.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -20,38 +20,44 @@
 use crate::protocol::event::Event;
 use crate::protocol::list::{self, ServerList};
 
-/// How long a call may wait for news: short, so that a silent discovery is soon asked anew.
+/// Maximum time that discovery may hold a request until the list changes. It is short, so that the request is
+/// soon repeated if discovery does not answer.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time beyond it in which an answer must be whole: it comes from this machine.
+/// Additional time within which the response must be complete. It is short because discovery is on the same
+/// host.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// Pause after a call that failed: within the time in which a watch goes on, yet no spin.
+/// Delay after a failed request. It avoids a busy loop, and is short enough to recover within the time that a
+/// long poll takes.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// The longest list that is read: some thousands of servers.
+/// Maximum length of a list, enough for several thousand servers.
 const MAX_LIST_BYTES: u64 = 2 * 1024 * 1024;
-/// Times its text that a list takes while it is read and taken over: the text, and what is read from it.
+/// Ratio of the memory that is charged for a list to the length of its text: the text itself and the decoded
+/// list.
 const LIST_MEMORY_RATIO: u64 = 2;
 
 type BoxError = Box<dyn Error + Send + Sync>;
 
-/// An error with its causes.
+/// Formats an error with its causes.
 fn format_error_chain(error: &dyn Error) -> String {
     error.source().map_or(error.to_string(), |cause| format!("{error}: {}", format_error_chain(cause)))
 }
 
+/// Follows the server list of discovery and passes it to routing.
 pub(crate) struct DiscoveryClient {
-    /// Where it is asked; a newer address takes the place of the one before, with whatever is asked there.
+    /// Address of discovery. When it changes, a request to the previous address is abandoned.
     pub address: watch::Receiver<SocketAddr>,
     pub network: Arc<Network>,
     pub ledger: Ledger,
     pub events: mpsc::Sender<Event>,
-    /// The decisions ask for the list: a pause ends.
+    /// Notified when the decision module requests the server list. Ends the delay after a failed request.
     pub list_requested: Rc<Notify>,
-    /// A whole list came from an address that had not told one yet.
+    /// Notified when the first list from a new address has been applied.
     pub first_list_received: Rc<Notify>,
 }
 
 impl DiscoveryClient {
-    /// Asks for what is newer than a revision, or at once for the whole list.
+    /// Requests the changes after a revision, or the complete list at once if `after` is `None`. Returns the
+    /// list with the charge for its memory.
     async fn request_list(
         &self, client: &Client<HttpConnector, Full<Bytes>>, after: Option<u64>,
     ) -> Result<(ServerList, Charge), BoxError> {
@@ -72,26 +78,29 @@
             let body = Limited::new(answer.into_body(), length as usize).collect().await?.to_bytes();
             let list = list::decode(&body, &self.network)?;
             if after.is_none() && !list.complete {
-                return Err("not the whole list".into());
+                return Err("discovery sent an incremental list instead of a complete one".into());
             }
             Ok((list, charge))
         };
-        timeout(wait + RESPONSE_MARGIN, exchange).await.unwrap_or_else(|_| Err("no answer in time".into()))
+        timeout(wait + RESPONSE_MARGIN, exchange)
+            .await
+            .unwrap_or_else(|_| Err("no response within the timeout".into()))
     }
 
-    /// Tells the decisions a list: its revision, once they have taken it over. One that finds no room is kept
-    /// out whole, and asked for again as if it had not come.
+    /// Passes a list to routing. Returns its revision once it is applied. Without enough memory, no part of
+    /// the list is applied, and it is requested again.
     async fn apply_list(&self, list: ServerList) -> Result<u64, BoxError> {
         let (applied, is_applied) = oneshot::channel();
         let (revision, servers) = (list.revision, list.servers.len());
         let _ = self.events.send(Event::ServerList(list, applied)).await;
         match is_applied.await {
-            Ok(false) => Err(format!("no room for a list of {servers} servers").into()),
+            Ok(false) => Err(format!("not enough memory for a list of {servers} servers").into()),
             _ => Ok(revision),
         }
     }
 
-    /// Follows the list at one address for good. `revision` is what is known of it already, if anything is.
+    /// Follows the list at the current address and never returns. `revision` is the revision already applied,
+    /// or `None` to begin with the complete list.
     async fn follow_address(&self, mut revision: Option<u64>) {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -103,10 +112,12 @@
                 Err(error) => Err(error),
             };
             let error_text = answer.as_ref().err().map(|e| format_error_chain(e.as_ref()));
-            // One line for each kind of trouble and one for its end, not one for each call.
+            // Logs when the error changes or ends instead of at each request.
             match &error_text {
-                Some(error) if last_error != error_text => log::warn!("discovery: {error}; the list stays"),
-                None if last_error.is_some() => log::info!("discovery answers again"),
+                Some(error) if last_error != error_text => {
+                    log::warn!("request to discovery failed: {error}; keeping the current server list")
+                }
+                None if last_error.is_some() => log::info!("discovery is available again"),
                 _ => {}
             }
             let applied_revision = answer.ok();
@@ -114,7 +125,7 @@
                 self.first_list_received.notify_one();
             }
             if error_text.is_some() {
-                // The decisions are gone only when the program ends.
+                // Fails only when the program ends, because routing runs until then.
                 let _ = self.events.send(Event::ServerListFailed).await;
                 let _ = timeout(RETRY_DELAY, self.list_requested.notified()).await;
             }
@@ -122,8 +133,8 @@
         }
     }
 
-    /// Follows the list for good, at the newest address. What is known of the list counts at the first only:
-    /// another's revisions need not go on from there.
+    /// Follows the list at the current address and never returns. `revision` applies only to the first
+    /// address: revisions from another address are unrelated to it.
     pub(crate) async fn run(self, revision: u64) {
         let (mut address, mut revision) = (self.address.clone(), Some(revision));
         loop {
--- a/crates/gatherer/src/transport/front.rs
+++ b/crates/gatherer/src/transport/front.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepts them up to a bound, reads requests, writes answers.
+//! The listener for clients: accepts a bounded number of connections, reads requests and writes answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,54 +30,56 @@
 use crate::transport::answers::{Answers, ConnectionHandle};
 use crate::transport::head::{ClientStream, Framing, LINGER_TIMEOUT};
 
-/// The longest body that is read, as the protocol states it.
+/// Maximum length of a request body, as specified by the protocol.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest head that is read; what is kept of a body at once is as much.
+/// Maximum length of a request head, and of the part of a body that is buffered at once.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Time in which a new connection's first head must be whole.
+/// Time from accepting a connection within which its first request head must be complete.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same for later ones, from the answer before. A client that has asked keeps its connection while there
-/// are places: in a restart it may have no other way to a gatherer.
+/// Time from an answer within which the next request head must be complete. It is long, because during a
+/// restart a client may have no other connection to a gatherer. A connection is closed earlier if its slot is
+/// needed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time in which a body must be whole once its head is. A client is told or closed within three seconds.
+/// Time from the end of the head within which the body must be complete. With the other timeouts, a slow
+/// client gets an answer or is disconnected within 3 s.
 const BODY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after a failed accept, and between looks for an idle client while all places are taken.
+/// Delay after a failed accept, and between attempts to get a client slot while all are in use.
 const SLOT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// What a client's connection takes while it is open, in bytes: HTTP's buffers, its task and its request's.
-/// An estimate: what it misses shows as unattributed.
+/// Estimated memory of an open client connection: the HTTP buffers, and the tasks of the connection and of
+/// its request. The difference to the actual use is reported as unattributed.
 pub(crate) const CLIENT_CONNECTION_BYTES: u64 = 20 * 1024;
-/// What the machine may hold of an answer that its client does not read, in bytes: it counts this twice. Much
-/// more would stand outside every cap, and much less slow down far clients.
+/// Size of the socket's send buffer, which the kernel doubles. It holds answers that clients do not read. No
+/// memory cap covers it, so it must not be much larger; much smaller, it would slow down distant clients.
 const SEND_BUFFER_BYTES: u32 = 64 * 1024;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Time after which it is told again that all places are taken.
+/// Minimum time between two warnings that all client slots are in use.
 const FULL_WARNING_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A listener for clients.
+/// Creates the listener for clients.
 pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // Accepted connections take it over.
+    // Accepted connections inherit the buffer size.
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// What every request's handler needs.
+/// State shared by all request handlers.
 pub(crate) struct HandlerContext {
     pub network: Arc<Network>,
     pub events: mpsc::Sender<Event>,
-    /// The handlers that ended: their clients may have left.
+    /// Records the handlers that have ended, from which routing detects disconnected clients.
     pub ended_handlers: Arc<EndedHandlers>,
     pub phase: watch::Receiver<Phase>,
     pub ledger: Ledger,
     pub answers: Arc<Answers>,
-    /// When those who find no room may come back.
+    /// Retry-After time for requests that are rejected for lack of memory.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request never became a query.
+/// Why a request could not be read as a query.
 enum ReadError {
     Invalid(RequestError),
     NoMemory,
@@ -96,6 +98,7 @@
     }
 }
 
+/// Reads a request body, limited in length and time.
 async fn read_body(body: Body) -> Result<Bytes, RequestError> {
     let too_long = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -109,7 +112,7 @@
     }
 }
 
-/// Reads a request whole. Room for its body is taken before a byte of that is read.
+/// Reads and decodes a request. The memory for its body is charged before any of the body is read.
 async fn read_query(request: Request, context: &HandlerContext) -> Result<(Query, Charge), ReadError> {
     let network = &context.network;
     let (head, body) = request.into_parts();
@@ -122,6 +125,7 @@
     Ok((query::decode(vertical, path, &head.headers, &body, network)?, charge))
 }
 
+/// Passes a query to routing and returns the answer.
 async fn handle_query(State(context): State<Arc<HandlerContext>>, request: Request) -> Response<Body> {
     let arrived = Instant::now();
     let handle = request.extensions().get::<ConnectionHandle>().cloned();
@@ -129,7 +133,7 @@
         Ok(read) => read,
         Err(ReadError::Invalid((status, text))) => return query::text_response(status, text),
         Err(ReadError::NoMemory) => {
-            // Its body is not read: nothing else can come on this connection.
+            // The body is left unread, so the connection cannot serve another request.
             let mut answer = query::encode(Reply::Rejected(context.retry_after));
             set_connection_close(&mut answer);
             return answer;
@@ -150,7 +154,7 @@
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// While the program closes, each answer asks its client to connect anew, elsewhere.
+/// Adds `Connection: close` to answers in the closing phase, so that clients reconnect elsewhere.
 async fn close_when_closing(
     State(context): State<Arc<HandlerContext>>, request: Request, next: Next,
 ) -> Response<Body> {
@@ -170,8 +174,8 @@
         .with_state(context)
 }
 
-/// Serves one connection until it ends. Once the program closes, or its place is wanted, it ends after the
-/// request it has, or at once where it has none.
+/// Serves one connection until it ends. In the closing phase, or when its slot is needed, the connection ends
+/// after its current request, or at once if it has none.
 async fn serve(
     stream: TcpStream, router: Router, mut phase: watch::Receiver<Phase>, slot: ClientSlot,
     answers: Arc<Answers>,
@@ -201,7 +205,7 @@
     let on_written = move |bytes| answers.record_written(slot.handle.number, bytes);
     let client_stream = ClientStream::new(stream, framing.clone(), on_written);
     let mut connection = std::pin::pin!(http.serve_connection(TokioIo::new(client_stream), service));
-    // One that comes when the program closes already is served: its request may be on the way.
+    // A connection accepted in the closing phase is served, because its request may be on the way.
     let accepted_before_closing = *phase.borrow() < Phase::Closing;
     let closing = async {
         tokio::select! {
@@ -213,7 +217,7 @@
     let result = tokio::select! {
         result = connection.as_mut() => result,
         () = closing => {
-            // The shutdown leaves a connection open that has not asked for anything yet.
+            // `graceful_shutdown` would keep a connection open that has not sent any request yet.
             if slot.is_unused() || handle.is_aborted() {
                 return;
             }
@@ -221,7 +225,7 @@
             loop {
                 match timeout(LINGER_TIMEOUT, connection.as_mut()).await {
                     Ok(result) => break result,
-                    // Its last answer is not read.
+                    // The client does not read the last answer.
                     Err(_) if slot.is_idle() => return,
                     Err(_) => {}
                 }
@@ -229,15 +233,16 @@
         }
     };
     if let Err(e) = result {
-        log::debug!("client connection: {e}");
+        log::debug!("client connection failed: {e}");
     }
 }
 
-/// A client's connection among the open ones: whether it has an open request, and since when it has none.
+/// The slot of an open client connection, with whether and since when the connection is idle.
 struct ClientSlot {
     slots: Rc<ClientSlots>,
-    /// Its number among the idle ones, the longest idle first; none while it has an open request.
+    /// Key in [`ClientSlots::idle`], or `None` while the connection has an open request.
     idle: Cell<Option<u64>>,
+    /// Whether the connection has not sent any request yet.
     unused: Cell<bool>,
     handle: ConnectionHandle,
     _permit: OwnedSemaphorePermit,
@@ -266,7 +271,7 @@
         self.slots.idle.borrow_mut().insert(number, self.handle.close_requested.clone());
     }
 
-    /// Comes to an end if nothing was asked in time.
+    /// Completes if no request head arrived within [`FIRST_HEAD_TIMEOUT`], else never.
     async fn first_request_timeout(&self) {
         sleep(FIRST_HEAD_TIMEOUT).await;
         if !self.is_unused() {
@@ -289,16 +294,19 @@
     }
 }
 
-/// The open connections and when the last one came.
+/// The client slots: a limit on open client connections, and the record of the idle ones.
 pub(crate) struct ClientSlots {
     permits: Arc<Semaphore>,
     ledger: Ledger,
     max_slots: usize,
+    /// When the last connection was accepted.
     last_accepted_at: Cell<Instant>,
-    /// Those without an open request, the longest idle first, and the number of the next.
+    /// The `close_requested` of each connection without an open request. Keys increase, so the longest idle
+    /// connection is first.
     idle: RefCell<BTreeMap<u64, Arc<Notify>>>,
+    /// Next unused number for a connection or an idle period.
     next_number: Cell<u64>,
-    /// When it was last told that all places are taken.
+    /// When the last warning that all client slots are in use was logged.
     last_full_warning: Cell<Option<Instant>>,
 }
 
@@ -321,18 +329,23 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
+    /// Returns the number of open connections.
     pub(crate) fn open_count(&self) -> usize {
         self.max_slots - self.permits.available_permits()
     }
 
+    /// Returns the time since the last connection was accepted.
     pub(crate) fn since_last_accept(&self) -> Duration {
         self.last_accepted_at.get().elapsed()
     }
 
-    /// Closes the connection that has stood idle for longest.
+    /// Closes the connection that has been idle for longest, if any is idle.
     fn close_longest_idle(&self) {
         if self.last_full_warning.get().is_none_or(|warned_at| warned_at.elapsed() > FULL_WARNING_INTERVAL) {
-            log::warn!("{} clients are connected: those longest idle are closed", self.open_count());
+            log::warn!(
+                "no free client slot with {} clients connected; closing the longest idle connections",
+                self.open_count()
+            );
             self.last_full_warning.set(Some(Instant::now()));
         }
         if let Some((_, close_requested)) = self.idle.borrow_mut().pop_first() {
@@ -340,8 +353,8 @@
         }
     }
 
-    /// A place for one more. Where all are taken one that stands idle is closed, for a client that waits here
-    /// has been accepted by the machine, and counts on an answer.
+    /// Waits for a free slot. While all are in use, closes idle connections: the connection that needs the
+    /// slot is already accepted, so its client expects an answer.
     async fn acquire(self: &Rc<Self>) -> Option<ClientSlot> {
         loop {
             if self.permits.available_permits() == 0 {
@@ -354,12 +367,14 @@
             if let Ok(charge) = self.ledger.take(Purpose::Connections, None, CLIENT_CONNECTION_BYTES) {
                 return Some(ClientSlot::new(self.clone(), permit, charge));
             }
-            // The number of places follows from the room for them: only a lowered cap leaves none.
+            // The number of slots is derived from the memory limit, so this fails only after the limit was
+            // lowered.
             self.close_longest_idle();
             sleep(SLOT_RETRY_DELAY).await;
         }
     }
 
+    /// Accepts and serves connections.
     pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, context: Arc<HandlerContext>) {
         let (phase, answers) = (context.phase.clone(), context.answers.clone());
         let router = router(context);
@@ -373,7 +388,7 @@
                     tokio::task::spawn_local(serving);
                 }
                 Err(e) => {
-                    log::warn!("no connection could be accepted: {e}");
+                    log::warn!("cannot accept a client connection: {e}; closing the longest idle connection");
                     self.close_longest_idle();
                     sleep(SLOT_RETRY_DELAY).await;
                 }
--- a/crates/gatherer/src/transport/head.rs
+++ b/crates/gatherer/src/transport/head.rs
@@ -1,7 +1,8 @@
-//! A client's bytes on their way to HTTP, which is handed no byte past a head before it has said what belongs
-//! to that request. Of two headers that contradict each other on a body's length HTTP's reader keeps one and
-//! serves the request; both are seen here. It also sees to it that a client can read why its request was not
-//! read to the end.
+//! A client's byte stream between the socket and the HTTP library. It passes on no byte after a request head
+//! until the library has stated the length of that request's body. It also rejects requests with more than
+//! one header about the length of the body: the HTTP library would use one of them and serve the request.
+//! Before a connection is closed, the stream reads the rest of the request, so that the client can read the
+//! answer.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,26 +15,30 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// Bytes of a line that are kept: as many as tell the names that matter from all others.
+/// Number of bytes of each line that are stored: enough to recognize the names of the headers checked here.
 const MAX_LINE_PREFIX_BYTES: usize = 32;
-/// Bytes and time for what a client still sends after its answer: unread, they would take the answer along.
+/// Maximum number of bytes that are read after the answer and before the close. If unread bytes remain at the
+/// close, the kernel resets the connection and the client may lose the answer.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// Maximum time for reading those bytes.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the next byte belongs to.
+/// The part of a request that the next byte belongs to.
 enum ReadState {
+    /// A request head.
     Head {
+        /// The first bytes of the current line.
         line: Vec<u8>,
+        /// Whether a line that is not empty has ended. Empty lines before it do not end the head.
         started: bool,
-        /// How many headers state the body's length or form.
-        length_headers: u32,
-    },
-    /// To what follows a head that HTTP has not spoken of yet.
-    HeadEnd {
+        /// Number of headers that state the length or the transfer coding of the body.
         length_headers: u32,
     },
+    /// The byte after a head whose body length the HTTP library has not stated yet.
+    HeadEnd { length_headers: u32 },
+    /// A body, with the number of its bytes that are still to come.
     Body(u64),
-    /// To a body in chunks. Where it ends is not followed: no request comes after it.
+    /// A chunked body. Its end is not detected, because the connection is closed after the request.
     ChunkedBody,
 }
 
@@ -44,7 +49,8 @@
 }
 
 impl ReadState {
-    /// How many of the bytes belong here; what follows them is the next thing's.
+    /// Consumes bytes up to the end of the current part of the request. Returns how many were consumed; the
+    /// rest belongs to the next part. Fails if bytes follow a head whose body length is not stated yet.
     fn consume(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let consumed = match self {
             ReadState::Head { line, started, length_headers } => {
@@ -71,7 +77,7 @@
     }
 }
 
-/// Takes a head's next byte: whether it is the last.
+/// Consumes the next byte of a head. Returns whether it is the last one.
 fn consume_head_byte(byte: u8, line: &mut Vec<u8>, started: &mut bool, length_headers: &mut u32) -> bool {
     if byte != b'\n' {
         if byte != b'\r' && line.len() < MAX_LINE_PREFIX_BYTES {
@@ -89,13 +95,13 @@
     false
 }
 
-/// Shared by a connection's bytes and those who serve its requests.
+/// The read state of a connection, shared by its [`ClientStream`] and the service for its requests.
 #[derive(Clone, Default)]
 pub(super) struct Framing(Rc<RefCell<ReadState>>);
 
 impl Framing {
-    /// A request is served whose body has this length; none if it comes in chunks. False if its head says
-    /// more than one thing about that.
+    /// Records the length of the body that begins, or `None` if it is chunked. Returns false if the head has
+    /// more than one header about the length of the body.
     pub(super) fn begin_body(&self, length: Option<u64>) -> bool {
         let mut next = self.0.borrow_mut();
         let is_valid = matches!(*next, ReadState::HeadEnd { length_headers: 0 | 1 });
@@ -108,14 +114,15 @@
     }
 }
 
-/// A client's connection.
+/// The byte stream of a client's connection.
 pub(super) struct ClientStream<S> {
     stream: S,
-    /// Told of the bytes that went out.
+    /// Called with the number of bytes after each write.
     on_written: Box<dyn Fn(usize)>,
     framing: Framing,
-    /// Came with bytes that belong to what was before them.
+    /// Bytes received together with the end of the previous part of a request.
     unconsumed: BytesMut,
+    /// Remaining time and number of bytes for reading before the close.
     linger: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
@@ -159,7 +166,8 @@
         Poll::Ready(Ok(written))
     }
 
-    /// HTTP then writes from an answer's own bytes, and makes no copy of them that has no room.
+    /// With vectored writes, the HTTP library writes directly from the bytes of an answer instead of making a
+    /// copy whose memory is not charged.
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
@@ -205,14 +213,18 @@
 
     use super::*;
 
-    /// Reads as HTTP does, from bytes that come in these cuts: each head, then its body; were all sound?
+    /// Reads requests as the HTTP library does, from bytes that arrive in pieces of the lengths `cuts`.
+    /// Returns the lengths of the heads, and whether every head had at most one header about the length of
+    /// its body.
     async fn read_requests(bytes: &[u8], cuts: &[u8], bodies: &[u64]) -> (Vec<usize>, bool) {
         let (server_end, mut client_end) = tokio::io::duplex(bytes.len().max(1));
         let writing = async {
             let mut at = 0;
             for cut in cuts.iter().map(|c| usize::from(*c)).chain([bytes.len()]) {
                 let next = (at + cut).min(bytes.len());
-                tokio::io::AsyncWriteExt::write_all(&mut client_end, &bytes[at..next]).await.expect("room");
+                tokio::io::AsyncWriteExt::write_all(&mut client_end, &bytes[at..next])
+                    .await
+                    .expect("the pipe holds all bytes");
                 tokio::task::yield_now().await;
                 at = next;
             }
@@ -225,25 +237,25 @@
             for body in bodies {
                 let mut head = 0;
                 while !matches!(*framing.0.borrow(), ReadState::HeadEnd { .. }) {
-                    head += client_stream.read(&mut [0; 64]).await.expect("bytes");
+                    head += client_stream.read(&mut [0; 64]).await.expect("the bytes are sent");
                 }
                 head_lengths.push(head);
                 all_valid &= framing.begin_body(Some(*body));
-                client_stream.read_exact(&mut vec![0; *body as usize]).await.expect("the body");
+                client_stream.read_exact(&mut vec![0; *body as usize]).await.expect("the body is sent");
             }
             (head_lengths, all_valid)
         };
         tokio::join!(writing, reading).1
     }
 
-    /// Guards against a body taken for a head or the other way round, wherever the bytes are cut.
+    /// Guards against a body read as a head, or the reverse, however the bytes are split.
     #[test]
     fn heads_end_where_they_end_however_their_bytes_arrive() {
         fn arrive(cuts: Vec<u8>) -> bool {
             let first = "\r\nPOST /a HTTP/1.1\r\nHost: content-length: 3\r\ncontent-LENGTH: 27\r\n\r\n";
             let body = "Transfer-Encoding: x\r\n\r\n\r\n\n";
             let second = "POST /b HTTP/1.1\nTransfer-Encoding : no\nX: y\n\n";
-            let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread().build().expect("the runtime starts");
             let all = [first, body, second].concat();
             let received = runtime.block_on(read_requests(all.as_bytes(), &cuts, &[body.len() as u64, 0]));
             received == (vec![first.len(), second.len()], true)
@@ -251,7 +263,7 @@
         QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).quickcheck(arrive as fn(Vec<u8>) -> bool);
     }
 
-    /// Guards against a request hidden in the body of one that states its length twice.
+    /// Guards against request smuggling: a request hidden in the body of one that states its length twice.
     #[tokio::test]
     async fn two_headers_on_a_bodys_length_are_seen_in_any_order_and_case() {
         let (length, chunks) = ("Content-Length: 5", "transfer-encoding:chunked");
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -1,5 +1,6 @@
-//! The link to the keepers: calls at the schedule that the fleet's package says, this gatherer's participant at the roster, and
-//! its rounds as the roster's owner. HTTP/1.1 with JSON. What is decided is decided in `ashvane-fleet`.
+//! Communication with the keepers over HTTP/1.1 with JSON: periodic calls, requests for the lease of the
+//! roster, and the rounds that the lease's owner runs to update the roster. The schedule and all decisions
+//! come from `ashvane-fleet`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,22 +27,22 @@
 
 use crate::protocol::event::{Event, Phase};
 
-/// The longest answer that is read, in bytes: a table at its longest, and some more.
+/// Maximum length of a response that is read: a table of maximum length and its JSON overhead.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
-/// The longest that a call may take, whatever the lease.
+/// Maximum timeout of a call. A short lease makes the timeout shorter.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before an owner tries another keeper for its renewal.
+/// Delay before an owner retries a failed lease renewal.
 const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Time in which a duty is handed over at the end.
+/// Time within which the lease must be released at shutdown.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time on the clock that also runs while the machine sleeps.
+/// Returns the time of the clock that also advances while the machine is suspended.
 fn now() -> Duration {
     let at = clock_gettime(ClockId::Boottime);
     Duration::new(u64::try_from(at.tv_sec).unwrap_or_default(), u32::try_from(at.tv_nsec).unwrap_or_default())
 }
 
-/// What a keeper tells.
+/// Response of a keeper to a periodic call.
 #[derive(Deserialize)]
 struct CallResponse {
     leader: Option<u64>,
@@ -52,7 +53,7 @@
     tables: std::collections::BTreeMap<String, Table>,
 }
 
-/// What it answers to an owner.
+/// Response of a keeper to a request that only the leader handles.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum AskResponse {
@@ -60,21 +61,21 @@
     Elsewhere { leader: Option<u64> },
 }
 
-/// What is asked of whoever leads the keepers about this gatherer's own participant. Acts of an owner are not among it: they
-/// need a permit.
+/// A request to the leading keeper about this gatherer's own lease. Writes of an owner are separate, because
+/// they require a permit.
 enum LeaseRequest {
     Acquire,
     Renew(u64),
     Release(u64),
 }
 
-/// Why a call brought no answer, and whether the keeper may have heard it.
+/// Why a call got no response, and whether the keeper may have received the request.
 struct CallError {
     message: String,
     may_have_arrived: bool,
 }
 
-/// Calls to keepers, each within a limit.
+/// HTTP client for calls to keepers, with a timeout for each call.
 #[derive(Clone)]
 struct KeeperClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -82,6 +83,7 @@
 }
 
 impl KeeperClient {
+    /// Sends a request, as POST if there is a body, else as GET, and decodes the response.
     async fn send<T: DeserializeOwned>(
         &self, address: SocketAddr, path: &str, body: Option<Value>,
     ) -> Result<T, CallError> {
@@ -103,17 +105,20 @@
         };
         timeout(self.timeout, exchange)
             .await
-            .unwrap_or_else(|_| Err(failed(true)("no answer in time".into())))
+            .unwrap_or_else(|_| Err(failed(true)("no response within the timeout".into())))
     }
 }
 
+/// This gatherer's communication with the keepers.
 pub(crate) struct KeeperSession {
-    /// This process, by a name that no other process has or had.
+    /// Name of this process that no other process has or ever had.
     process_id: String,
     name: String,
+    /// Ids of the keepers, in the order of `addresses`.
     keeper_ids: Vec<u64>,
     addresses: Vec<SocketAddr>,
     terms: LeaseTerms,
+    /// Interval of the periodic calls and of the owner's rounds.
     interval: Duration,
     client: KeeperClient,
     events: mpsc::Sender<Event>,
@@ -122,12 +127,15 @@
     roster: Roster,
     reader: RosterReader,
     fence: FencingGuard,
-    /// The keeper that leads, as a place in the list, as far as is known.
+    /// Index of the keeper that leads, if it is known.
     leader: Option<usize>,
-    /// How long the last call took.
+    /// Duration of the last successful call.
     last_call_duration: Duration,
+    /// When the lease is renewed next.
     renew_at: Duration,
+    /// When the next owner's round starts.
     round_at: Duration,
+    /// The number of live gatherers that was last reported to routing.
     reported_count: Option<u32>,
 }
 
@@ -164,7 +172,7 @@
         }
     }
 
-    /// Calls until the program ends; then hands over what it owns.
+    /// Calls the keepers until the program drains, then releases the lease if it is held.
     pub(crate) async fn run(mut self, mut phase: watch::Receiver<Phase>) {
         loop {
             let at = now();
@@ -193,7 +201,7 @@
         }
     }
 
-    /// The usual call: that this gatherer is alive, for what the keepers know.
+    /// Makes a periodic call. It reports that this gatherer is alive and returns what the keeper knows.
     async fn call(&mut self) {
         let (started_at, at) = (now(), self.schedule.next().keeper);
         self.schedule.call_made(started_at);
@@ -212,18 +220,20 @@
                 }
             }
             Err(CallError { message, .. }) => {
-                log::debug!("keeper {}: {message}", self.keeper_ids[at]);
+                log::debug!("call to keeper {} failed: {message}", self.keeper_ids[at]);
                 self.schedule.keeper_failed();
                 self.leader = self.leader.filter(|leader| *leader != at);
             }
         }
     }
 
+    /// Returns the index of the keeper with this id.
     fn keeper_index(&self, number: Option<u64>) -> Option<usize> {
         self.keeper_ids.iter().position(|n| Some(*n) == number)
     }
 
-    /// What is older than what was seen is dropped: a keeper may lag, and a relay may have held this for a minute.
+    /// Applies the response to a periodic call. A table of an older epoch than one already seen is discarded:
+    /// a keeper may lag, and a proxy may have delayed the response for a minute.
     fn apply_response(&mut self, response: &CallResponse) {
         self.leader = self.keeper_index(response.leader).or(self.leader);
         let Some(table) = response.tables.get(Roster::NAME) else { return };
@@ -239,7 +249,7 @@
         self.reader.table_received(table, now());
     }
 
-    /// Asks the leading keeper about this gatherer's participant; what it says goes there, with when it was asked.
+    /// Sends a lease request to the leading keeper. The reply is passed to the participant.
     async fn request_lease(&mut self, request: LeaseRequest) -> Option<Reply> {
         let (duty, process_id) = (Roster::NAME, &self.process_id);
         let request = match request {
@@ -252,12 +262,14 @@
         self.send_to_leader(request).await
     }
 
-    /// An act of the roster's owner: its table. The permit is looked at last of all.
+    /// Writes the roster's table as its owner. The permit is checked immediately before sending.
     async fn write_table(&mut self, permit: Permit<Roster>, text: &str) {
         let Some(FencingToken { role, epoch }) = permit.token(now()) else { return };
         self.send_to_leader(json!({"write": {"duty": role, "epoch": epoch, "text": text}})).await;
     }
 
+    /// Sends a request to the leading keeper, or to the next scheduled one if the leader is unknown. A reply
+    /// is passed to the participant, with the time at which the request was sent.
     async fn send_to_leader(&mut self, request: Value) -> Option<Reply> {
         let at = self.leader.unwrap_or(self.schedule.next().keeper);
         let started_at = now();
@@ -271,7 +283,7 @@
                 self.leader = self.keeper_index(leader).filter(|leader| *leader != at);
             }
             Err(CallError { message, may_have_arrived }) => {
-                log::debug!("keeper {}: {message}", self.keeper_ids[at]);
+                log::debug!("request to keeper {} failed: {message}", self.keeper_ids[at]);
                 self.leader = None;
                 if may_have_arrived {
                     self.participant.call_unanswered();
@@ -284,6 +296,7 @@
         None
     }
 
+    /// Starts or stops acting as the roster's owner.
     fn handle_transition(&mut self, transition: Transition) {
         match transition {
             Transition::Acquired { epoch } => {
@@ -300,10 +313,12 @@
         }
     }
 
+    /// Renews the lease if the participant still may.
     async fn renew(&mut self) {
         let Some(epoch) = self.participant.epoch() else { return };
         if !self.participant.may_renew(now(), &self.terms) {
-            // What is left of its time is left for what was asked to be answered.
+            // A call was not answered and the lease is about to end. The rest of its time is left for replies
+            // to requests that were already sent.
             self.renew_at = Duration::MAX;
             return;
         }
@@ -314,8 +329,9 @@
         }
     }
 
-    /// One round as the roster's owner: asks all keepers at once whom they have heard, and writes who is alive. Where
-    /// fewer than most of them answer nothing is written, lest those that only the others hear be left out.
+    /// Runs one round as the roster's owner: asks all keepers in parallel when they last heard from each
+    /// gatherer, and writes which gatherers are alive. Without responses from a majority nothing is written,
+    /// because gatherers that only the other keepers hear from would be left out.
     async fn run_owner_round(&mut self) {
         let started_at = now();
         self.round_at = started_at + self.interval;
@@ -324,7 +340,7 @@
             let client = self.client.clone();
             requests.spawn_local(async move { client.send::<LastHeard>(address, "/v1/heard", None).await });
         }
-        // The renewal goes first.
+        // The lease renewal takes precedence, so responses are awaited only until it is due.
         let time_limit = self.renew_at.saturating_sub(started_at);
         let collecting = async {
             while let Some(response) = requests.join_next().await {
@@ -341,7 +357,7 @@
         }
     }
 
-    /// Tells the decisions how many are alive, where that is new.
+    /// Reports the number of live gatherers to routing if it has changed.
     async fn report_gatherer_count(&mut self) {
         let alive = self.reader.alive(self.interval, now());
         if alive != self.reported_count {
@@ -351,9 +367,10 @@
         }
     }
 
+    /// Releases the lease if it is held.
     async fn release_ownership(&mut self) {
         let Some(epoch) = self.participant.epoch() else { return };
-        // First it stops, then it says so.
+        // Stops acting as the owner before the lease is released, so that there are never two owners.
         let transition = self.participant.release();
         self.handle_transition(transition);
         let releasing = async {
--- a/crates/gatherer/src/transport/lane.rs
+++ b/crates/gatherer/src/transport/lane.rs
@@ -1,4 +1,5 @@
-//! One connection to a shard server: a task that dials, writes what is queued and tells what it reads.
+//! The task of one connection to a shard server. It dials, writes queued frames, and reports received answers
+//! as events.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,19 +19,21 @@
 use crate::protocol::event::Event;
 use crate::protocol::frame::{self, FrameCodec, FrameError, IncomingFrame, OutgoingFrame, PartCall};
 
-/// Bytes that a buffer keeps between frames; what a longer frame needed is given back.
+/// Capacity that a buffer retains between frames. The larger buffer of a longer frame is released.
 const RETAINED_BUFFER_BYTES: usize = 4 * 1024;
-/// Bytes that are read at once at least, where so many are there.
+/// Minimum free capacity of the buffer before each read.
 const MIN_READ_BYTES: usize = 1024;
-/// What a connection takes while it is open, in bytes: both buffers, its task and its records. An estimate:
-/// what it misses shows as unattributed.
+/// Estimated memory of an open connection: both buffers, the task and the records. The difference to the
+/// actual use is reported as unattributed.
 pub(crate) const SERVER_CONNECTION_BYTES: u64 = 12 * 1024;
-/// What the machine may hold of answers that are not read yet, in bytes: some of the longest frames.
+/// Size of the socket's receive buffer, which holds answers that are not read yet: several frames of maximum
+/// length.
 const RECEIVE_BUFFER_BYTES: u32 = 256 * 1024;
-/// Pause between looks for room for a frame: the decisions take up what is in meanwhile.
+/// Delay before memory for a frame is requested again. Meanwhile routing processes the answers received so
+/// far, which releases memory.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A part that waits for its frame to be written.
+/// A part of a frame that is queued for writing.
 #[derive(Clone)]
 pub(crate) struct QueuedPart {
     pub id: Arc<str>,
@@ -44,12 +47,12 @@
     Cancel(Arc<str>),
 }
 
-/// What the owner and the task share. The owner bounds what is queued: parts by the connection's
-/// number, each given up once.
+/// State shared by the connection's owner, the pool, and the task. The owner bounds the queue: it limits the
+/// number of parts for each connection and cancels each part at most once.
 #[derive(Default)]
 pub(crate) struct ConnectionTask {
     outbox: RefCell<VecDeque<QueuedFrame>>,
-    /// The parts of the frame that is being written.
+    /// Ids of the parts of the frame that is being written.
     writing: RefCell<Vec<Arc<str>>>,
     frame_queued: Notify,
     close_requested: Notify,
@@ -57,23 +60,24 @@
 }
 
 impl ConnectionTask {
-    /// Queues a frame, with the room that it takes.
+    /// Queues a frame, with the charge for its memory.
     pub(crate) fn queue_call(&self, parts: Vec<QueuedPart>, charge: Charge) {
         self.outbox.borrow_mut().push_back(QueuedFrame::Call(parts, charge));
         self.frame_queued.notify_one();
     }
 
+    /// Queues a cancel frame for a part.
     pub(crate) fn cancel(&self, id: Arc<str>) {
         self.outbox.borrow_mut().push_back(QueuedFrame::Cancel(id));
         self.frame_queued.notify_one();
     }
 
-    /// Ends the connection at once, even if nothing can be written; what is out on it is given up.
+    /// Closes the connection at once, even if nothing can be written. Its parts in flight are abandoned.
     pub(crate) fn close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Takes a part back whose frame is not begun; false if it is.
+    /// Removes a part from the queue. Returns false if its frame is already being written or has been.
     pub(crate) fn withdraw(&self, id: &str) -> bool {
         let mut outbox = self.outbox.borrow_mut();
         for frame in outbox.iter_mut() {
@@ -87,18 +91,19 @@
         false
     }
 
-    /// Whether the last byte of a part's frame is still to be written.
+    /// Whether the frame of a part is queued or not yet written to its last byte.
     pub(crate) fn is_unwritten(&self, id: &str) -> bool {
         let has_part = |frame: &QueuedFrame| matches!(frame, QueuedFrame::Call(parts, _) if parts.iter().any(|p| &*p.id == id));
         self.outbox.borrow().iter().any(has_part) || self.writing.borrow().iter().any(|w| &**w == id)
     }
 
-    /// Since when a frame has begun to come that is not whole yet.
+    /// Returns when the frame that is only partly received began to arrive, or `None` if there is no such
+    /// frame.
     pub(crate) fn partial_since(&self) -> Option<Instant> {
         self.codec.partial_since.get()
     }
 
-    /// The next frame to write, and the room that it takes until it is written.
+    /// Returns the next frame to write, with the charge to hold until it is written.
     fn next_frame(&self) -> Option<(OutgoingFrame, Option<Charge>)> {
         let (parts, charge) = match self.outbox.borrow_mut().pop_front()? {
             QueuedFrame::Cancel(id) => return Some((OutgoingFrame::Cancel(id), None)),
@@ -112,8 +117,8 @@
         Some((OutgoingFrame::Call(parts.into_iter().map(part).collect()), Some(charge)))
     }
 
-    /// Takes room for a frame that comes, and waits for it where there will be some. Meanwhile nothing is read,
-    /// which is no fault of the server's.
+    /// Charges the memory of an incoming frame, and waits until there is enough unless the frame exceeds the
+    /// cap. Nothing is read meanwhile, so `partial_since` is reset: the server did not cause the delay.
     async fn reserve_memory(&self, length: u64, ledger: &Ledger) -> Result<Charge, FrameError> {
         loop {
             if let Ok(charge) = ledger.take(Purpose::Frames, None, length) {
@@ -127,6 +132,7 @@
         }
     }
 
+    /// Dials the server, reports the connection as established and serves it until it ends.
     async fn connect_and_exchange(
         &self, number: u64, address: SocketAddr, dial_timeout: Duration, events: &mpsc::Sender<Event>,
         ledger: &Ledger,
@@ -140,6 +146,7 @@
         self.exchange_frames(stream, number, address, events, ledger).await
     }
 
+    /// Reads and writes frames until the connection ends or is closed.
     async fn exchange_frames(
         &self, stream: impl AsyncRead + AsyncWrite, number: u64, address: SocketAddr,
         events: &mpsc::Sender<Event>, ledger: &Ledger,
@@ -149,7 +156,8 @@
             let (mut codec, mut bytes) = (self.codec.clone(), BytesMut::new());
             let mut charge = None;
             loop {
-                // What comes is held by others from here on, so room is taken before it is whole.
+                // Routing holds the answer once it is decoded, so its memory is charged before the frame is
+                // complete.
                 if let (Some(length), None) = (frame::expected_frame_bytes(&bytes), &charge) {
                     charge = Some(self.reserve_memory(length as u64, ledger).await?);
                 }
@@ -172,11 +180,11 @@
                             .await;
                     }
                     (IncomingFrame::ProtocolError(message), _) => {
-                        log::warn!("{address} could not use a frame: {message:?}");
-                        return Err(FrameError::Malformed("frame not usable"));
+                        log::warn!("server {address} reported a protocol error: {message:?}");
+                        return Err(FrameError::Malformed("the server reported a protocol error"));
                     }
                     (IncomingFrame::Answer { .. }, None) => {
-                        return Err(FrameError::Malformed("an answer of no length"));
+                        return Err(FrameError::Malformed("received an answer frame without a length"));
                     }
                 }
             }
@@ -202,17 +210,22 @@
         }
     }
 
+    /// Runs the connection until it ends, then reports its end.
     pub(crate) async fn run(
         self: Rc<Self>, number: u64, address: SocketAddr, dial_timeout: Duration,
         events: mpsc::Sender<Event>, ledger: Ledger,
     ) {
         match self.connect_and_exchange(number, address, dial_timeout, &events, &ledger).await {
             Ok(()) => {}
-            Err(FrameError::Io(e)) => log::debug!("connection to {address}: {e}"),
+            Err(FrameError::Io(e)) => log::debug!("connection to server {address} failed: {e}"),
             Err(FrameError::MemoryLimit) => {
-                log::warn!("connection to {address} dropped: no room for a frame this long")
+                log::warn!(
+                    "connection to server {address} closed: incoming frame exceeds the memory cap for frames"
+                )
+            }
+            Err(FrameError::Malformed(reason)) => {
+                log::warn!("connection to server {address} closed: {reason}")
             }
-            Err(FrameError::Malformed(reason)) => log::warn!("connection to {address} dropped: {reason}"),
         }
         let _ = events.send(Event::Disconnected(number)).await;
     }
@@ -231,10 +244,11 @@
     }
 
     fn reserve_memory() -> Charge {
-        ledger().take(Purpose::Calls, None, 1).expect("room")
+        ledger().take(Purpose::Calls, None, 1).expect("the ledger has enough memory")
     }
 
-    /// A connection that takes so many bytes of a frame and then breaks: is the part unwritten?
+    /// Whether a part counts as unwritten after the connection has accepted `bytes` bytes of its frame and
+    /// then disconnected.
     async fn is_unwritten_after(bytes: usize) -> bool {
         let task = ConnectionTask::default();
         let part = QueuedPart {
@@ -248,17 +262,20 @@
         let (events, _inbox) = mpsc::channel(1);
         let disconnecting = async {
             let mut taken = vec![0; bytes];
-            theirs.read_exact(&mut taken).await.expect("so much is written");
+            theirs.read_exact(&mut taken).await.expect("the task writes this many bytes");
             tokio::task::yield_now().await;
             drop(theirs);
             std::future::pending::<()>().await
         };
         let (address, ledger) = (([127, 0, 0, 1], 1).into(), ledger());
-        tokio::select! { _ = task.exchange_frames(ours, 1, address, &events, &ledger) => {}, () = disconnecting => {} }
+        tokio::select! {
+            _ = task.exchange_frames(ours, 1, address, &events, &ledger) => {},
+            () = disconnecting => {}
+        }
         task.is_unwritten("a.1")
     }
 
-    /// Guards against a part that may have run and counts as never sent, and the other way round.
+    /// Guards against a part that counts as never sent although it may have run, and the reverse.
     #[tokio::test]
     async fn a_part_is_written_with_the_last_byte_of_its_frame_and_not_before() {
         let frame = 4 + "Sa.1 1 d=1 200\n".len() + 200;
@@ -281,6 +298,6 @@
         ));
         assert!(!task.withdraw("a.2") && task.is_unwritten("a.2"));
         task.queue_call(vec![part("a.3")], reserve_memory());
-        assert!(task.withdraw("a.3") && task.next_frame().is_none(), "no empty frame is left");
+        assert!(task.withdraw("a.3") && task.next_frame().is_none(), "no empty frame remains in the queue");
     }
 }
--- a/crates/gatherer/src/transport/mod.rs
+++ b/crates/gatherer/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets: clients in front, discovery and shard servers behind. Nothing here decides.
+//! Network code: connections to clients, discovery, shard servers and keepers. It makes no routing decisions.
 
 pub(crate) mod admin;
 pub(crate) mod answers;
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -526,7 +526,8 @@
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Whether it has started another process in its life: page faults of those that have ended, or one that runs.
+    /// Whether it has started another process in its life: page faults of those that have ended, or one that
+    /// runs.
     pub(crate) fn started_others(&self) -> bool {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").expect("its state");
@@ -536,8 +537,8 @@
         faults.expect("a figure") != "0" || !children.trim().is_empty()
     }
 
-    /// What it has open beside its standard streams and what it was left by the tests' own parents, each once, as
-    /// the machine names it.
+    /// What it has open beside its standard streams and what it was left by the tests' own parents, each
+    /// once, as the machine names it.
     pub(crate) fn open_files(&self) -> std::collections::BTreeSet<String> {
         let of = |process: &str| {
             let entries = std::fs::read_dir(format!("/proc/{process}/fd")).expect("its descriptors");
--- a/crates/gatherer/tests/life.rs
+++ b/crates/gatherer/tests/life.rs
@@ -115,8 +115,8 @@
     assert!(cold * 4 < warm, "{cold} parts to the cold one, {warm} to the warm");
 }
 
-/// Guards against an end by SIGHUP, and against a discovery that is followed on although the file names another,
-/// whose revisions start anew.
+/// Guards against an end by SIGHUP, and against a discovery that is followed on although the file names
+/// another, whose revisions start anew.
 #[tokio::test]
 async fn at_sighup_the_discovery_that_the_file_names_is_followed_from_its_whole_list() {
     let world = World::start(&[Manner::Late(ms(200)); 2]).await.ready().await;
@@ -173,8 +173,9 @@
     assert!(others(Some("")).await, "a settings file is evaluated by another process");
 }
 
-/// Guards against what the days at full size refuse or do not bring to anybody: Unix sockets beyond the pair that
-/// the runtime has for its signals, io_uring, and splice and sendfile, which need a pipe or an open file.
+/// Guards against what the days at full size refuse or do not bring to anybody: Unix sockets beyond the pair
+/// that the runtime has for its signals, io_uring, and splice and sendfile, which need a pipe or an open
+/// file.
 #[tokio::test]
 async fn it_opens_tcp_sockets_and_what_the_runtime_waits_on_and_nothing_else() {
     let mut world = World::start(&[Manner::Late(ms(50)); 2]).await.ready().await;
@@ -241,8 +242,8 @@
     assert!(world.exit().await.success());
 }
 
-/// Guards against queries lost in a planned restart: those out, and those that still come while no other gatherer
-/// is there to take them.
+/// Guards against queries lost in a planned restart: those out, and those that still come while no other
+/// gatherer is there to take them.
 #[tokio::test]
 async fn told_to_end_it_serves_on_then_sends_its_clients_away_and_exits_well() {
     let mut world = World::start(&[Manner::Late(ms(200)); 2]).await.ready().await;
--- a/crates/gatherer/tests/memory.rs
+++ b/crates/gatherer/tests/memory.rs
@@ -366,7 +366,8 @@
         assert!(Instant::now() < until, "all room is back within 5 s");
         sleep(ms(20)).await;
     }
-    // How soon servers that fell silent are trusted again is the module's, and takes longer on a busy machine.
+    // How soon servers that fell silent are trusted again is the module's, and takes longer on a busy
+    // machine.
     until_so("it serves as before", async || {
         refused += 1;
         world.client().await.ask(&request("near", &format!("well-{refused}"), 8, "900m")).await.status == 200
