--- a/crates/gatherer/tests/clients.rs
+++ b/crates/gatherer/tests/clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Manner, World, ms, post, request, until};
+use common::{Behaviour, Environment, ms, post, request, wait_until};
 use serde_json::json;
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
@@ -13,7 +13,7 @@
 
 #[tokio::test]
 async fn bad_requests_are_refused_with_a_reason_and_reach_no_server() {
-    let world = World::start(&[Manner::Answer; 2]).await.ready().await;
+    let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     let id = ("Req-Id", "bad");
     let owner = ("Req-Owner", "acme");
     let wait = ("Req-Deadline", "900m");
@@ -49,21 +49,21 @@
         (400, post("near", &[id, owner, wait], &good.replace("1.0", "1e999"))),
     ];
     for (status, case) in cases {
-        let reply = world.client().await.ask(&case).await;
+        let reply = environment.client().await.ask(&case).await;
         assert_eq!(reply.status, status, "{case}");
         assert!(
             status == 405 || status == 404 || !reply.body.is_empty(),
             "the response to {case} states a reason"
         );
     }
-    assert_eq!(world.parts(), 0);
-    assert_eq!(world.client().await.ask(&request("near", "good", 4, "900m")).await.status, 200);
+    assert_eq!(environment.part_count(), 0);
+    assert_eq!(environment.client().await.ask(&request("near", "good", 4, "900m")).await.status, 200);
 }
 
 #[tokio::test]
 async fn chunked_bodies_and_deadlines_in_microseconds_are_accepted() {
-    let world = World::start(&[Manner::Answer; 2]).await.ready().await;
-    let mut client = world.client().await;
+    let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
+    let mut client = environment.client().await;
     let text = body(json!([{"partition": 3, "share": 0.5, "est_us": 9000}, {"partition": 9, "share": 0.5}]));
     let (first, second) = text.split_at(20);
     let head = "POST /book/7f3a HTTP/1.1\r\nHost: api\r\nreq-id: chunked\r\nreq-owner: acme\r\n\
@@ -74,7 +74,7 @@
         tokio::time::sleep(ms(10)).await;
     }
     let reply = client.next().await.expect("the request is answered");
-    assert_eq!((reply.status, reply.values("chunked")), (200, 2));
+    assert_eq!((reply.status, reply.count_values("chunked")), (200, 2));
     assert!(
         reply.head.contains("connection: close") && client.next().await.is_none(),
         "the connection closes after a chunked request"
@@ -85,7 +85,7 @@
 /// not be answered.
 #[tokio::test]
 async fn requests_that_state_their_length_twice_are_rejected_and_their_connection_closes() {
-    let world = World::start(&[Manner::Answer; 2]).await.ready().await;
+    let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     let smuggled = request("near", "hidden", 4, "900m");
     let text = body(json!([{"partition": 3, "share": 1.0}]));
     let whole = format!("{:x}\r\n{text}\r\n0\r\n\r\n{smuggled}", text.len());
@@ -95,37 +95,41 @@
         let length = format!("Content-Length: {length}");
         for [one, two] in [[&length[..], chunks], [chunks, &length], [chunks, chunks], [&length, &length]] {
             let head = "POST /near/a HTTP/1.1\r\nHost: api\r\nReq-Id: outer\r\nReq-Owner: acme";
-            let mut client = world.client().await;
+            let mut client = environment.client().await;
             client.send(&format!("{head}\r\nReq-Deadline: 900m\r\n{one}\r\n{two}\r\n\r\n{body}")).await;
             assert_eq!(client.next().await.map(|r| r.status), Some(400), "{one}, {two}: {body}");
             assert!(client.next().await.is_none(), "the connection closes after the rejection");
         }
     }
-    assert_eq!(world.parts(), 0);
+    assert_eq!(environment.part_count(), 0);
     let pipelined = request("near", "one", 4, "900m") + &request("near", "two", 4, "900m");
-    let mut client = world.client().await;
+    let mut client = environment.client().await;
     client.send(&pipelined).await;
     for id in ["one", "two"] {
         let reply = client.next().await.expect("the request is answered");
-        assert_eq!((reply.status, reply.values(id)), (200, 3), "pipelined requests are answered in order");
+        assert_eq!(
+            (reply.status, reply.count_values(id)),
+            (200, 3),
+            "pipelined requests are answered in order"
+        );
     }
 }
 
 /// Guards against clients that occupy a connection with an incomplete request, or with none.
 #[tokio::test]
 async fn incomplete_requests_are_answered_or_closed_within_three_seconds() {
-    let world = World::start(&[Manner::Answer; 2]).await.ready().await;
+    let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     let whole = request("near", "whole", 4, "900m");
     let long = whole.replace("Content-Length: ", "Content-Length: 60000");
     let endless = format!("POST /near/a HTTP/1.1\r\nX-A: {}", "a".repeat(100_000));
     let negative = whole.replace("Content-Length: ", "Content-Length: -");
     let cases =
         ["", "\r\n", &whole[..40], &whole[..whole.len() - 9], &long, &endless, &negative, "\0\u{7f} \n\n"];
-    let mut kept = world.client().await;
+    let mut kept = environment.client().await;
     assert_eq!(kept.ask(&request("near", "first", 4, "900m")).await.status, 200);
     let mut asking = tokio::task::JoinSet::new();
     for case in cases.map(str::to_owned) {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         asking.spawn(async move {
             let started = Instant::now();
             // The write may fail, because the connection may be closed before it completes.
@@ -138,8 +142,8 @@
     asking.join_all().await;
     let reply = kept.ask(&request("near", "second", 4, "900m")).await;
     assert_eq!(reply.status, 200, "a client that has sent a complete request keeps its connection");
-    let parts_before = world.parts();
-    let mut client = world.client().await;
+    let parts_before = environment.part_count();
+    let mut client = environment.client().await;
     let mut sent = 0;
     let head = post("near", &[], "").replace("Content-Length: 0", "Content-Length: 60000000");
     client.send(&head).await;
@@ -149,16 +153,16 @@
         sent += 65536;
     }
     assert!(sent < 30_000_000, "{sent} bytes of a body over the maximum were read");
-    assert_eq!(world.parts(), parts_before);
+    assert_eq!(environment.part_count(), parts_before);
 }
 
 #[tokio::test]
 async fn the_id_of_an_open_query_is_rejected_and_may_be_reused_later() {
-    let world = World::start(&[Manner::Late(ms(200)); 2]).await.ready().await;
-    let mut first = world.client().await;
+    let environment = Environment::start(&[Behaviour::Delayed(ms(200)); 2]).await.ready().await;
+    let mut first = environment.client().await;
     first.send(&request("near", "twice", 4, "1900m")).await;
-    until("the first query is sent to the servers", || world.parts() > 0).await;
-    assert_eq!(world.client().await.ask(&request("near", "twice", 4, "1900m")).await.status, 409);
+    wait_until("the first query is sent to the servers", || environment.part_count() > 0).await;
+    assert_eq!(environment.client().await.ask(&request("near", "twice", 4, "1900m")).await.status, 409);
     assert_eq!(first.next().await.expect("the request is answered").status, 200);
     assert_eq!(first.ask(&request("near", "twice", 4, "1900m")).await.status, 200);
 }
@@ -166,26 +170,26 @@
 /// Guards against work that continues for a client that has disconnected.
 #[tokio::test]
 async fn a_disconnect_ends_the_query_and_cancels_its_parts() {
-    let world = World::start(&[Manner::Silent; 2]).await.ready().await;
-    let mut client = world.client().await;
+    let environment = Environment::start(&[Behaviour::Silent; 2]).await.ready().await;
+    let mut client = environment.client().await;
     client.send(&request("book", "leaves", 4, "1900m")).await;
-    until("its parts are sent to the servers", || world.parts() == 4).await;
+    wait_until("its parts are sent to the servers", || environment.part_count() == 4).await;
     let disconnected = Instant::now();
     drop(client);
-    let closed = || world.shards.iter().any(|s| s.closed.load(Ordering::SeqCst) > 0);
-    let cancelled = || world.shards.iter().map(|s| s.seen('C').len()).sum::<usize>() == 4 || closed();
-    until("its parts are cancelled, or their connections closed", cancelled).await;
+    let closed = || environment.shards.iter().any(|s| s.closed.load(Ordering::SeqCst) > 0);
+    let cancelled = || environment.shards.iter().map(|s| s.frames('C').len()).sum::<usize>() == 4 || closed();
+    wait_until("its parts are cancelled, or their connections closed", cancelled).await;
     assert!(disconnected.elapsed() < ms(500), "the parts are cancelled long before the deadline");
-    world.shards.iter().for_each(|s| s.behave(Manner::Answer));
-    assert_eq!(world.client().await.ask(&request("near", "leaves", 4, "900m")).await.status, 200);
+    environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
+    assert_eq!(environment.client().await.ask(&request("near", "leaves", 4, "900m")).await.status, 200);
 }
 
 #[tokio::test]
 async fn queries_over_the_maximum_are_rejected_at_once() {
-    let world = World::start(&[Manner::Silent; 2]).await.ready().await;
+    let environment = Environment::start(&[Behaviour::Silent; 2]).await.ready().await;
     let mut asking = tokio::task::JoinSet::new();
     for number in 0..30 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         asking.spawn(async move {
             let started = Instant::now();
             let reply = client.ask(&request("near", &format!("held-{number}"), 4, "700m")).await;
@@ -201,47 +205,49 @@
     assert!(waited.iter().all(|w| *w < ms(900)), "all queries end within their deadlines: {waited:?}");
     let rejected_early = waited.iter().filter(|w| **w < ms(300)).count();
     assert!((10..30).contains(&rejected_early), "at least ten are rejected at once, others wait: {waited:?}");
-    assert!(world.parts() <= 20 * 4, "at most twenty queries of four parts are open at once");
+    assert!(environment.part_count() <= 20 * 4, "at most twenty queries of four parts are open at once");
 }
 
 /// Guards against clients that send half a request and then nothing: others are served, and the program still
 /// ends on SIGTERM.
 #[tokio::test]
 async fn slow_and_idle_clients_do_not_delay_others() {
-    let mut world = World::start(&[Manner::Answer; 2]).await.ready().await;
+    let mut environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     let mut incomplete = Vec::new();
     for _ in 0..20 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         client.send("POST /near/k1 HTTP/1.1\r\nHost: api\r\nReq-Id: ha").await;
         incomplete.push(client);
     }
-    let reply = world.client().await.ask(&request("near", "whole", 4, "900m")).await;
-    assert_eq!((reply.status, reply.values("whole")), (200, 3));
-    world.signal("TERM");
-    assert!(world.exit().await.success());
+    let reply = environment.client().await.ask(&request("near", "whole", 4, "900m")).await;
+    assert_eq!((reply.status, reply.count_values("whole")), (200, 3));
+    environment.signal("TERM");
+    assert!(environment.wait_for_exit().await.success());
 }
 
 /// Guards against clients that the kernel has accepted but that are never served, because idle connections
 /// hold all descriptors.
 #[tokio::test]
 async fn clients_over_the_descriptor_limit_are_served_in_place_of_idle_ones() {
-    let world =
-        World::with(&[Manner::Late(ms(200)); 2], |config| config["limits"]["sockets"] = 80.into()).await;
-    let world = world.ready().await;
-    let mut busy = world.client().await;
+    let environment = Environment::with(&[Behaviour::Delayed(ms(200)); 2], |config| {
+        config["limits"]["sockets"] = 80.into()
+    })
+    .await;
+    let environment = environment.ready().await;
+    let mut busy = environment.client().await;
     busy.send(&request("near", "busy", 4, "1900m")).await;
-    until("its parts are sent to the servers", || world.parts() > 0).await;
+    wait_until("its parts are sent to the servers", || environment.part_count() > 0).await;
     let mut idle = Vec::new();
     for _ in 0..40 {
-        idle.push(world.client().await);
+        idle.push(environment.client().await);
     }
-    let mut last = world.client().await;
+    let mut last = environment.client().await;
     for (client, id) in [(&mut last, "last"), (&mut busy, "busy")] {
         if id == "last" {
             client.send(&request("near", id, 4, "1900m")).await;
         }
         let reply = client.next().await.expect("the request is answered");
-        assert_eq!((reply.status, reply.values(id)), (200, 3));
+        assert_eq!((reply.status, reply.count_values(id)), (200, 3));
     }
-    assert!(world.descriptors() <= 80);
+    assert!(environment.descriptor_count() <= 80);
 }
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -20,49 +20,49 @@
 }
 
 /// How long a test waits for anything.
-pub(crate) const PATIENCE: Duration = ms(10_000);
+pub(crate) const WAIT_TIMEOUT: Duration = ms(10_000);
 
 /// Looks again and again until it is so; fails the test if it never is.
-pub(crate) async fn until(what: &str, so: impl Fn() -> bool) {
-    until_so(what, async || so()).await;
+pub(crate) async fn wait_until(what: &str, so: impl Fn() -> bool) {
+    wait_until_async(what, async || so()).await;
 }
 
-pub(crate) async fn until_so(what: &str, mut so: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub(crate) async fn wait_until_async(what: &str, mut so: impl AsyncFnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !so().await {
-        assert!(Instant::now() < end, "{what}: not within {PATIENCE:?}");
+        assert!(Instant::now() < end, "{what}: not within {WAIT_TIMEOUT:?}");
         sleep(ms(5)).await;
     }
 }
 
 /// What a shard server does with a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Manner {
+pub(crate) enum Behaviour {
     Answer,
     /// Answers so late.
-    Late(Duration),
+    Delayed(Duration),
     Silent,
     /// Says nothing on its first connections, so many, and answers on later ones.
-    Mute(usize),
+    SilentFirst(usize),
     Failed,
     Full,
     /// Answers with values of this length.
     Sized(usize),
     /// The same, but never the last part of a frame.
-    HoldsLast(usize),
+    WithholdLast(usize),
     /// Breaks the connection once the frame is in.
-    Cut,
+    Disconnect,
     /// Sends these bytes in place of an answer.
-    Bytes(&'static [u8]),
+    Raw(&'static [u8]),
     /// Answers, and sends these bytes, or a second copy where there are none, right behind.
-    More(&'static [u8]),
+    AnswerThen(&'static [u8]),
 }
 
 /// A frame that a shard server got.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedFrame {
     pub connection: usize,
-    pub letter: char,
+    pub kind: char,
     /// The parts' ids, or the one given up.
     pub ids: Vec<String>,
     pub text: String,
@@ -71,8 +71,8 @@
 #[derive(Clone)]
 pub(crate) struct Shard {
     pub address: SocketAddr,
-    pub manner: Arc<Mutex<Manner>>,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub behaviour: Arc<Mutex<Behaviour>>,
+    pub frames: Arc<Mutex<Vec<ReceivedFrame>>>,
     pub connections: Arc<AtomicU32>,
     pub closed: Arc<AtomicU32>,
 }
@@ -87,20 +87,20 @@
     format!("{:x<length$}", value_of(id))
 }
 
-pub(crate) fn frame(letter: char, rest: &str) -> Vec<u8> {
+pub(crate) fn frame(kind: char, rest: &str) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
-    bytes.push(letter as u8);
+    bytes.push(kind as u8);
     bytes.extend_from_slice(rest.as_bytes());
     bytes
 }
 
 impl Shard {
-    pub(crate) async fn start(manner: Manner) -> Shard {
+    pub(crate) async fn start(behaviour: Behaviour) -> Shard {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let shard = Shard {
             address: listener.local_addr().expect("its address"),
-            manner: Arc::new(Mutex::new(manner)),
-            seen: Arc::default(),
+            behaviour: Arc::new(Mutex::new(behaviour)),
+            frames: Arc::default(),
             connections: Arc::default(),
             closed: Arc::default(),
         };
@@ -119,21 +119,21 @@
         }
     }
 
-    fn manner(&self) -> Manner {
-        *self.manner.lock().expect("a manner")
+    fn behaviour(&self) -> Behaviour {
+        *self.behaviour.lock().expect("a manner")
     }
 
-    pub(crate) fn behave(&self, manner: Manner) {
-        *self.manner.lock().expect("a manner") = manner;
+    pub(crate) fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("a manner") = behaviour;
     }
 
-    pub(crate) fn seen(&self, letter: char) -> Vec<Seen> {
-        self.seen.lock().expect("frames").iter().filter(|s| s.letter == letter).cloned().collect()
+    pub(crate) fn frames(&self, kind: char) -> Vec<ReceivedFrame> {
+        self.frames.lock().expect("frames").iter().filter(|s| s.kind == kind).cloned().collect()
     }
 
     /// How many parts it was asked for.
-    pub(crate) fn parts(&self) -> usize {
-        self.seen('S').iter().map(|s| s.ids.len()).sum()
+    pub(crate) fn part_count(&self) -> usize {
+        self.frames('S').iter().map(|s| s.ids.len()).sum()
     }
 
     #[expect(
@@ -148,9 +148,9 @@
                 let length = read.read_u32().await? as usize;
                 let mut body = vec![0; length];
                 read.read_exact(&mut body).await?;
-                let (letter, rest) = (body[0] as char, String::from_utf8_lossy(&body[1..]).into_owned());
+                let (kind, rest) = (body[0] as char, String::from_utf8_lossy(&body[1..]).into_owned());
                 let (mut ids, mut text, mut left) = (Vec::new(), String::new(), rest.as_str());
-                while letter == 'S' && !left.is_empty() {
+                while kind == 'S' && !left.is_empty() {
                     let (line, more) = left.split_once('\n').expect("a line");
                     let words: Vec<&str> = line.split(' ').collect();
                     assert!(words.len() == 4 && words[2].starts_with("d="), "line {line:?}");
@@ -159,36 +159,38 @@
                     text = more[..length].to_owned();
                     left = &more[length..];
                 }
-                if letter == 'C' {
+                if kind == 'C' {
                     ids.push(rest.clone());
                 }
-                let manner = self.manner();
-                let seen = Seen { connection, letter, ids: ids.clone(), text };
-                self.seen.lock().expect("frames").push(seen);
-                if letter != 'S' {
+                let behaviour = self.behaviour();
+                let received = ReceivedFrame { connection, kind, ids: ids.clone(), text };
+                self.frames.lock().expect("frames").push(received);
+                if kind != 'S' {
                     continue;
                 }
                 let last = ids.last().cloned();
                 for id in ids {
                     let answer = |end: &str, value: &str| frame('R', &format!("{id} {end} 7 -\n{value}"));
-                    let (wait, bytes) = match &manner {
-                        Manner::Mute(first) if connection < *first => continue,
-                        Manner::Answer | Manner::Mute(_) => (Duration::ZERO, answer("done", &value_of(&id))),
-                        Manner::Late(wait) => (*wait, answer("done", &value_of(&id))),
-                        Manner::Failed => (Duration::ZERO, answer("failed", "")),
-                        Manner::Full => (Duration::ZERO, answer("full", "")),
-                        Manner::HoldsLast(_) if last.as_ref() == Some(&id) => continue,
-                        Manner::Sized(length) | Manner::HoldsLast(length) => {
+                    let (wait, bytes) = match &behaviour {
+                        Behaviour::SilentFirst(first) if connection < *first => continue,
+                        Behaviour::Answer | Behaviour::SilentFirst(_) => {
+                            (Duration::ZERO, answer("done", &value_of(&id)))
+                        }
+                        Behaviour::Delayed(wait) => (*wait, answer("done", &value_of(&id))),
+                        Behaviour::Failed => (Duration::ZERO, answer("failed", "")),
+                        Behaviour::Full => (Duration::ZERO, answer("full", "")),
+                        Behaviour::WithholdLast(_) if last.as_ref() == Some(&id) => continue,
+                        Behaviour::Sized(length) | Behaviour::WithholdLast(length) => {
                             (Duration::ZERO, answer("done", &long_value(&id, *length)))
                         }
-                        Manner::Bytes(bytes) => (Duration::ZERO, bytes.to_vec()),
-                        Manner::More(bytes) => {
+                        Behaviour::Raw(bytes) => (Duration::ZERO, bytes.to_vec()),
+                        Behaviour::AnswerThen(bytes) => {
                             let good = answer("done", &value_of(&id));
                             let more = if bytes.is_empty() { good.clone() } else { bytes.to_vec() };
                             (Duration::ZERO, [good, more].concat())
                         }
-                        Manner::Silent => continue,
-                        Manner::Cut => return Ok(()),
+                        Behaviour::Silent => continue,
+                        Behaviour::Disconnect => return Ok(()),
                     };
                     let answers = answers.clone();
                     tokio::spawn(async move {
@@ -204,7 +206,7 @@
             }
             Ok(())
         };
-        tokio::select! { ended = reading => ended, ended = writing => ended }
+        tokio::select! { result = reading => result, result = writing => result }
     }
 }
 
@@ -214,22 +216,22 @@
     pub address: SocketAddr,
     list: Arc<Mutex<(u64, bool, Vec<Value>)>>,
     /// Answers with this in place of the list, or not at all if it is empty.
-    pub instead: Arc<Mutex<Option<String>>>,
+    pub override_body: Arc<Mutex<Option<String>>>,
     pub calls: Arc<AtomicU32>,
     /// The revisions after which it was asked, and 0 for each time that the whole list was.
-    pub after: Arc<Mutex<Vec<u64>>>,
+    pub requested_after: Arc<Mutex<Vec<u64>>>,
 }
 
-async fn watched(State(discovery): State<Discovery>, uri: Uri) -> (StatusCode, String) {
+async fn serve_list(State(discovery): State<Discovery>, uri: Uri) -> (StatusCode, String) {
     discovery.calls.fetch_add(1, Ordering::SeqCst);
     let asked = |name: &str| -> Option<u64> {
         uri.query()?.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
-    discovery.after.lock().expect("revisions").push(asked("after").unwrap_or(0));
+    discovery.requested_after.lock().expect("revisions").push(asked("after").unwrap_or(0));
     let end = Instant::now() + ms(asked("wait_ms").unwrap_or(0));
     loop {
-        let instead = discovery.instead.lock().expect("words").clone();
-        match instead {
+        let override_body = discovery.override_body.lock().expect("words").clone();
+        match override_body {
             Some(words) if words.is_empty() => std::future::pending::<()>().await,
             Some(words) => return (StatusCode::OK, words),
             None => {}
@@ -257,18 +259,18 @@
         let discovery = Discovery {
             address,
             list,
-            instead: Arc::default(),
+            override_body: Arc::default(),
             calls: Arc::default(),
-            after: Arc::default(),
+            requested_after: Arc::default(),
         };
-        let router = axum::Router::new().route("/v1/servers", axum::routing::get(watched));
+        let router = axum::Router::new().route("/v1/servers", axum::routing::get(serve_list));
         let router = router.with_state(discovery.clone());
         tokio::spawn(async move { axum::serve(listener, router).await });
         discovery
     }
 
     /// Tells a change, or a whole list: its revision.
-    pub(crate) fn tell(&self, complete: bool, members: Vec<Value>) -> u64 {
+    pub(crate) fn publish(&self, complete: bool, members: Vec<Value>) -> u64 {
         let mut list = self.list.lock().expect("a list");
         *list = (list.0 + 1, complete, members);
         list.0
@@ -314,7 +316,7 @@
     }
 
     /// How many parts it holds; each must be what a shard server gave for this very query.
-    pub(crate) fn values(&self, id: &str) -> usize {
+    pub(crate) fn count_values(&self, id: &str) -> usize {
         let body = self.json();
         let results = body["results"].as_array().expect("results");
         for r in results {
@@ -329,7 +331,7 @@
 
 impl Client {
     /// A connection whose machine takes in little that is not read.
-    pub(crate) async fn narrow(listen: SocketAddr) -> Client {
+    pub(crate) async fn with_small_receive_buffer(listen: SocketAddr) -> Client {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a size");
         Client(socket.connect(listen).await.expect("a connection"))
@@ -346,7 +348,7 @@
             if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at + 4;
             }
-            let got = timeout(PATIENCE, self.0.read_buf(&mut bytes)).await.expect("an answer in time");
+            let got = timeout(WAIT_TIMEOUT, self.0.read_buf(&mut bytes)).await.expect("an answer in time");
             if got.unwrap_or(0) == 0 {
                 return None;
             }
@@ -385,7 +387,7 @@
 }
 
 /// The program, with its surroundings.
-pub(crate) struct World {
+pub(crate) struct Environment {
     pub shards: Vec<Shard>,
     pub discovery: Discovery,
     pub listen: SocketAddr,
@@ -399,30 +401,34 @@
     format!("admin(listen = \"{admin}\")\n{own}\n")
 }
 
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+static ENVIRONMENTS: AtomicU32 = AtomicU32::new(0);
 
-impl World {
-    pub(crate) async fn start(manners: &[Manner]) -> World {
-        World::with(manners, |_| {}).await
+impl Environment {
+    pub(crate) async fn start(behaviours: &[Behaviour]) -> Environment {
+        Environment::with(behaviours, |_| {}).await
     }
 
     /// One shard server for each manner, in alternating cells. `change` may alter the configuration.
-    pub(crate) async fn with(manners: &[Manner], change: impl FnOnce(&mut Value)) -> World {
-        World::with_own(manners, None, change).await
+    pub(crate) async fn with(behaviours: &[Behaviour], change: impl FnOnce(&mut Value)) -> Environment {
+        Environment::with_settings(behaviours, None, change).await
     }
 
     /// The same with a settings file of our own and an admin listener.
-    pub(crate) async fn watched(manners: &[Manner], own: &str, change: impl FnOnce(&mut Value)) -> World {
-        World::with_own(manners, Some(own), change).await
+    pub(crate) async fn with_admin(
+        behaviours: &[Behaviour], own: &str, change: impl FnOnce(&mut Value),
+    ) -> Environment {
+        Environment::with_settings(behaviours, Some(own), change).await
     }
 
-    async fn with_own(manners: &[Manner], own: Option<&str>, change: impl FnOnce(&mut Value)) -> World {
+    async fn with_settings(
+        behaviours: &[Behaviour], own: Option<&str>, change: impl FnOnce(&mut Value),
+    ) -> Environment {
         let mut shards = Vec::new();
-        for manner in manners {
-            shards.push(Shard::start(*manner).await);
+        for behaviour in behaviours {
+            shards.push(Shard::start(*behaviour).await);
         }
         let discovery = Discovery::start().await;
-        let number = WORLDS.fetch_add(1, Ordering::SeqCst);
+        let number = ENVIRONMENTS.fetch_add(1, Ordering::SeqCst);
         // A loopback address of its own: a port found free on a shared one may be another's a moment later.
         let [.., high, low] = std::process::id().to_be_bytes();
         let listen = SocketAddr::from(([127, 1 + high % 127, low, 1 + number as u8], 8443));
@@ -446,9 +452,9 @@
             command.arg("--settings").arg(folder.join("own.star"));
         }
         let child = command.spawn().expect("the program");
-        let world = World { shards, discovery, listen, admin, child, folder };
-        until_so("it listens", async || TcpStream::connect(listen).await.is_ok()).await;
-        world
+        let environment = Environment { shards, discovery, listen, admin, child, folder };
+        wait_until_async("it listens", async || TcpStream::connect(listen).await.is_ok()).await;
+        environment
     }
 
     pub(crate) async fn client(&self) -> Client {
@@ -459,40 +465,40 @@
         self.client().await.ask("GET /healthz HTTP/1.1\r\nHost: api\r\n\r\n").await.status
     }
 
-    pub(crate) async fn ready(self) -> World {
-        until_so("it is ready", async || self.health().await == 200).await;
+    pub(crate) async fn ready(self) -> Environment {
+        wait_until_async("it is ready", async || self.health().await == 200).await;
         self
     }
 
     /// What the admin listener answers at a path.
-    pub(crate) async fn told(&self, path: &str) -> Reply {
+    pub(crate) async fn get_admin(&self, path: &str) -> Reply {
         let mut client = Client(TcpStream::connect(self.admin).await.expect("the admin listener"));
         client.ask(&format!("GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n")).await
     }
 
     /// What is told of one purpose.
-    pub(crate) async fn purpose(&self, name: &str) -> Value {
-        let table = self.told("/memory").await.json();
+    pub(crate) async fn purpose_row(&self, name: &str) -> Value {
+        let table = self.get_admin("/memory").await.json();
         let rows = table["purposes"].as_array().expect("purposes");
         rows.iter().find(|row| row["purpose"] == name).expect("a known purpose").clone()
     }
 
     /// How many bytes a purpose has open.
-    pub(crate) async fn open(&self, name: &str) -> u64 {
-        self.purpose(name).await["now"].as_u64().expect("a number")
+    pub(crate) async fn open_bytes(&self, name: &str) -> u64 {
+        self.purpose_row(name).await["now"].as_u64().expect("a number")
     }
 
     /// Replaces our own settings file with this.
-    pub(crate) fn rewrite_own(&self, own: &str) {
+    pub(crate) fn rewrite_settings(&self, own: &str) {
         std::fs::write(self.folder.join("own.star"), script(self.admin, own)).expect("a settings file");
     }
 
-    pub(crate) fn parts(&self) -> usize {
-        self.shards.iter().map(Shard::parts).sum()
+    pub(crate) fn part_count(&self) -> usize {
+        self.shards.iter().map(Shard::part_count).sum()
     }
 
     /// Replaces the configuration file as it is with what `change` makes of it.
-    pub(crate) fn rewrite(&self, change: impl FnOnce(&mut Value)) {
+    pub(crate) fn rewrite_config(&self, change: impl FnOnce(&mut Value)) {
         let text = std::fs::read_to_string(self.config()).expect("the configuration");
         let mut config = serde_json::from_str(&text).expect("JSON");
         change(&mut config);
@@ -504,9 +510,9 @@
         assert!(Command::new("sh").args(["-c", &line]).status().expect("sh").success());
     }
 
-    pub(crate) async fn exit(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until_so("it ends", async || {
+        wait_until_async("it ends", async || {
             status = self.child.try_wait().expect("its state");
             status.is_some()
         })
@@ -519,7 +525,7 @@
     }
 
     /// Resident memory, in kB.
-    pub(crate) fn memory(&self) -> usize {
+    pub(crate) fn resident_kb(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
@@ -528,7 +534,7 @@
 
     /// Whether it has started another process in its life: page faults of those that have ended, or one that
     /// runs.
-    pub(crate) fn started_others(&self) -> bool {
+    pub(crate) fn has_started_process(&self) -> bool {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").expect("its state");
         // Counted from behind the name, which is in brackets and may hold spaces.
@@ -559,12 +565,12 @@
         self.open_files().iter().filter_map(inode).filter(|inode| inodes.contains(inode.as_str())).count()
     }
 
-    pub(crate) fn descriptors(&self) -> usize {
+    pub(crate) fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 }
 
-impl Drop for World {
+impl Drop for Environment {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/gatherer/tests/memory.rs
+++ b/crates/gatherer/tests/memory.rs
@@ -4,44 +4,44 @@
 
 use std::net::SocketAddr;
 
-use common::{Client, Manner, World, long_value, member, ms, request, until_so};
+use common::{Behaviour, Client, Environment, long_value, member, ms, request, wait_until_async};
 use serde_json::{Value, json};
 use tokio::io::AsyncReadExt as _;
 use tokio::time::{Instant, sleep};
 
 /// The longest value whose frame is still read.
-const LONGEST: usize = 65_000;
-const SMALL: u64 = 32;
+const MAX_VALUE_BYTES: usize = 65_000;
+const SMALL_MEMORY_MB: u64 = 32;
 
-fn small(config: &mut Value) {
-    config["limits"]["memory_mb"] = SMALL.into();
+fn use_small_limits(config: &mut Value) {
+    config["limits"]["memory_mb"] = SMALL_MEMORY_MB.into();
     config["settings"]["policy_limits"]["most_held"] = 20_000.into();
     config["settings"]["family_info"]["parts_a_call"] = 16.into();
     config["settings"]["projects"] =
         json!([{"name": "acme", "quota_per_s": 500.0}, {"name": "quiet", "quota_per_s": 500.0}]);
 }
 
-async fn small_world(manner: Manner, own: &str) -> World {
-    World::watched(&[manner; 4], own, small).await.ready().await
+async fn small_environment(behaviour: Behaviour, own: &str) -> Environment {
+    Environment::with_admin(&[behaviour; 4], own, use_small_limits).await.ready().await
 }
 
 /// The list of a world's servers.
-fn members(world: &World) -> Vec<Value> {
-    let one =
+fn members(environment: &Environment) -> Vec<Value> {
+    let to_member =
         |(i, s): (usize, &common::Shard)| member(&format!("s-{i}"), s.address, i as u32 % 2, "ready", 0);
-    world.shards.iter().enumerate().map(one).collect()
+    environment.shards.iter().enumerate().map(to_member).collect()
 }
 
 /// The same request for the other tenant.
-fn of_quiet(request: &str) -> String {
+fn for_quiet_tenant(request: &str) -> String {
     request.replace("Req-Owner: acme", "Req-Owner: quiet")
 }
 
 /// All that purposes filled by queries have open.
-async fn open_of_queries(world: &World) -> u64 {
+async fn open_query_bytes(environment: &Environment) -> u64 {
     let mut sum = 0;
     for name in ["bodies", "queries", "calls", "frames", "values", "answers"] {
-        sum += world.open(name).await;
+        sum += environment.open_bytes(name).await;
     }
     sum
 }
@@ -50,7 +50,7 @@
 async fn stalled(listen: SocketAddr, count: usize, name: &str) -> Vec<Client> {
     let mut clients = Vec::new();
     for number in 0..count {
-        let mut client = Client::narrow(listen).await;
+        let mut client = Client::with_small_receive_buffer(listen).await;
         client.send(&request("near", &format!("{name}-{number}"), 16, "1900m")).await;
         clients.push(client);
     }
@@ -61,8 +61,8 @@
 /// longest gives way, and whoever reads is served throughout.
 #[tokio::test]
 async fn clients_that_read_a_byte_a_second_in_hundreds_take_no_more_than_their_cap() {
-    let world = small_world(Manner::Sized(12 * 1024), "").await;
-    let (listen, mut quiet) = (world.listen, world.client().await);
+    let environment = small_environment(Behaviour::Sized(12 * 1024), "").await;
+    let (listen, mut quiet) = (environment.listen, environment.client().await);
     let load = tokio::spawn(async move {
         let mut all = Vec::new();
         for round in 0..40 {
@@ -77,63 +77,67 @@
         }
         all
     });
-    let (mut whole, mut peak) = (0, 0);
+    let (mut complete, mut peak) = (0, 0);
     for number in 0..40 {
-        let reply = quiet.ask(&of_quiet(&request("near", &format!("quiet-{number}"), 4, "1900m"))).await;
-        whole += usize::from(reply.status == 200 && reply.json()["whole"] == true);
-        peak = peak.max(world.memory());
-        let answers = world.purpose("answers").await;
+        let reply =
+            quiet.ask(&for_quiet_tenant(&request("near", &format!("quiet-{number}"), 4, "1900m"))).await;
+        complete += usize::from(reply.status == 200 && reply.json()["whole"] == true);
+        peak = peak.max(environment.resident_kb());
+        let answers = environment.purpose_row("answers").await;
         assert!(answers["now"].as_u64() <= answers["cap"].as_u64(), "{answers}");
         sleep(ms(50)).await;
     }
     let all = load.await.expect("clients");
-    assert!(whole >= 38, "{whole} of the quiet tenant's 40 are served");
-    assert!(peak < SMALL as usize * 1024, "{peak} kB resident");
+    assert!(complete >= 38, "{complete} of the quiet tenant's 40 are served");
+    assert!(peak < SMALL_MEMORY_MB as usize * 1024, "{peak} kB resident");
     drop(all);
-    until_so("all is given back", async || open_of_queries(&world).await == 0).await;
+    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
 }
 
 #[tokio::test]
 async fn a_client_that_leaves_with_its_answer_half_written_gives_all_back() {
-    let world = small_world(Manner::Sized(60 * 1024), "").await;
-    let mut client = stalled(world.listen, 1, "leaves").await.remove(0);
-    until_so("its answer is being written", async || world.open("answers").await > 500_000).await;
+    let environment = small_environment(Behaviour::Sized(60 * 1024), "").await;
+    let mut client = stalled(environment.listen, 1, "leaves").await.remove(0);
+    wait_until_async("its answer is being written", async || {
+        environment.open_bytes("answers").await > 500_000
+    })
+    .await;
     client.0.read_exact(&mut [0; 1000]).await.expect("a beginning");
     drop(client);
-    until_so("all is given back", async || open_of_queries(&world).await == 0).await;
+    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
 }
 
 /// Guards against values held for answers that never come to be.
 #[tokio::test]
 async fn servers_that_hold_the_last_answer_hold_no_more_than_the_cap_and_all_comes_back() {
-    let world = small_world(Manner::HoldsLast(20 * 1024), "").await;
+    let environment = small_environment(Behaviour::WithholdLast(20 * 1024), "").await;
     let mut asking = Vec::new();
     for number in 0..40 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         // Every part counts for a booking, so that all wait for the last.
         let asked = request("book", &format!("held-{number}"), 16, "1500m");
         asking.push(tokio::spawn(async move { client.ask(&asked).await }));
     }
-    until_so("values are held", async || world.open("values").await > 0).await;
-    let values = world.purpose("values").await;
+    wait_until_async("values are held", async || environment.open_bytes("values").await > 0).await;
+    let values = environment.purpose_row("values").await;
     assert!(values["now"].as_u64() <= values["cap"].as_u64(), "{values}");
-    let mut given_up = 0;
+    let mut aborted = 0;
     for asked in asking {
         let reply = asked.await.expect("an answer");
         // One whose parts all went ahead of another's in their frames has them all.
-        let whole = || reply.json()["results"].as_array().map(Vec::len) == Some(16);
-        assert!(matches!(reply.status, 502 | 503) || whole(), "{}: {}", reply.status, reply.body.len());
-        given_up += usize::from(reply.status == 502);
+        let is_complete = || reply.json()["results"].as_array().map(Vec::len) == Some(16);
+        assert!(matches!(reply.status, 502 | 503) || is_complete(), "{}: {}", reply.status, reply.body.len());
+        aborted += usize::from(reply.status == 502);
     }
-    assert!(given_up > 5, "{given_up}");
-    until_so("all is given back", async || open_of_queries(&world).await == 0).await;
-    assert!(world.memory() < SMALL as usize * 1024, "{} kB", world.memory());
+    assert!(aborted > 5, "{aborted}");
+    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
+    assert!(environment.resident_kb() < SMALL_MEMORY_MB as usize * 1024, "{} kB", environment.resident_kb());
 }
 
 #[tokio::test]
 async fn values_at_the_frames_limit_on_every_part_are_served_and_room_is_set_aside_for_the_next() {
-    let world = small_world(Manner::Sized(LONGEST), "").await;
-    let mut client = world.client().await;
+    let environment = small_environment(Behaviour::Sized(MAX_VALUE_BYTES), "").await;
+    let mut client = environment.client().await;
     for number in 0..6 {
         let id = format!("long-{number}");
         let reply = client.ask(&request("near", &id, 16, "1900m")).await;
@@ -141,12 +145,12 @@
         let body = reply.json();
         let results = body["results"].as_array().expect("results");
         for r in results {
-            assert_eq!(r["value"], long_value(&format!("{id}.{}", r["partition"]), LONGEST));
+            assert_eq!(r["value"], long_value(&format!("{id}.{}", r["partition"]), MAX_VALUE_BYTES));
         }
         assert!(results.len() >= 12, "{}", results.len());
     }
-    let peak = world.purpose("values").await["peak"].as_u64().expect("a number");
-    assert!(peak >= 12 * LONGEST as u64, "{peak} was set aside for a query or held of it");
+    let peak = environment.purpose_row("values").await["peak"].as_u64().expect("a number");
+    assert!(peak >= 12 * MAX_VALUE_BYTES as u64, "{peak} was set aside for a query or held of it");
 }
 
 /// Guards against one customer's flood that fills another's share: 200 queries at once of one, a hundredth of
@@ -154,8 +158,8 @@
 #[tokio::test]
 async fn a_tenant_that_floods_leaves_the_other_its_service() {
     let own = "for p in [\"values\", \"answers\"]:\n    cap(purpose = p, bytes = 256 * KB)";
-    let world = small_world(Manner::Sized(2 * 1024), own).await;
-    let listen = world.listen;
+    let environment = small_environment(Behaviour::Sized(2 * 1024), own).await;
+    let listen = environment.listen;
     let flood = tokio::spawn(async move {
         let (mut rounds, mut refused) = (0, 0);
         let end = Instant::now() + ms(3000);
@@ -180,10 +184,11 @@
         }
         refused
     });
-    let mut quiet = world.client().await;
+    let mut quiet = environment.client().await;
     let (mut asked, mut served) = (0, 0);
     while !flood.is_finished() {
-        let reply = quiet.ask(&of_quiet(&request("near", &format!("calm-{asked}"), 4, "1900m"))).await;
+        let reply =
+            quiet.ask(&for_quiet_tenant(&request("near", &format!("calm-{asked}"), 4, "1900m"))).await;
         asked += 1;
         served += usize::from(reply.status == 200);
         sleep(ms(50)).await;
@@ -196,42 +201,42 @@
 #[tokio::test]
 async fn a_side_effecting_part_that_ran_is_never_called_rejected_for_want_of_room() {
     let own = "cap(purpose = \"values\", bytes = 64 * KB, reserve = 64 * KB)";
-    let world = small_world(Manner::Sized(40 * 1024), own).await;
-    let mut client = world.client().await;
+    let environment = small_environment(Behaviour::Sized(40 * 1024), own).await;
+    let mut client = environment.client().await;
     let book = client.ask(&request("book", "books", 8, "1900m")).await;
     assert_eq!(book.status, 502, "it may have run");
     let near = client.ask(&request("near", "asks", 8, "1900m")).await;
     assert_eq!(near.status, 503, "to ask again is harmless");
     assert!(near.head.contains("retry-after"));
     // What values weigh is known now: the next is turned away before anything of it runs.
-    let before = world.parts();
+    let before = environment.part_count();
     let book = client.ask(&request("book", "books-again", 8, "1900m")).await;
-    assert_eq!((book.status, world.parts()), (503, before));
-    until_so("all is given back", async || open_of_queries(&world).await == 0).await;
+    assert_eq!((book.status, environment.part_count()), (503, before));
+    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
 }
 
 /// Guards against a server that is blamed for room that is lacking here, or a part that hangs.
 #[tokio::test]
 async fn a_frame_larger_than_its_room_ends_its_connection_and_nothing_else() {
     let own = "cap(purpose = \"frames\", bytes = 64 * KB, reserve = 64 * KB)";
-    let world = small_world(Manner::Sized(65_514), own).await;
+    let environment = small_environment(Behaviour::Sized(65_514), own).await;
     let began = Instant::now();
-    let reply = world.client().await.ask(&request("near", "too-long", 2, "1900m")).await;
+    let reply = environment.client().await.ask(&request("near", "too-long", 2, "1900m")).await;
     assert_eq!(reply.status, 503);
     assert!(began.elapsed() < ms(1500), "its end is told at once: {:?}", began.elapsed());
-    world.shards.iter().for_each(|s| s.behave(Manner::Answer));
-    let reply = world.client().await.ask(&request("near", "short", 2, "1900m")).await;
+    environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
+    let reply = environment.client().await.ask(&request("near", "short", 2, "1900m")).await;
     assert_eq!(reply.status, 200);
 }
 
 #[tokio::test]
 async fn a_body_that_finds_no_room_is_refused_before_it_is_read_and_its_connection_closed() {
     let own = "cap(purpose = \"bodies\", bytes = 64 * KB, reserve = 64 * KB)";
-    let world = small_world(Manner::Answer, own).await;
+    let environment = small_environment(Behaviour::Answer, own).await;
     let mut slow = Vec::new();
     // Bodies that are said to be long, and do not come.
     for number in 0..3 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         let asked = request("near", &format!("body-{number}"), 2, "900m");
         let head = asked.split("\r\n\r\n").next().expect("a head");
         let head = head.rsplit_once("Content-Length").expect("a length").0;
@@ -248,88 +253,92 @@
         }
     }
     assert!(refused >= 2, "one of 40,000 bytes finds room, the others none: {refused}");
-    assert_eq!(world.client().await.ask(&request("near", "after", 2, "900m")).await.status, 200);
-    until_so("all is given back", async || world.open("bodies").await == 0).await;
+    assert_eq!(environment.client().await.ask(&request("near", "after", 2, "900m")).await.status, 200);
+    wait_until_async("all is given back", async || environment.open_bytes("bodies").await == 0).await;
 }
 
 /// Guards against half a list, and against a list that takes all memory.
 #[tokio::test]
 async fn a_list_too_large_is_kept_out_whole_and_the_old_one_stays() {
     let own = "cap(purpose = \"servers\", bytes = 200 * KB, reserve = 0)";
-    let world = small_world(Manner::Answer, own).await;
-    let crowd = (0..400).map(|i| member(&format!("crowd-{i}"), world.shards[0].address, 0, "ready", 0));
-    let before = world.open("servers").await;
-    let asked = world.discovery.calls.load(std::sync::atomic::Ordering::SeqCst);
-    world.discovery.tell(true, crowd.collect());
-    until_so("it is asked for again", async || {
-        world.discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > asked + 2
+    let environment = small_environment(Behaviour::Answer, own).await;
+    let crowd = (0..400).map(|i| member(&format!("crowd-{i}"), environment.shards[0].address, 0, "ready", 0));
+    let before = environment.open_bytes("servers").await;
+    let asked = environment.discovery.calls.load(std::sync::atomic::Ordering::SeqCst);
+    environment.discovery.publish(true, crowd.collect());
+    wait_until_async("it is asked for again", async || {
+        environment.discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > asked + 2
     })
     .await;
-    let mut client = world.client().await;
+    let mut client = environment.client().await;
     for number in 0..5 {
         let reply = client.ask(&request("near", &format!("kept-{number}"), 8, "900m")).await;
-        assert_eq!((reply.status, reply.values(&format!("kept-{number}"))), (200, 6));
+        assert_eq!((reply.status, reply.count_values(&format!("kept-{number}"))), (200, 6));
     }
-    let mut drained = members(&world);
+    let mut drained = members(&environment);
     drained[0]["phase"] = "draining".into();
-    world.discovery.tell(true, drained);
-    until_so("a list that fits is taken", async || {
-        let seen = world.shards[0].parts();
+    environment.discovery.publish(true, drained);
+    wait_until_async("a list that fits is taken", async || {
+        let parts_before = environment.shards[0].part_count();
         for number in 0..4 {
-            client.ask(&request("near", &format!("d-{seen}-{number}"), 8, "900m")).await;
+            client.ask(&request("near", &format!("d-{parts_before}-{number}"), 8, "900m")).await;
         }
-        world.shards[0].parts() == seen
+        environment.shards[0].part_count() == parts_before
+    })
+    .await;
+    wait_until_async("what the list took is given back", async || {
+        environment.open_bytes("servers").await == before
     })
     .await;
-    until_so("what the list took is given back", async || world.open("servers").await == before).await;
 }
 
 /// Guards against a cap that, lowered by a reload, breaks what is held, and one that is not taken over.
 #[tokio::test]
 async fn a_cap_lowered_below_what_is_in_use_keeps_what_is_held_and_lets_nothing_more_in() {
-    let patient = |config: &mut Value| {
-        small(config);
+    let long_timeouts = |config: &mut Value| {
+        use_small_limits(config);
         for class in config["settings"]["request_classes"].as_array_mut().expect("classes") {
             class["aim_us"] = 5_000_000.into();
             class["hard_limit_us"] = 6_000_000.into();
         }
     };
-    let world = World::watched(&[Manner::Late(ms(1500)); 4], "", patient).await.ready().await;
+    let environment =
+        Environment::with_admin(&[Behaviour::Delayed(ms(1500)); 4], "", long_timeouts).await.ready().await;
     // A reload asks for the whole list.
-    world.discovery.tell(true, members(&world));
-    let mut held = world.client().await;
+    environment.discovery.publish(true, members(&environment));
+    let mut held = environment.client().await;
     held.send(&request("near", "held", 16, "5500m")).await;
-    until_so("it is held", async || world.open("queries").await > 0).await;
-    world.rewrite_own("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)\ncap(purpose = \"values\", bytes = 64 * KB, reserve = 0, more = 1)");
-    world.signal("HUP");
+    wait_until_async("it is held", async || environment.open_bytes("queries").await > 0).await;
+    environment.rewrite_settings("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)\ncap(purpose = \"values\", bytes = 64 * KB, reserve = 0, more = 1)");
+    environment.signal("HUP");
     sleep(ms(300)).await;
-    let cap = async || world.purpose("queries").await["cap"].as_u64().expect("a number");
+    let cap = async || environment.purpose_row("queries").await["cap"].as_u64().expect("a number");
     assert!(cap().await > 1 << 20, "a file with one fault changes nothing");
     let mut others = Vec::new();
     for number in 0..4 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         client.send(&request("near", &format!("more-{number}"), 16, "5500m")).await;
         others.push(client);
     }
-    until_so("they are held", async || world.open("queries").await > 80_000).await;
-    world.rewrite_own("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)");
-    world.signal("HUP");
-    until_so("the cap is lowered", async || cap().await == 64 << 10).await;
-    assert!(world.open("queries").await > 64 << 10, "nothing is taken back");
-    let refused = world.client().await.ask(&request("near", "one-more", 16, "5500m")).await;
+    wait_until_async("they are held", async || environment.open_bytes("queries").await > 80_000).await;
+    environment.rewrite_settings("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)");
+    environment.signal("HUP");
+    wait_until_async("the cap is lowered", async || cap().await == 64 << 10).await;
+    assert!(environment.open_bytes("queries").await > 64 << 10, "nothing is taken back");
+    let refused = environment.client().await.ask(&request("near", "one-more", 16, "5500m")).await;
     assert_eq!((refused.status, refused.head.contains("retry-after")), (503, true));
     assert_eq!(held.next().await.expect("an answer").status, 200);
     for mut client in others {
         assert_eq!(client.next().await.expect("an answer").status, 200);
     }
-    world.rewrite_own("");
-    world.signal("HUP");
-    until_so("the cap is raised", async || cap().await > 1 << 20).await;
-    world.shards.iter().for_each(|s| s.behave(Manner::Answer));
+    environment.rewrite_settings("");
+    environment.signal("HUP");
+    wait_until_async("the cap is raised", async || cap().await > 1 << 20).await;
+    environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
     let mut number = 0;
-    until_so("it serves as before", async || {
+    wait_until_async("it serves as before", async || {
         number += 1;
-        world.client().await.ask(&request("near", &format!("after-{number}"), 16, "5500m")).await.status
+        environment.client().await.ask(&request("near", &format!("after-{number}"), 16, "5500m")).await.status
             == 200
     })
     .await;
@@ -340,37 +349,38 @@
 async fn with_caps_full_the_admin_listener_answers_and_all_room_is_back_within_five_seconds() {
     let own =
         "memory(total = 6 * MB)\nfor p in [\"values\", \"answers\"]:\n    cap(purpose = p, bytes = 1 * MB)";
-    let world = small_world(Manner::HoldsLast(60 * 1024), own).await;
-    let _stalled = stalled(world.listen, 20, "full-near").await;
+    let environment = small_environment(Behaviour::WithholdLast(60 * 1024), own).await;
+    let _stalled = stalled(environment.listen, 20, "full-near").await;
     let mut asking = Vec::new();
     for number in 0..20 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         client.send(&request("book", &format!("full-book-{number}"), 16, "1900m")).await;
         asking.push(client);
     }
     let mut refused = 0;
-    until_so("there is no room", async || {
-        let table = world.told("/memory").await.json();
+    wait_until_async("there is no room", async || {
+        let table = environment.get_admin("/memory").await.json();
         let rows = table["purposes"].as_array().expect("purposes").clone();
         refused = rows.iter().map(|r| r["refused"].as_u64().expect("a number")).sum();
         refused > 5
     })
     .await;
-    let metrics = world.told("/metrics").await;
+    let metrics = environment.get_admin("/metrics").await;
     assert!(metrics.body.contains("ashvane_memory_open_bytes{purpose=\"values\"}"), "{}", metrics.body);
     assert!(metrics.body.ends_with("# EOF\n"));
     let until = Instant::now() + ms(5000);
-    world.shards.iter().for_each(|s| s.behave(Manner::Answer));
+    environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
     drop((asking, _stalled));
-    while open_of_queries(&world).await > 0 {
+    while open_query_bytes(&environment).await > 0 {
         assert!(Instant::now() < until, "all room is back within 5 s");
         sleep(ms(20)).await;
     }
     // How soon servers that fell silent are trusted again is the module's, and takes longer on a busy
     // machine.
-    until_so("it serves as before", async || {
+    wait_until_async("it serves as before", async || {
         refused += 1;
-        world.client().await.ask(&request("near", &format!("well-{refused}"), 8, "900m")).await.status == 200
+        environment.client().await.ask(&request("near", &format!("well-{refused}"), 8, "900m")).await.status
+            == 200
     })
     .await;
 }
@@ -378,10 +388,10 @@
 /// Guards against a ledger that tells a story of its own.
 #[tokio::test]
 async fn what_is_live_and_has_no_purpose_stays_within_its_bound_under_load() {
-    let world = small_world(Manner::Sized(8 * 1024), "").await;
+    let environment = small_environment(Behaviour::Sized(8 * 1024), "").await;
     let mut asking = Vec::new();
     for number in 0..40 {
-        let mut client = world.client().await;
+        let mut client = environment.client().await;
         asking.push(tokio::spawn(async move {
             for turn in 0..10 {
                 let reply = client.ask(&request("near", &format!("load-{number}-{turn}"), 16, "1900m")).await;
@@ -391,7 +401,7 @@
     }
     let mut readings = 0;
     while !asking.iter().all(tokio::task::JoinHandle::is_finished) {
-        let table = world.told("/memory").await.json();
+        let table = environment.get_admin("/memory").await.json();
         let (live, off) =
             (table["live"].as_f64().expect("live"), table["unattributed"].as_f64().expect("rest"));
         assert!(off.abs() <= (live * 0.15).max(3e6), "{off} of {live} has no purpose");
@@ -406,13 +416,13 @@
 
 #[tokio::test]
 async fn what_memory_is_used_for_is_logged_on_a_signal_and_elsewhere_nobody_is_told() {
-    let world = World::start(&[Manner::Answer; 2]).await.ready().await;
-    assert!(tokio::net::TcpStream::connect(world.admin).await.is_err(), "off unless it is set");
-    let world = small_world(Manner::Answer, "").await;
-    assert_eq!(world.told("/memory").await.status, 200);
-    assert_eq!(world.told("/else").await.status, 404);
-    world.signal("USR1");
-    assert_eq!(world.client().await.ask(&request("near", "serves-on", 2, "900m")).await.status, 200);
+    let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
+    assert!(tokio::net::TcpStream::connect(environment.admin).await.is_err(), "off unless it is set");
+    let environment = small_environment(Behaviour::Answer, "").await;
+    assert_eq!(environment.get_admin("/memory").await.status, 200);
+    assert_eq!(environment.get_admin("/else").await.status, 404);
+    environment.signal("USR1");
+    assert_eq!(environment.client().await.ask(&request("near", "serves-on", 2, "900m")).await.status, 200);
 }
 
 #[test]
