--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -33,15 +33,15 @@
 /// Number of descriptors for everything but connections to clients and shard servers: standard streams, the
 /// runtime, discovery and the listeners.
 const RESERVED_SOCKETS: usize = 64;
-/// Time without new connections after which clients count as having moved elsewhere. They may connect for up
-/// to 0.4 s after the signal to end.
+/// Time without new connections after which clients count as having moved elsewhere. While they move, new
+/// connections arrive for up to 0.4 s.
 const QUIET_PERIOD: Duration = Duration::from_millis(600);
 /// Interval of the check whether all clients have disconnected.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum query timeout that the shutdown waits for.
 const MAX_QUERY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time beyond the longest query timeout after which open queries are aborted. The program may be killed 0.7
-/// s beyond that timeout, and not earlier.
+/// Time beyond the longest query timeout after which open queries are aborted. The program is not killed
+/// earlier than 0.7 s beyond that timeout.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 /// Ratio of the draining phase to the whole shutdown. Clients are served as usual in it, because there may be
 /// no other gatherer yet.
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the built program and stands in for what it speaks to: discovery, shard servers, clients.
+//! Test environment: starts the built program with simulated discovery, shard servers and clients.
 #![allow(dead_code)]
 
 use std::io::Read as _;
@@ -19,55 +19,60 @@
     Duration::from_millis(ms)
 }
 
-/// How long a test waits for anything.
+/// Maximum time that a test waits for a condition or an answer.
 pub(crate) const WAIT_TIMEOUT: Duration = ms(10_000);
 
-/// Looks again and again until it is so; fails the test if it never is.
+/// Waits until a condition holds. Fails the test after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_until(what: &str, so: impl Fn() -> bool) {
     wait_until_async(what, async || so()).await;
 }
 
+/// Waits until an asynchronous condition holds. Fails the test after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_until_async(what: &str, mut so: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !so().await {
-        assert!(Instant::now() < end, "{what}: not within {WAIT_TIMEOUT:?}");
+        assert!(Instant::now() < end, "condition not met within {WAIT_TIMEOUT:?}: {what}");
         sleep(ms(5)).await;
     }
 }
 
-/// What a shard server does with a part.
+/// How a simulated shard server handles a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Behaviour {
     Answer,
-    /// Answers so late.
+    /// Answers after this time.
     Delayed(Duration),
+    /// Never answers.
     Silent,
-    /// Says nothing on its first connections, so many, and answers on later ones.
+    /// Never answers on this many first connections, and answers on later ones.
     SilentFirst(usize),
+    /// Answers with the status `failed`.
     Failed,
+    /// Answers with the status `full`.
     Full,
     /// Answers with values of this length.
     Sized(usize),
-    /// The same, but never the last part of a frame.
+    /// Answers with values of this length, except for the last part of each frame.
     WithholdLast(usize),
-    /// Breaks the connection once the frame is in.
+    /// Closes the connection when a frame has been received.
     Disconnect,
-    /// Sends these bytes in place of an answer.
+    /// Sends these bytes instead of an answer.
     Raw(&'static [u8]),
-    /// Answers, and sends these bytes, or a second copy where there are none, right behind.
+    /// Answers and then sends these bytes, or the answer again if there are none.
     AnswerThen(&'static [u8]),
 }
 
-/// A frame that a shard server got.
+/// A frame that a shard server received.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedFrame {
     pub connection: usize,
     pub kind: char,
-    /// The parts' ids, or the one given up.
+    /// Ids of the parts, or the id of the cancelled part.
     pub ids: Vec<String>,
     pub text: String,
 }
 
+/// A simulated shard server.
 #[derive(Clone)]
 pub(crate) struct Shard {
     pub address: SocketAddr,
@@ -77,16 +82,17 @@
     pub closed: Arc<AtomicU32>,
 }
 
-/// The value that a stand-in gives a part.
+/// Returns the value that simulated shard servers answer for a part.
 pub(crate) fn value_of(id: &str) -> String {
     format!("value-of-{id}")
 }
 
-/// The same, made this long.
+/// Returns the value of a part, padded to `length`.
 pub(crate) fn long_value(id: &str, length: usize) -> String {
     format!("{:x<length$}", value_of(id))
 }
 
+/// Encodes a frame of this kind.
 pub(crate) fn frame(kind: char, rest: &str) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_be_bytes().to_vec();
     bytes.push(kind as u8);
@@ -127,11 +133,12 @@
         *self.behaviour.lock().expect("a manner") = behaviour;
     }
 
+    /// Returns the received frames of this kind.
     pub(crate) fn frames(&self, kind: char) -> Vec<ReceivedFrame> {
         self.frames.lock().expect("frames").iter().filter(|s| s.kind == kind).cloned().collect()
     }
 
-    /// How many parts it was asked for.
+    /// Returns the number of parts that the server has received.
     pub(crate) fn part_count(&self) -> usize {
         self.frames('S').iter().map(|s| s.ids.len()).sum()
     }
@@ -210,18 +217,19 @@
     }
 }
 
-/// Discovery: a list that tests change, and a manner in which it answers.
+/// Simulated discovery, whose list and responses tests can change.
 #[derive(Clone)]
 pub(crate) struct Discovery {
     pub address: SocketAddr,
     list: Arc<Mutex<(u64, bool, Vec<Value>)>>,
-    /// Answers with this in place of the list, or not at all if it is empty.
+    /// Body sent instead of the list. If it is empty, requests are not answered.
     pub override_body: Arc<Mutex<Option<String>>>,
     pub calls: Arc<AtomicU32>,
-    /// The revisions after which it was asked, and 0 for each time that the whole list was.
+    /// The revision that each request stated, or 0 for a request for the complete list.
     pub requested_after: Arc<Mutex<Vec<u64>>>,
 }
 
+/// Handles a request for the list. Holds a long poll until the list changes or the poll expires.
 async fn serve_list(State(discovery): State<Discovery>, uri: Uri) -> (StatusCode, String) {
     discovery.calls.fetch_add(1, Ordering::SeqCst);
     let asked = |name: &str| -> Option<u64> {
@@ -269,7 +277,7 @@
         discovery
     }
 
-    /// Tells a change, or a whole list: its revision.
+    /// Publishes an incremental or a complete list, and returns its revision.
     pub(crate) fn publish(&self, complete: bool, members: Vec<Value>) -> u64 {
         let mut list = self.list.lock().expect("a list");
         *list = (list.0 + 1, complete, members);
@@ -287,7 +295,8 @@
            "late_share": 0.1, "gain": 1.0, "streamed": false, "window_us": 5_000_000})
 }
 
-/// Two cells, each shard in both; `near` needs three quarters, `book` must not run twice.
+/// Returns settings with two cells, each with all shards. The vertical `near` requires three quarters of the
+/// parts, and `book` must not run twice.
 pub(crate) fn settings() -> Value {
     json!({
         "balancers": 1, "zone": 0, "zones": ["a", "b"], "quantum_us": 5000, "membership_mode": "pushed",
@@ -315,7 +324,8 @@
         serde_json::from_str(&self.body).expect("JSON")
     }
 
-    /// How many parts it holds; each must be what a shard server gave for this very query.
+    /// Returns the number of values, and checks that each is the one that shard servers answer for this
+    /// query.
     pub(crate) fn count_values(&self, id: &str) -> usize {
         let body = self.json();
         let results = body["results"].as_array().expect("results");
@@ -326,11 +336,11 @@
     }
 }
 
-/// A client's connection.
+/// A connection of a client.
 pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    /// A connection whose machine takes in little that is not read.
+    /// Connects with a small receive buffer, so that answers that are not read soon block the sender.
     pub(crate) async fn with_small_receive_buffer(listen: SocketAddr) -> Client {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a size");
@@ -341,14 +351,16 @@
         self.0.write_all(request.as_bytes()).await.expect("written");
     }
 
-    /// The next answer; none if the connection ends before one.
+    /// Returns the next answer, or `None` if the connection is closed first.
     pub(crate) async fn next(&mut self) -> Option<Reply> {
         let mut bytes = Vec::new();
         let head = loop {
             if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
                 break at + 4;
             }
-            let got = timeout(WAIT_TIMEOUT, self.0.read_buf(&mut bytes)).await.expect("an answer in time");
+            let got = timeout(WAIT_TIMEOUT, self.0.read_buf(&mut bytes))
+                .await
+                .expect("an answer or the end of the connection arrives within the timeout");
             if got.unwrap_or(0) == 0 {
                 return None;
             }
@@ -357,7 +369,7 @@
         let length = text.lines().find_map(|l| l.strip_prefix("content-length: ")).expect("a length");
         let length: usize = length.parse().expect("a number");
         while bytes.len() < head + length {
-            self.0.read_buf(&mut bytes).await.expect("the rest");
+            self.0.read_buf(&mut bytes).await.expect("the rest of the body arrives");
         }
         let status = text[9..12].parse().expect("a status");
         Some(Reply { status, head: text, body: String::from_utf8(bytes[head..].to_vec()).expect("text") })
@@ -369,7 +381,7 @@
     }
 }
 
-/// A request for so many parts of equal weight, about what its id names.
+/// Returns a request with `parts` parts of equal weight. Its id is also the key in its path.
 pub(crate) fn request(vertical: &str, id: &str, parts: u32, deadline: &str) -> String {
     let part = |shard| json!({"partition": shard, "share": 1.0 / f64::from(parts)});
     let body = json!({"targets": (0..parts).map(part).collect::<Vec<_>>(), "query": "c41e77d0"});
@@ -386,7 +398,7 @@
     format!("POST /{path} HTTP/1.1\r\nHost: api\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// The program, with its surroundings.
+/// The running program with simulated shard servers and discovery.
 pub(crate) struct Environment {
     pub shards: Vec<Shard>,
     pub discovery: Discovery,
@@ -396,7 +408,7 @@
     folder: std::path::PathBuf,
 }
 
-/// A settings file with an admin listener.
+/// Returns the text of a settings file with an admin listener.
 fn script(admin: SocketAddr, own: &str) -> String {
     format!("admin(listen = \"{admin}\")\n{own}\n")
 }
@@ -408,12 +420,13 @@
         Environment::with(behaviours, |_| {}).await
     }
 
-    /// One shard server for each manner, in alternating cells. `change` may alter the configuration.
+    /// Starts one shard server for each behaviour, in alternating cells. `change` may alter the
+    /// configuration.
     pub(crate) async fn with(behaviours: &[Behaviour], change: impl FnOnce(&mut Value)) -> Environment {
         Environment::with_settings(behaviours, None, change).await
     }
 
-    /// The same with a settings file of our own and an admin listener.
+    /// Starts like [`Environment::with`], with a settings file that adds an admin listener to `own`.
     pub(crate) async fn with_admin(
         behaviours: &[Behaviour], own: &str, change: impl FnOnce(&mut Value),
     ) -> Environment {
@@ -429,7 +442,8 @@
         }
         let discovery = Discovery::start().await;
         let number = ENVIRONMENTS.fetch_add(1, Ordering::SeqCst);
-        // A loopback address of its own: a port found free on a shared one may be another's a moment later.
+        // Each environment has its own loopback address. A free port on a shared address may be taken by
+        // another process before the program binds it.
         let [.., high, low] = std::process::id().to_be_bytes();
         let listen = SocketAddr::from(([127, 1 + high % 127, low, 1 + number as u8], 8443));
         let members = shards.iter().enumerate();
@@ -453,7 +467,7 @@
         }
         let child = command.spawn().expect("the program");
         let environment = Environment { shards, discovery, listen, admin, child, folder };
-        wait_until_async("it listens", async || TcpStream::connect(listen).await.is_ok()).await;
+        wait_until_async("the program listens", async || TcpStream::connect(listen).await.is_ok()).await;
         environment
     }
 
@@ -466,29 +480,29 @@
     }
 
     pub(crate) async fn ready(self) -> Environment {
-        wait_until_async("it is ready", async || self.health().await == 200).await;
+        wait_until_async("the program is ready", async || self.health().await == 200).await;
         self
     }
 
-    /// What the admin listener answers at a path.
+    /// Returns the answer of the admin listener at a path.
     pub(crate) async fn get_admin(&self, path: &str) -> Reply {
         let mut client = Client(TcpStream::connect(self.admin).await.expect("the admin listener"));
         client.ask(&format!("GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n")).await
     }
 
-    /// What is told of one purpose.
+    /// Returns the admin listener's row of one purpose.
     pub(crate) async fn purpose_row(&self, name: &str) -> Value {
         let table = self.get_admin("/memory").await.json();
         let rows = table["purposes"].as_array().expect("purposes");
         rows.iter().find(|row| row["purpose"] == name).expect("a known purpose").clone()
     }
 
-    /// How many bytes a purpose has open.
+    /// Returns the number of bytes charged to a purpose.
     pub(crate) async fn open_bytes(&self, name: &str) -> u64 {
         self.purpose_row(name).await["now"].as_u64().expect("a number")
     }
 
-    /// Replaces our own settings file with this.
+    /// Replaces the settings file.
     pub(crate) fn rewrite_settings(&self, own: &str) {
         std::fs::write(self.folder.join("own.star"), script(self.admin, own)).expect("a settings file");
     }
@@ -497,7 +511,7 @@
         self.shards.iter().map(Shard::part_count).sum()
     }
 
-    /// Replaces the configuration file as it is with what `change` makes of it.
+    /// Applies `change` to the configuration file.
     pub(crate) fn rewrite_config(&self, change: impl FnOnce(&mut Value)) {
         let text = std::fs::read_to_string(self.config()).expect("the configuration");
         let mut config = serde_json::from_str(&text).expect("JSON");
@@ -512,19 +526,19 @@
 
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until_async("it ends", async || {
+        wait_until_async("the program exits", async || {
             status = self.child.try_wait().expect("its state");
             status.is_some()
         })
         .await;
-        status.expect("it has ended")
+        status.expect("the program has exited")
     }
 
     pub(crate) fn config(&self) -> String {
         self.folder.join("config.json").to_str().expect("text").to_owned()
     }
 
-    /// Resident memory, in kB.
+    /// Returns the resident memory of the program, in kB.
     pub(crate) fn resident_kb(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
@@ -532,19 +546,20 @@
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Whether it has started another process in its life: page faults of those that have ended, or one that
-    /// runs.
+    /// Whether the program has ever started another process. A process that has ended shows in the page
+    /// faults of the children, a running one in the list of children.
     pub(crate) fn has_started_process(&self) -> bool {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").expect("its state");
-        // Counted from behind the name, which is in brackets and may hold spaces.
+        // Fields are counted from the end of the process name, which is in parentheses and may contain
+        // spaces.
         let faults = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().nth(8));
         let children = read(&format!("task/{}/children", self.child.id())).expect("its children");
         faults.expect("a figure") != "0" || !children.trim().is_empty()
     }
 
-    /// What it has open beside its standard streams and what it was left by the tests' own parents, each
-    /// once, as the machine names it.
+    /// Returns the distinct targets of the program's descriptors, without the standard streams and those that
+    /// it inherited from the test process.
     pub(crate) fn open_files(&self) -> std::collections::BTreeSet<String> {
         let of = |process: &str| {
             let entries = std::fs::read_dir(format!("/proc/{process}/fd")).expect("its descriptors");
@@ -556,7 +571,7 @@
         theirs.into_iter().filter(|file| file.starts_with("anon_inode:") || !ours.contains(file)).collect()
     }
 
-    /// How many of its sockets are Unix sockets.
+    /// Returns how many of the program's sockets are Unix sockets.
     pub(crate) fn unix_sockets(&self) -> usize {
         let table = std::fs::read_to_string(format!("/proc/{}/net/unix", self.child.id())).expect("a table");
         let inodes: std::collections::BTreeSet<&str> =
@@ -585,7 +600,7 @@
     command
 }
 
-/// Runs the program to its end: its status, and all it wrote to standard output and error.
+/// Runs the program until it exits. Returns whether it succeeded, and its standard output and error.
 pub(crate) fn run(arguments: &[&str], config: Option<&str>) -> (bool, String, String) {
     let mut command = program();
     command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -596,5 +611,5 @@
     let (mut out, mut err) = (String::new(), String::new());
     child.stdout.take().expect("a pipe").read_to_string(&mut out).expect("text");
     child.stderr.take().expect("a pipe").read_to_string(&mut err).expect("text");
-    (child.wait().expect("its end").success(), out, err)
+    (child.wait().expect("the program exits").success(), out, err)
 }
--- a/crates/gatherer/tests/life.rs
+++ b/crates/gatherer/tests/life.rs
@@ -1,4 +1,4 @@
-//! Start, discovery, end, and the command line.
+//! Start, discovery, reload, shutdown, and the command line.
 
 mod common;
 
@@ -35,7 +35,7 @@
         let calls = environment.discovery.calls.load(Ordering::SeqCst);
         environment.discovery.publish(true, Vec::new());
         if !override_body.is_empty() {
-            wait_until("the watch goes on", || {
+            wait_until("the list is requested again", || {
                 environment.discovery.calls.load(Ordering::SeqCst) > calls + 1
             })
             .await;
@@ -47,17 +47,17 @@
     assert_eq!(environment.client().await.ask(&request("near", "q", 4, "900m")).await.status, 200);
 }
 
-/// Guards against parts sent to a server that drains, those that wait for a connection included.
+/// Guards against parts sent to a draining server, including those that were waiting for a connection.
 #[tokio::test]
-async fn a_draining_server_gets_nothing_new_and_finishes_what_it_has() {
+async fn a_draining_server_gets_no_new_parts_and_finishes_those_in_flight() {
     let environment = Environment::start(&[Behaviour::Delayed(ms(300)); 2]).await.ready().await;
     let mut client = environment.client().await;
     client.send(&request("book", "before", 4, "1900m")).await;
-    wait_until("it is sent", || environment.part_count() == 4).await;
+    wait_until("the query is sent", || environment.part_count() == 4).await;
     environment
         .discovery
         .publish(false, vec![member("s-0", environment.shards[0].address, 0, "draining", 0)]);
-    assert_eq!(client.next().await.expect("an answer").status, 200);
+    assert_eq!(client.next().await.expect("an answer arrives").status, 200);
     let had = environment.shards[0].part_count();
     for number in 0..4 {
         let reply = client.ask(&request("book", &format!("after-{number}"), 4, "1900m")).await;
@@ -65,7 +65,10 @@
     }
     assert_eq!(environment.shards[0].part_count(), had);
     environment.discovery.publish(false, vec![member("s-0", environment.shards[0].address, 0, "gone", 0)]);
-    wait_until("its connection is closed", || environment.shards[0].closed.load(Ordering::SeqCst) == 1).await;
+    wait_until("the connection to the removed server is closed", || {
+        environment.shards[0].closed.load(Ordering::SeqCst) == 1
+    })
+    .await;
 }
 
 #[tokio::test]
@@ -81,9 +84,9 @@
     assert!(moved.part_count() == 3 && environment.shards[0].part_count() == 3);
 }
 
-/// Guards against records kept of servers that are gone: on a long day they are always new.
+/// Guards against records kept of removed servers. They would accumulate, because new servers have new ids.
 #[tokio::test]
-async fn generations_of_servers_leave_nothing_behind() {
+async fn replaced_servers_leave_no_memory_or_descriptors_behind() {
     let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     let mut client = environment.client().await;
     let mut first = 0;
@@ -93,7 +96,7 @@
         let revision = environment.discovery.publish(true, members.collect());
         let is_requested =
             || environment.discovery.requested_after.lock().expect("revisions").last() == Some(&revision);
-        wait_until("it has the list", is_requested).await;
+        wait_until("the list is applied", is_requested).await;
         let id = format!("q-{generation}");
         assert_eq!(client.ask(&request("near", &id, 4, "900m")).await.status, 200);
         if generation == 30 {
@@ -108,7 +111,8 @@
     );
 }
 
-/// Guards against a gatherer that has only just started and takes a cold server for a warm one.
+/// Guards against a restarted gatherer that treats a server as warm although the server started only
+/// recently.
 #[tokio::test]
 async fn a_server_that_started_before_this_gatherer_did_is_still_cold() {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
@@ -123,13 +127,13 @@
         assert_eq!(client.ask(&request("near", &format!("cold-{number}"), 4, "900m")).await.status, 200);
     }
     let (cold, warm) = (environment.shards[0].part_count(), environment.shards[1].part_count());
-    assert!(cold * 4 < warm, "{cold} parts to the cold one, {warm} to the warm");
+    assert!(cold * 4 < warm, "the cold server got {cold} parts, the warm one {warm}");
 }
 
-/// Guards against an end by SIGHUP, and against a discovery that is followed on although the file names
-/// another, whose revisions start anew.
+/// Guards against an exit on SIGHUP, and against following the previous discovery although the file names
+/// another, whose revisions are unrelated.
 #[tokio::test]
-async fn at_sighup_the_discovery_that_the_file_names_is_followed_from_its_whole_list() {
+async fn after_sighup_the_list_of_the_configured_discovery_is_followed_from_its_complete_list() {
     let environment = Environment::start(&[Behaviour::Delayed(ms(200)); 2]).await.ready().await;
     let mut out = environment.client().await;
     for (kept, gone) in [(1, 0), (0, 1)] {
@@ -141,37 +145,48 @@
         environment.rewrite_config(|config| config["discovery"] = next.address.to_string().into());
         let had = environment.part_count();
         out.send(&request("near", &format!("out-{kept}"), 4, "1900m")).await;
-        wait_until("it is sent", || environment.part_count() > had).await;
+        wait_until("the query is sent", || environment.part_count() > had).await;
         (0..3).for_each(|_| environment.signal("HUP"));
-        wait_until("it is watched", || next.requested_after.lock().expect("revisions").last() == Some(&2))
-            .await;
-        assert_eq!(next.requested_after.lock().expect("revisions")[0], 0, "first the whole list");
-        let reply = out.next().await.expect("an answer");
+        wait_until("the new discovery is followed", || {
+            next.requested_after.lock().expect("revisions").last() == Some(&2)
+        })
+        .await;
+        assert_eq!(
+            next.requested_after.lock().expect("revisions")[0],
+            0,
+            "the complete list is requested first"
+        );
+        let reply = out.next().await.expect("an answer arrives");
         assert_eq!(
             (reply.status, reply.count_values(&format!("out-{kept}"))),
             (200, 3),
-            "what is out goes on"
+            "the query in flight is completed"
         );
         let had = environment.shards[gone].part_count();
         for number in 0..4 {
             let id = format!("after-{kept}-{number}");
             assert_eq!(out.ask(&request("near", &id, 4, "900m")).await.status, 200);
         }
-        assert_eq!(environment.shards[gone].part_count(), had, "what is not named any more gets nothing");
+        assert_eq!(
+            environment.shards[gone].part_count(),
+            had,
+            "a server that is no longer listed gets no parts"
+        );
         assert_eq!(environment.health().await, 200);
     }
 }
 
-/// Guards against a second process, which the days at full size refuse; with a settings file there is one.
+/// Guards against a second process, which the full-size simulations do not permit. A settings file requires
+/// one.
 #[tokio::test]
-async fn without_a_settings_file_no_other_process_is_started_in_its_whole_life() {
+async fn without_a_settings_file_no_other_process_is_ever_started() {
     let starts_process = async |own: Option<&str>| {
         let behaviours = [Behaviour::Delayed(ms(50)); 2];
         let mut environment = match own {
             Some(own) => Environment::with_admin(&behaviours, own, |_| {}).await.ready().await,
             None => Environment::start(&behaviours).await.ready().await,
         };
-        // A reload asks for the whole list.
+        // A reload requests the complete list.
         let members = environment.shards.iter().zip(0..);
         let members = members.map(|(s, i)| member(&format!("s-{i}"), s.address, i, "ready", 0)).collect();
         environment.discovery.publish(true, members);
@@ -192,11 +207,11 @@
     assert!(starts_process(Some("")).await, "a settings file is evaluated by another process");
 }
 
-/// Guards against what the days at full size refuse or do not bring to anybody: Unix sockets beyond the pair
-/// that the runtime has for its signals, io_uring, and splice and sendfile, which need a pipe or an open
-/// file.
+/// Guards against descriptors that the full-size simulations reject or do not support: Unix sockets other
+/// than the pair that the runtime uses for signals, io_uring, and the pipes or files that splice and sendfile
+/// need.
 #[tokio::test]
-async fn it_opens_tcp_sockets_and_what_the_runtime_waits_on_and_nothing_else() {
+async fn only_tcp_sockets_and_the_event_descriptors_of_the_runtime_are_open() {
     let mut environment = Environment::start(&[Behaviour::Delayed(ms(50)); 2]).await.ready().await;
     let members = environment.shards.iter().zip(0..);
     let members = members.map(|(s, i)| member(&format!("s-{i}"), s.address, i, "ready", 0)).collect();
@@ -207,7 +222,7 @@
             environment.signal(signal);
         }
         client.send(&request("near", &format!("q-{number}"), 4, "1900m")).await;
-        // While a query is out, and once it is answered.
+        // Checks while the query is in flight, and again when it is answered.
         for _ in 0..2 {
             assert!(environment.unix_sockets() <= 2, "after {signal}: {:?}", environment.open_files());
             let runtime_files = ["anon_inode:[eventpoll]", "anon_inode:[eventfd]"];
@@ -225,112 +240,125 @@
     assert!(environment.wait_for_exit().await.success());
 }
 
-/// Guards against a static binary, into which the days at full size could load nothing.
+/// Guards against a static binary, into which the full-size simulations cannot load their library.
 #[test]
 fn the_program_is_linked_dynamically() {
-    let program = std::fs::read(env!("CARGO_BIN_EXE_ashvane")).expect("the program");
+    let program = std::fs::read(env!("CARGO_BIN_EXE_ashvane")).expect("the program's file is readable");
     let names = |words: &[u8]| program.windows(words.len()).any(|at| at == words);
-    assert!(names(b"/ld-linux-x86-64.so") || names(b"/ld-linux-aarch64.so"), "no interpreter is named");
-    assert!(names(b"libc.so.6\0"), "the C library is not asked for");
+    assert!(
+        names(b"/ld-linux-x86-64.so") || names(b"/ld-linux-aarch64.so"),
+        "the binary names no dynamic linker"
+    );
+    assert!(names(b"libc.so.6\0"), "the binary does not load the C library");
 }
 
-/// Guards against a bad file that takes the place of a good one, or ends the program.
+/// Guards against an invalid configuration file that replaces a valid one or ends the program.
 #[tokio::test]
 async fn a_file_that_cannot_be_read_changes_nothing_and_sigterm_ends_a_reload() {
     let mut environment = Environment::start(&[Behaviour::Delayed(ms(300)); 2]).await.ready().await;
-    let good = std::fs::read_to_string(environment.config()).expect("it");
+    let good = std::fs::read_to_string(environment.config()).expect("the configuration is readable");
     let mut client = environment.client().await;
     for bad in [Some("{"), Some("{}"), None] {
         match bad {
-            Some(text) => std::fs::write(environment.config(), text).expect("written"),
-            None => std::fs::remove_file(environment.config()).expect("removed"),
+            Some(text) => std::fs::write(environment.config(), text).expect("the configuration is written"),
+            None => std::fs::remove_file(environment.config()).expect("the configuration is removed"),
         }
         environment.signal("HUP");
         assert_eq!(client.ask(&request("near", "q", 4, "900m")).await.status, 200);
     }
     environment.discovery.publish(false, vec![member("s-0", environment.shards[0].address, 0, "gone", 0)]);
-    wait_until("the old one is followed on", || environment.shards[0].closed.load(Ordering::SeqCst) == 1)
-        .await;
-    std::fs::write(environment.config(), good).expect("written");
+    wait_until("the previous discovery is still followed", || {
+        environment.shards[0].closed.load(Ordering::SeqCst) == 1
+    })
+    .await;
+    std::fs::write(environment.config(), good).expect("the configuration is written");
     environment.rewrite_config(|config| config["discovery"] = "127.0.0.1:1".into());
     client.send(&request("near", "last", 4, "1900m")).await;
     let had = environment.part_count();
-    wait_until("it is sent", || environment.part_count() > had).await;
+    wait_until("the query is sent", || environment.part_count() > had).await;
     environment.signal("HUP");
     environment.signal("TERM");
     environment.signal("HUP");
-    assert_eq!(client.next().await.expect("an answer").status, 200);
+    assert_eq!(client.next().await.expect("an answer arrives").status, 200);
     assert!(environment.wait_for_exit().await.success());
 }
 
-/// Guards against queries lost in a planned restart: those out, and those that still come while no other
-/// gatherer is there to take them.
+/// Guards against queries lost in a planned restart: those in flight, and those that arrive while no other
+/// gatherer is available.
 #[tokio::test]
-async fn told_to_end_it_serves_on_then_sends_its_clients_away_and_exits_well() {
+async fn after_sigterm_it_serves_then_asks_clients_to_reconnect_and_exits_with_success() {
     let mut environment = Environment::start(&[Behaviour::Delayed(ms(200)); 2]).await.ready().await;
     let (mut out, mut idle) = (environment.client().await, environment.client().await);
     assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\nHost: api\r\n\r\n").await.status, 200);
     out.send(&request("near", "out", 4, "1900m")).await;
-    wait_until("it is sent", || environment.part_count() > 0).await;
+    wait_until("the query is sent", || environment.part_count() > 0).await;
     environment.signal("TERM");
     let signalled_at = Instant::now();
-    wait_until_async("it drains", async || environment.health().await == 503).await;
+    wait_until_async("the health check reports draining", async || environment.health().await == 503).await;
     let mut fresh = environment.client().await;
     fresh.send(&request("near", "fresh", 4, "1900m")).await;
     for (client, id) in [(&mut out, "out"), (&mut fresh, "fresh")] {
-        let reply = client.next().await.expect("an answer");
+        let reply = client.next().await.expect("an answer arrives");
         assert_eq!((reply.status, reply.count_values(id)), (200, 3));
     }
     let mut kept = 0;
     loop {
         let id = format!("kept-{kept}");
-        // It may be closed between two requests: then this is not read.
+        // Fails if the connection was closed after the last answer.
         let _ = out.0.write_all(request("near", &id, 4, "1900m").as_bytes()).await;
         match out.next().await {
             Some(reply) if !reply.head.contains("connection: close") => kept += 1,
             _ => break,
         }
     }
-    assert!(kept > 2 && signalled_at.elapsed() > ms(1000), "a client that stays is served on: {kept}");
-    assert!(out.next().await.is_none() && idle.next().await.is_none(), "the connections end");
+    assert!(
+        kept > 2 && signalled_at.elapsed() > ms(1000),
+        "a connected client is served while draining: {kept} answers"
+    );
+    assert!(out.next().await.is_none() && idle.next().await.is_none(), "the connections are closed");
     assert!(
         environment.wait_for_exit().await.success() && signalled_at.elapsed() < ms(2700),
-        "before it could be killed"
+        "the program exits before it could be killed"
     );
 }
 
-/// Guards against a query lost at the end because its time is longer than that of the restart.
+/// Guards against a query without any answer because its timeout is longer than the shutdown.
 #[tokio::test]
-async fn what_is_still_open_at_the_end_is_given_up_with_an_answer() {
+async fn queries_still_open_at_the_end_of_the_shutdown_are_answered_as_aborted() {
     let mut environment = Environment::start(&[Behaviour::Silent; 2]).await.ready().await;
     let mut client = environment.client().await;
     environment.signal("TERM");
     tokio::time::sleep(ms(500)).await;
     client.send(&request("book", "long", 4, "60000m")).await;
-    assert_eq!(client.next().await.expect("an answer").status, 502);
+    assert_eq!(client.next().await.expect("an answer arrives").status, 502);
     assert!(environment.wait_for_exit().await.success());
 }
 
-/// Guards against spares sent after a halt of this gatherer for answers that lie in its sockets.
+/// Guards against hedged requests after this gatherer was paused, for answers that are already in its
+/// sockets.
 #[tokio::test]
-async fn after_a_halt_no_spare_goes_out_for_an_answer_that_is_there() {
+async fn after_a_pause_no_hedged_request_is_sent_for_an_answer_already_received() {
     let environment = Environment::start(&[Behaviour::Delayed(ms(60)); 4]).await.ready().await;
     let mut client = environment.client().await;
     for number in 0..5 {
         let id = format!("halt-{number}");
         client.send(&request("near", &id, 4, "1900m")).await;
-        wait_until("it is sent", || environment.part_count() == 3 * (number + 1)).await;
+        wait_until("the query is sent", || environment.part_count() == 3 * (number + 1)).await;
         environment.signal("STOP");
         tokio::time::sleep(ms(220)).await;
         environment.signal("CONT");
-        let reply = client.next().await.expect("an answer");
+        let reply = client.next().await.expect("an answer arrives");
         assert_eq!((reply.status, reply.count_values(&id)), (200, 3));
-        assert_eq!(environment.part_count(), 3 * (number + 1), "no spare for an answer that was there");
+        assert_eq!(
+            environment.part_count(),
+            3 * (number + 1),
+            "no hedged request for an answer already received"
+        );
     }
 }
 
 #[tokio::test]
-async fn killed_and_started_anew_it_serves_with_nothing_kept() {
+async fn after_a_kill_it_restarts_without_stored_state() {
     let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
     environment.signal("KILL");
     let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
@@ -338,7 +366,7 @@
 }
 
 #[test]
-fn the_command_line_says_what_it_takes_and_refuses_the_rest() {
+fn the_command_line_prints_its_usage_and_rejects_unknown_arguments() {
     let (success, out, _) = run(&["version"], None);
     assert!(success && out.starts_with("ashvane "));
     let (success, out, _) = run(&["--help"], None);
@@ -352,7 +380,7 @@
 }
 
 #[tokio::test]
-async fn what_it_cannot_start_from_is_named_in_one_line() {
+async fn an_invalid_configuration_is_reported_in_one_line() {
     let refused = |config: Option<&str>, word: &str| {
         let (success, _, err) = run(&["serve", "--log", "error"], config);
         assert!(!success && err.lines().count() == 1 && err.contains(word), "{word}: {err}");
@@ -361,9 +389,9 @@
     refused(Some("/nowhere/config.json"), "/nowhere/config.json");
     let environment = Environment::start(&[Behaviour::Answer]).await;
     let path = environment.config();
-    let good = std::fs::read_to_string(&path).expect("it");
+    let good = std::fs::read_to_string(&path).expect("the configuration is readable");
     let write = |change: &dyn Fn(&mut serde_json::Value)| {
-        std::fs::write(&path, &good).expect("written");
+        std::fs::write(&path, &good).expect("the configuration is written");
         environment.rewrite_config(change);
     };
     refused(Some(&path), "cannot listen");
@@ -377,6 +405,6 @@
     refused(Some(&path), "GW_LISTEN");
     write(&|c| c["seed"] = "xyz".into());
     refused(Some(&path), "seed");
-    std::fs::write(&path, "{").expect("written");
+    std::fs::write(&path, "{").expect("the configuration is written");
     refused(Some(&path), "GW_CONFIG");
 }
--- a/crates/gatherer/tests/memory.rs
+++ b/crates/gatherer/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory by purpose: each purpose filled to its cap, and what comes of it.
+//! Memory limits by purpose: behaviour when the cap of each purpose is reached.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use tokio::io::AsyncReadExt as _;
 use tokio::time::{Instant, sleep};
 
-/// The longest value whose frame is still read.
+/// Maximum length of a value whose frame is accepted.
 const MAX_VALUE_BYTES: usize = 65_000;
 const SMALL_MEMORY_MB: u64 = 32;
 
@@ -25,19 +25,19 @@
     Environment::with_admin(&[behaviour; 4], own, use_small_limits).await.ready().await
 }
 
-/// The list of a world's servers.
+/// Returns the environment's servers as members of a list.
 fn members(environment: &Environment) -> Vec<Value> {
     let to_member =
         |(i, s): (usize, &common::Shard)| member(&format!("s-{i}"), s.address, i as u32 % 2, "ready", 0);
     environment.shards.iter().enumerate().map(to_member).collect()
 }
 
-/// The same request for the other tenant.
+/// Returns the request with the other tenant as its owner.
 fn for_quiet_tenant(request: &str) -> String {
     request.replace("Req-Owner: acme", "Req-Owner: quiet")
 }
 
-/// All that purposes filled by queries have open.
+/// Returns the number of bytes charged to the purposes that queries use.
 async fn open_query_bytes(environment: &Environment) -> u64 {
     let mut sum = 0;
     for name in ["bodies", "queries", "calls", "frames", "values", "answers"] {
@@ -46,7 +46,7 @@
     sum
 }
 
-/// Clients whose answers stand unread.
+/// Starts clients that do not read their answers.
 async fn stalled(listen: SocketAddr, count: usize, name: &str) -> Vec<Client> {
     let mut clients = Vec::new();
     for number in 0..count {
@@ -57,10 +57,10 @@
     clients
 }
 
-/// Guards against 255 MB in a gatherer told 32: what unread answers hold is bounded, the client stalled
-/// longest gives way, and whoever reads is served throughout.
+/// Guards against unlimited memory for unread answers, with which a gatherer with a limit of 32 MB used 255
+/// MB. The connection that has been stalled for longest is closed, and clients that read are always served.
 #[tokio::test]
-async fn clients_that_read_a_byte_a_second_in_hundreds_take_no_more_than_their_cap() {
+async fn hundreds_of_slow_readers_stay_within_the_cap_for_answers() {
     let environment = small_environment(Behaviour::Sized(12 * 1024), "").await;
     let (listen, mut quiet) = (environment.listen, environment.client().await);
     let load = tokio::spawn(async move {
@@ -70,7 +70,7 @@
             sleep(ms(50)).await;
             if round % 20 == 0 {
                 for client in &mut all {
-                    // Those that were closed meanwhile tell nothing any more.
+                    // Fails for connections that have been closed.
                     let _ = client.0.try_read(&mut [0]);
                 }
             }
@@ -91,11 +91,11 @@
     assert!(complete >= 38, "{complete} of the quiet tenant's 40 are served");
     assert!(peak < SMALL_MEMORY_MB as usize * 1024, "{peak} kB resident");
     drop(all);
-    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
+    wait_until_async("all memory is released", async || open_query_bytes(&environment).await == 0).await;
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_with_its_answer_half_written_gives_all_back() {
+async fn a_client_that_disconnects_during_its_answer_releases_all_memory() {
     let environment = small_environment(Behaviour::Sized(60 * 1024), "").await;
     let mut client = stalled(environment.listen, 1, "leaves").await.remove(0);
     wait_until_async("its answer is being written", async || {
@@ -104,17 +104,17 @@
     .await;
     client.0.read_exact(&mut [0; 1000]).await.expect("a beginning");
     drop(client);
-    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
+    wait_until_async("all memory is released", async || open_query_bytes(&environment).await == 0).await;
 }
 
-/// Guards against values held for answers that never come to be.
+/// Guards against values kept for queries that are never answered.
 #[tokio::test]
-async fn servers_that_hold_the_last_answer_hold_no_more_than_the_cap_and_all_comes_back() {
+async fn with_last_answers_withheld_values_stay_within_the_cap_and_are_released() {
     let environment = small_environment(Behaviour::WithholdLast(20 * 1024), "").await;
     let mut asking = Vec::new();
     for number in 0..40 {
         let mut client = environment.client().await;
-        // Every part counts for a booking, so that all wait for the last.
+        // The vertical `book` requires all parts, so each query waits for its last part.
         let asked = request("book", &format!("held-{number}"), 16, "1500m");
         asking.push(tokio::spawn(async move { client.ask(&asked).await }));
     }
@@ -123,19 +123,19 @@
     assert!(values["now"].as_u64() <= values["cap"].as_u64(), "{values}");
     let mut aborted = 0;
     for asked in asking {
-        let reply = asked.await.expect("an answer");
-        // One whose parts all went ahead of another's in their frames has them all.
+        let reply = asked.await.expect("an answer arrives");
+        // A query none of whose parts was last in its frame gets all values.
         let is_complete = || reply.json()["results"].as_array().map(Vec::len) == Some(16);
         assert!(matches!(reply.status, 502 | 503) || is_complete(), "{}: {}", reply.status, reply.body.len());
         aborted += usize::from(reply.status == 502);
     }
     assert!(aborted > 5, "{aborted}");
-    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
+    wait_until_async("all memory is released", async || open_query_bytes(&environment).await == 0).await;
     assert!(environment.resident_kb() < SMALL_MEMORY_MB as usize * 1024, "{} kB", environment.resident_kb());
 }
 
 #[tokio::test]
-async fn values_at_the_frames_limit_on_every_part_are_served_and_room_is_set_aside_for_the_next() {
+async fn values_of_maximum_length_are_served_and_memory_is_set_aside_for_the_next_query() {
     let environment = small_environment(Behaviour::Sized(MAX_VALUE_BYTES), "").await;
     let mut client = environment.client().await;
     for number in 0..6 {
@@ -150,13 +150,16 @@
         assert!(results.len() >= 12, "{}", results.len());
     }
     let peak = environment.purpose_row("values").await["peak"].as_u64().expect("a number");
-    assert!(peak >= 12 * MAX_VALUE_BYTES as u64, "{peak} was set aside for a query or held of it");
+    assert!(
+        peak >= 12 * MAX_VALUE_BYTES as u64,
+        "the peak {peak} includes the memory that is set aside or used for a query"
+    );
 }
 
-/// Guards against one customer's flood that fills another's share: 200 queries at once of one, a hundredth of
-/// that of the other.
+/// Guards against a flood from one tenant that uses up the share of another. One tenant sends rounds of 20
+/// parallel queries, the other one query at a time.
 #[tokio::test]
-async fn a_tenant_that_floods_leaves_the_other_its_service() {
+async fn a_flood_from_one_tenant_does_not_starve_the_other() {
     let own = "for p in [\"values\", \"answers\"]:\n    cap(purpose = p, bytes = 256 * KB)";
     let environment = small_environment(Behaviour::Sized(2 * 1024), own).await;
     let listen = environment.listen;
@@ -175,7 +178,7 @@
             for asked in asking {
                 let reply = asked.await.expect("a client");
                 if reply.status == 503 {
-                    assert!(reply.head.contains("retry-after"), "a rejection says when to come back");
+                    assert!(reply.head.contains("retry-after"), "a rejection has a Retry-After header");
                     refused += 1;
                 }
             }
@@ -193,48 +196,55 @@
         served += usize::from(reply.status == 200);
         sleep(ms(50)).await;
     }
-    assert!(flood.await.expect("the flood") > 0, "the flood finds no room at times");
+    assert!(flood.await.expect("the flood") > 0, "some queries of the flood are rejected for lack of memory");
     assert!(served * 100 >= asked * 95, "{served} of {asked}");
 }
 
-/// Guards against an effect taken for one that never was: what ran and finds no room is no rejection.
+/// Guards against reporting a part as not run although it ran: a value without memory must not become a
+/// rejection.
 #[tokio::test]
-async fn a_side_effecting_part_that_ran_is_never_called_rejected_for_want_of_room() {
+async fn a_non_idempotent_part_that_ran_is_never_reported_as_rejected_for_lack_of_memory() {
     let own = "cap(purpose = \"values\", bytes = 64 * KB, reserve = 64 * KB)";
     let environment = small_environment(Behaviour::Sized(40 * 1024), own).await;
     let mut client = environment.client().await;
     let book = client.ask(&request("book", "books", 8, "1900m")).await;
-    assert_eq!(book.status, 502, "it may have run");
+    assert_eq!(book.status, 502, "a part may have run");
     let near = client.ask(&request("near", "asks", 8, "1900m")).await;
-    assert_eq!(near.status, 503, "to ask again is harmless");
+    assert_eq!(near.status, 503, "a retry is harmless");
     assert!(near.head.contains("retry-after"));
-    // What values weigh is known now: the next is turned away before anything of it runs.
+    // The usual length of values is known by then, so the next query is rejected before any of its parts
+    // runs.
     let before = environment.part_count();
     let book = client.ask(&request("book", "books-again", 8, "1900m")).await;
     assert_eq!((book.status, environment.part_count()), (503, before));
-    wait_until_async("all is given back", async || open_query_bytes(&environment).await == 0).await;
+    wait_until_async("all memory is released", async || open_query_bytes(&environment).await == 0).await;
 }
 
-/// Guards against a server that is blamed for room that is lacking here, or a part that hangs.
+/// Guards against a server counted as unhealthy for lack of memory in the gatherer, and against a part that
+/// hangs.
 #[tokio::test]
-async fn a_frame_larger_than_its_room_ends_its_connection_and_nothing_else() {
+async fn a_frame_larger_than_the_cap_closes_only_its_connection() {
     let own = "cap(purpose = \"frames\", bytes = 64 * KB, reserve = 64 * KB)";
     let environment = small_environment(Behaviour::Sized(65_514), own).await;
     let began = Instant::now();
     let reply = environment.client().await.ask(&request("near", "too-long", 2, "1900m")).await;
     assert_eq!(reply.status, 503);
-    assert!(began.elapsed() < ms(1500), "its end is told at once: {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < ms(1500),
+        "the query ends without waiting for its deadline: {:?}",
+        began.elapsed()
+    );
     environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
     let reply = environment.client().await.ask(&request("near", "short", 2, "1900m")).await;
     assert_eq!(reply.status, 200);
 }
 
 #[tokio::test]
-async fn a_body_that_finds_no_room_is_refused_before_it_is_read_and_its_connection_closed() {
+async fn a_body_without_memory_is_rejected_unread_and_its_connection_closed() {
     let own = "cap(purpose = \"bodies\", bytes = 64 * KB, reserve = 64 * KB)";
     let environment = small_environment(Behaviour::Answer, own).await;
     let mut slow = Vec::new();
-    // Bodies that are said to be long, and do not come.
+    // Requests whose heads state long bodies that are never sent.
     for number in 0..3 {
         let mut client = environment.client().await;
         let asked = request("near", &format!("body-{number}"), 2, "900m");
@@ -245,28 +255,28 @@
     }
     let mut refused = 0;
     for client in &mut slow {
-        let reply = client.next().await.expect("an answer");
+        let reply = client.next().await.expect("an answer arrives");
         assert!(reply.status == 503 || reply.status == 408, "{}", reply.status);
         if reply.status == 503 {
             assert!(reply.head.contains("connection: close") && reply.head.contains("retry-after"));
             refused += 1;
         }
     }
-    assert!(refused >= 2, "one of 40,000 bytes finds room, the others none: {refused}");
+    assert!(refused >= 2, "there is memory for one body of 40,000 bytes, and {refused} others were rejected");
     assert_eq!(environment.client().await.ask(&request("near", "after", 2, "900m")).await.status, 200);
-    wait_until_async("all is given back", async || environment.open_bytes("bodies").await == 0).await;
+    wait_until_async("all memory is released", async || environment.open_bytes("bodies").await == 0).await;
 }
 
-/// Guards against half a list, and against a list that takes all memory.
+/// Guards against a partly applied list, and against a list that uses up all memory.
 #[tokio::test]
-async fn a_list_too_large_is_kept_out_whole_and_the_old_one_stays() {
+async fn a_list_too_large_for_memory_is_rejected_as_a_whole_and_the_old_one_stays() {
     let own = "cap(purpose = \"servers\", bytes = 200 * KB, reserve = 0)";
     let environment = small_environment(Behaviour::Answer, own).await;
     let crowd = (0..400).map(|i| member(&format!("crowd-{i}"), environment.shards[0].address, 0, "ready", 0));
     let before = environment.open_bytes("servers").await;
     let asked = environment.discovery.calls.load(std::sync::atomic::Ordering::SeqCst);
     environment.discovery.publish(true, crowd.collect());
-    wait_until_async("it is asked for again", async || {
+    wait_until_async("the list is requested again", async || {
         environment.discovery.calls.load(std::sync::atomic::Ordering::SeqCst) > asked + 2
     })
     .await;
@@ -278,7 +288,7 @@
     let mut drained = members(&environment);
     drained[0]["phase"] = "draining".into();
     environment.discovery.publish(true, drained);
-    wait_until_async("a list that fits is taken", async || {
+    wait_until_async("a list that fits is applied", async || {
         let parts_before = environment.shards[0].part_count();
         for number in 0..4 {
             client.ask(&request("near", &format!("d-{parts_before}-{number}"), 8, "900m")).await;
@@ -286,15 +296,15 @@
         environment.shards[0].part_count() == parts_before
     })
     .await;
-    wait_until_async("what the list took is given back", async || {
+    wait_until_async("the memory of the list is released", async || {
         environment.open_bytes("servers").await == before
     })
     .await;
 }
 
-/// Guards against a cap that, lowered by a reload, breaks what is held, and one that is not taken over.
+/// Guards against a reload that lowers a cap and breaks open queries, and against a cap that is not applied.
 #[tokio::test]
-async fn a_cap_lowered_below_what_is_in_use_keeps_what_is_held_and_lets_nothing_more_in() {
+async fn a_cap_lowered_below_the_memory_in_use_releases_nothing_and_admits_nothing_more() {
     let long_timeouts = |config: &mut Value| {
         use_small_limits(config);
         for class in config["settings"]["request_classes"].as_array_mut().expect("classes") {
@@ -304,11 +314,11 @@
     };
     let environment =
         Environment::with_admin(&[Behaviour::Delayed(ms(1500)); 4], "", long_timeouts).await.ready().await;
-    // A reload asks for the whole list.
+    // A reload requests the complete list.
     environment.discovery.publish(true, members(&environment));
     let mut held = environment.client().await;
     held.send(&request("near", "held", 16, "5500m")).await;
-    wait_until_async("it is held", async || environment.open_bytes("queries").await > 0).await;
+    wait_until_async("the query is open", async || environment.open_bytes("queries").await > 0).await;
     environment.rewrite_settings("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)\ncap(purpose = \"values\", bytes = 64 * KB, reserve = 0, more = 1)");
     environment.signal("HUP");
     sleep(ms(300)).await;
@@ -320,23 +330,23 @@
         client.send(&request("near", &format!("more-{number}"), 16, "5500m")).await;
         others.push(client);
     }
-    wait_until_async("they are held", async || environment.open_bytes("queries").await > 80_000).await;
+    wait_until_async("all queries are open", async || environment.open_bytes("queries").await > 80_000).await;
     environment.rewrite_settings("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)");
     environment.signal("HUP");
     wait_until_async("the cap is lowered", async || cap().await == 64 << 10).await;
-    assert!(environment.open_bytes("queries").await > 64 << 10, "nothing is taken back");
+    assert!(environment.open_bytes("queries").await > 64 << 10, "open queries keep their memory");
     let refused = environment.client().await.ask(&request("near", "one-more", 16, "5500m")).await;
     assert_eq!((refused.status, refused.head.contains("retry-after")), (503, true));
-    assert_eq!(held.next().await.expect("an answer").status, 200);
+    assert_eq!(held.next().await.expect("an answer arrives").status, 200);
     for mut client in others {
-        assert_eq!(client.next().await.expect("an answer").status, 200);
+        assert_eq!(client.next().await.expect("an answer arrives").status, 200);
     }
     environment.rewrite_settings("");
     environment.signal("HUP");
     wait_until_async("the cap is raised", async || cap().await > 1 << 20).await;
     environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
     let mut number = 0;
-    wait_until_async("it serves as before", async || {
+    wait_until_async("queries are answered again", async || {
         number += 1;
         environment.client().await.ask(&request("near", &format!("after-{number}"), 16, "5500m")).await.status
             == 200
@@ -344,9 +354,10 @@
     .await;
 }
 
-/// Guards against a gatherer that cannot be asked when it matters, and one that does not come back.
+/// Guards against an admin listener that fails when memory is short, and against a gatherer that does not
+/// recover.
 #[tokio::test]
-async fn with_caps_full_the_admin_listener_answers_and_all_room_is_back_within_five_seconds() {
+async fn with_caps_reached_the_admin_listener_answers_and_all_memory_is_released_within_five_seconds() {
     let own =
         "memory(total = 6 * MB)\nfor p in [\"values\", \"answers\"]:\n    cap(purpose = p, bytes = 1 * MB)";
     let environment = small_environment(Behaviour::WithholdLast(60 * 1024), own).await;
@@ -358,7 +369,7 @@
         asking.push(client);
     }
     let mut refused = 0;
-    wait_until_async("there is no room", async || {
+    wait_until_async("memory is refused", async || {
         let table = environment.get_admin("/memory").await.json();
         let rows = table["purposes"].as_array().expect("purposes").clone();
         refused = rows.iter().map(|r| r["refused"].as_u64().expect("a number")).sum();
@@ -372,12 +383,12 @@
     environment.shards.iter().for_each(|s| s.set_behaviour(Behaviour::Answer));
     drop((asking, _stalled));
     while open_query_bytes(&environment).await > 0 {
-        assert!(Instant::now() < until, "all room is back within 5 s");
+        assert!(Instant::now() < until, "all memory is released within 5 s");
         sleep(ms(20)).await;
     }
-    // How soon servers that fell silent are trusted again is the module's, and takes longer on a busy
-    // machine.
-    wait_until_async("it serves as before", async || {
+    // The decision module determines when servers that did not answer are used again. On a busy machine this
+    // takes longer.
+    wait_until_async("queries are answered again", async || {
         refused += 1;
         environment.client().await.ask(&request("near", &format!("well-{refused}"), 8, "900m")).await.status
             == 200
@@ -385,9 +396,9 @@
     .await;
 }
 
-/// Guards against a ledger that tells a story of its own.
+/// Guards against a ledger whose charges deviate from the memory that is actually allocated.
 #[tokio::test]
-async fn what_is_live_and_has_no_purpose_stays_within_its_bound_under_load() {
+async fn unattributed_memory_stays_within_its_bound_under_load() {
     let environment = small_environment(Behaviour::Sized(8 * 1024), "").await;
     let mut asking = Vec::new();
     for number in 0..40 {
@@ -404,20 +415,23 @@
         let table = environment.get_admin("/memory").await.json();
         let (live, off) =
             (table["live"].as_f64().expect("live"), table["unattributed"].as_f64().expect("rest"));
-        assert!(off.abs() <= (live * 0.15).max(3e6), "{off} of {live} has no purpose");
+        assert!(off.abs() <= (live * 0.15).max(3e6), "{off} of {live} allocated bytes are unattributed");
         readings += 1;
         sleep(ms(10)).await;
     }
     for asked in asking {
-        asked.await.expect("all are answered");
+        asked.await.expect("all requests are answered");
     }
     assert!(readings > 3, "{readings}");
 }
 
 #[tokio::test]
-async fn what_memory_is_used_for_is_logged_on_a_signal_and_elsewhere_nobody_is_told() {
+async fn memory_use_is_logged_on_sigusr1_and_the_admin_listener_is_off_by_default() {
     let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
-    assert!(tokio::net::TcpStream::connect(environment.admin).await.is_err(), "off unless it is set");
+    assert!(
+        tokio::net::TcpStream::connect(environment.admin).await.is_err(),
+        "the admin listener is off unless the settings state it"
+    );
     let environment = small_environment(Behaviour::Answer, "").await;
     assert_eq!(environment.get_admin("/memory").await.status, 200);
     assert_eq!(environment.get_admin("/else").await.status, 404);
@@ -439,7 +453,7 @@
         !good && err.contains("own.star:1: cap.purpose") && err.contains("own.star:2: admin.listen"),
         "{err}"
     );
-    // More memory than it may take in one go ends the evaluator, and nothing else.
+    // An allocation beyond the memory limit ends only the evaluator.
     std::fs::write(&file, "x = \"a\" * (1 << 30)\n").expect("a file");
     let (good, _, err) = common::run(&["check", "--settings", path, "--memory-mb", "32"], None);
     assert!(!good && err.contains("own.star"), "{err}");
