--- a/crates/gatherer/src/transport/head.rs
+++ b/crates/gatherer/src/transport/head.rs
@@ -103,9 +103,9 @@
     /// Records the length of the body that begins, or `None` if it is chunked. Returns false if the head has
     /// more than one header about the length of the body.
     pub(super) fn begin_body(&self, length: Option<u64>) -> bool {
-        let mut next = self.0.borrow_mut();
-        let is_valid = matches!(*next, ReadState::HeadEnd { length_headers: 0 | 1 });
-        *next = match length {
+        let mut state = self.0.borrow_mut();
+        let is_valid = matches!(*state, ReadState::HeadEnd { length_headers: 0 | 1 });
+        *state = match length {
             Some(0) => ReadState::default(),
             Some(length) => ReadState::Body(length),
             None => ReadState::ChunkedBody,
--- a/crates/gatherer/src/transport/keepers.rs
+++ b/crates/gatherer/src/transport/keepers.rs
@@ -201,9 +201,9 @@
         }
     }
 
-    /// Makes a periodic call. It reports that this gatherer is alive and returns what the keeper knows.
+    /// Makes a periodic call. It reports that this gatherer is alive, and the response is applied.
     async fn call(&mut self) {
-        let (started_at, at) = (now(), self.schedule.next().keeper);
+        let (started_at, index) = (now(), self.schedule.next().keeper);
         self.schedule.call_made(started_at);
         let seeks = self.participant.is_seeking(
             self.last_call_duration.min(self.client.timeout),
@@ -211,7 +211,7 @@
             &self.terms,
         );
         let body = json!({"name": self.name, "seeks": seeks.then_some(Roster::NAME)});
-        match self.client.send::<CallResponse>(self.addresses[at], "/v1/call", Some(body)).await {
+        match self.client.send::<CallResponse>(self.addresses[index], "/v1/call", Some(body)).await {
             Ok(response) => {
                 self.last_call_duration = now() - started_at;
                 self.apply_response(&response);
@@ -220,16 +220,16 @@
                 }
             }
             Err(CallError { message, .. }) => {
-                log::debug!("call to keeper {} failed: {message}", self.keeper_ids[at]);
+                log::debug!("call to keeper {} failed: {message}", self.keeper_ids[index]);
                 self.schedule.keeper_failed();
-                self.leader = self.leader.filter(|leader| *leader != at);
+                self.leader = self.leader.filter(|leader| *leader != index);
             }
         }
     }
 
     /// Returns the index of the keeper with this id.
-    fn keeper_index(&self, number: Option<u64>) -> Option<usize> {
-        self.keeper_ids.iter().position(|n| Some(*n) == number)
+    fn keeper_index(&self, id: Option<u64>) -> Option<usize> {
+        self.keeper_ids.iter().position(|n| Some(*n) == id)
     }
 
     /// Applies the response to a periodic call. A table of an older epoch than one already seen is discarded:
@@ -271,19 +271,19 @@
     /// Sends a request to the leading keeper, or to the next scheduled one if the leader is unknown. A reply
     /// is passed to the participant, with the time at which the request was sent.
     async fn send_to_leader(&mut self, request: Value) -> Option<Reply> {
-        let at = self.leader.unwrap_or(self.schedule.next().keeper);
+        let index = self.leader.unwrap_or(self.schedule.next().keeper);
         let started_at = now();
-        match self.client.send::<AskResponse>(self.addresses[at], "/v1/ask", Some(request)).await {
+        match self.client.send::<AskResponse>(self.addresses[index], "/v1/ask", Some(request)).await {
             Ok(AskResponse::Reply(reply)) => {
                 let transition = self.participant.reply_received(started_at, &reply, now(), &self.terms);
                 transition.into_iter().for_each(|transition| self.handle_transition(transition));
                 return Some(reply);
             }
             Ok(AskResponse::Elsewhere { leader }) => {
-                self.leader = self.keeper_index(leader).filter(|leader| *leader != at);
+                self.leader = self.keeper_index(leader).filter(|leader| *leader != index);
             }
             Err(CallError { message, may_have_arrived }) => {
-                log::debug!("request to keeper {} failed: {message}", self.keeper_ids[at]);
+                log::debug!("request to keeper {} failed: {message}", self.keeper_ids[index]);
                 self.leader = None;
                 if may_have_arrived {
                     self.participant.call_unanswered();
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -102,9 +102,9 @@
 
 impl Shard {
     pub(crate) async fn start(behaviour: Behaviour) -> Shard {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let shard = Shard {
-            address: listener.local_addr().expect("its address"),
+            address: listener.local_addr().expect("the listener has an address"),
             behaviour: Arc::new(Mutex::new(behaviour)),
             frames: Arc::default(),
             connections: Arc::default(),
@@ -126,16 +126,22 @@
     }
 
     fn behaviour(&self) -> Behaviour {
-        *self.behaviour.lock().expect("a manner")
+        *self.behaviour.lock().expect("no task panicked while it held the lock")
     }
 
     pub(crate) fn set_behaviour(&self, behaviour: Behaviour) {
-        *self.behaviour.lock().expect("a manner") = behaviour;
+        *self.behaviour.lock().expect("no task panicked while it held the lock") = behaviour;
     }
 
     /// Returns the received frames of this kind.
     pub(crate) fn frames(&self, kind: char) -> Vec<ReceivedFrame> {
-        self.frames.lock().expect("frames").iter().filter(|s| s.kind == kind).cloned().collect()
+        self.frames
+            .lock()
+            .expect("no task panicked while it held the lock")
+            .iter()
+            .filter(|s| s.kind == kind)
+            .cloned()
+            .collect()
     }
 
     /// Returns the number of parts that the server has received.
@@ -158,10 +164,10 @@
                 let (kind, rest) = (body[0] as char, String::from_utf8_lossy(&body[1..]).into_owned());
                 let (mut ids, mut text, mut left) = (Vec::new(), String::new(), rest.as_str());
                 while kind == 'S' && !left.is_empty() {
-                    let (line, more) = left.split_once('\n').expect("a line");
+                    let (line, more) = left.split_once('\n').expect("the line ends");
                     let words: Vec<&str> = line.split(' ').collect();
                     assert!(words.len() == 4 && words[2].starts_with("d="), "line {line:?}");
-                    let length: usize = words[3].parse().expect("a length");
+                    let length: usize = words[3].parse().expect("the length is a number");
                     ids.push(words[0].to_owned());
                     text = more[..length].to_owned();
                     left = &more[length..];
@@ -171,7 +177,7 @@
                 }
                 let behaviour = self.behaviour();
                 let received = ReceivedFrame { connection, kind, ids: ids.clone(), text };
-                self.frames.lock().expect("frames").push(received);
+                self.frames.lock().expect("no task panicked while it held the lock").push(received);
                 if kind != 'S' {
                     continue;
                 }
@@ -235,16 +241,22 @@
     let asked = |name: &str| -> Option<u64> {
         uri.query()?.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
-    discovery.requested_after.lock().expect("revisions").push(asked("after").unwrap_or(0));
+    discovery
+        .requested_after
+        .lock()
+        .expect("no test panicked while it held the lock")
+        .push(asked("after").unwrap_or(0));
     let end = Instant::now() + ms(asked("wait_ms").unwrap_or(0));
     loop {
-        let override_body = discovery.override_body.lock().expect("words").clone();
+        let override_body =
+            discovery.override_body.lock().expect("no test panicked while it held the lock").clone();
         match override_body {
             Some(words) if words.is_empty() => std::future::pending::<()>().await,
             Some(words) => return (StatusCode::OK, words),
             None => {}
         }
-        let (revision, complete, members) = discovery.list.lock().expect("a list").clone();
+        let (revision, complete, members) =
+            discovery.list.lock().expect("no task panicked while it held the lock").clone();
         if asked("after").is_none_or(|after| revision > after) {
             return (StatusCode::OK, list(revision, complete, members).to_string());
         }
@@ -261,8 +273,8 @@
 
 impl Discovery {
     pub(crate) async fn start() -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let list = Arc::new(Mutex::new((1, true, Vec::new())));
         let discovery = Discovery {
             address,
@@ -279,7 +291,7 @@
 
     /// Publishes an incremental or a complete list, and returns its revision.
     pub(crate) fn publish(&self, complete: bool, members: Vec<Value>) -> u64 {
-        let mut list = self.list.lock().expect("a list");
+        let mut list = self.list.lock().expect("no task panicked while it held the lock");
         *list = (list.0 + 1, complete, members);
         list.0
     }
@@ -321,14 +333,14 @@
 
 impl Reply {
     pub(crate) fn json(&self) -> Value {
-        serde_json::from_str(&self.body).expect("JSON")
+        serde_json::from_str(&self.body).expect("the text is JSON")
     }
 
     /// Returns the number of values, and checks that each is the one that shard servers answer for this
     /// query.
     pub(crate) fn count_values(&self, id: &str) -> usize {
         let body = self.json();
-        let results = body["results"].as_array().expect("results");
+        let results = body["results"].as_array().expect("the body has results");
         for r in results {
             assert_eq!(r["value"], value_of(&format!("{id}.{}", r["partition"])));
         }
@@ -342,13 +354,13 @@
 impl Client {
     /// Connects with a small receive buffer, so that answers that are not read soon block the sender.
     pub(crate) async fn with_small_receive_buffer(listen: SocketAddr) -> Client {
-        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(4096).expect("a size");
-        Client(socket.connect(listen).await.expect("a connection"))
+        let socket = tokio::net::TcpSocket::new_v4().expect("the socket is created");
+        socket.set_recv_buffer_size(4096).expect("the buffer size is set");
+        Client(socket.connect(listen).await.expect("the connection is accepted"))
     }
 
     pub(crate) async fn send(&mut self, request: &str) {
-        self.0.write_all(request.as_bytes()).await.expect("written");
+        self.0.write_all(request.as_bytes()).await.expect("the request is written");
     }
 
     /// Returns the next answer, or `None` if the connection is closed first.
@@ -365,19 +377,24 @@
                 return None;
             }
         };
-        let text = String::from_utf8(bytes[..head].to_vec()).expect("text").to_lowercase();
-        let length = text.lines().find_map(|l| l.strip_prefix("content-length: ")).expect("a length");
-        let length: usize = length.parse().expect("a number");
+        let text = String::from_utf8(bytes[..head].to_vec()).expect("the text is UTF-8").to_lowercase();
+        let length =
+            text.lines().find_map(|l| l.strip_prefix("content-length: ")).expect("the length is stated");
+        let length: usize = length.parse().expect("the value is a number");
         while bytes.len() < head + length {
             self.0.read_buf(&mut bytes).await.expect("the rest of the body arrives");
         }
-        let status = text[9..12].parse().expect("a status");
-        Some(Reply { status, head: text, body: String::from_utf8(bytes[head..].to_vec()).expect("text") })
+        let status = text[9..12].parse().expect("the status is a number");
+        Some(Reply {
+            status,
+            head: text,
+            body: String::from_utf8(bytes[head..].to_vec()).expect("the text is UTF-8"),
+        })
     }
 
     pub(crate) async fn ask(&mut self, request: &str) -> Reply {
         self.send(request).await;
-        self.next().await.expect("an answer")
+        self.next().await.expect("an answer arrives")
     }
 }
 
@@ -455,24 +472,25 @@
         });
         change(&mut config);
         let folder = std::env::temp_dir().join(format!("ashvane-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a configuration");
+        std::fs::create_dir_all(&folder).expect("the directory is created");
+        std::fs::write(folder.join("config.json"), config.to_string()).expect("the configuration is written");
         let mut command = program();
         command.args(["serve", "--log", "error"]).env("GW_CONFIG", folder.join("config.json"));
-        command.env("GW_DISCOVERY", config["discovery"].as_str().expect("an address"));
+        command.env("GW_DISCOVERY", config["discovery"].as_str().expect("the address is a string"));
         let admin = SocketAddr::new(listen.ip(), 9300);
         if let Some(own) = own {
-            std::fs::write(folder.join("own.star"), script(admin, own)).expect("a settings file");
+            std::fs::write(folder.join("own.star"), script(admin, own))
+                .expect("the settings file is written");
             command.arg("--settings").arg(folder.join("own.star"));
         }
-        let child = command.spawn().expect("the program");
+        let child = command.spawn().expect("the program starts");
         let environment = Environment { shards, discovery, listen, admin, child, folder };
         wait_until_async("the program listens", async || TcpStream::connect(listen).await.is_ok()).await;
         environment
     }
 
     pub(crate) async fn client(&self) -> Client {
-        Client(TcpStream::connect(self.listen).await.expect("a connection"))
+        Client(TcpStream::connect(self.listen).await.expect("the connection is accepted"))
     }
 
     pub(crate) async fn health(&self) -> u16 {
@@ -486,25 +504,27 @@
 
     /// Returns the answer of the admin listener at a path.
     pub(crate) async fn get_admin(&self, path: &str) -> Reply {
-        let mut client = Client(TcpStream::connect(self.admin).await.expect("the admin listener"));
+        let mut client =
+            Client(TcpStream::connect(self.admin).await.expect("the admin listener accepts the connection"));
         client.ask(&format!("GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n")).await
     }
 
     /// Returns the admin listener's row of one purpose.
     pub(crate) async fn purpose_row(&self, name: &str) -> Value {
         let table = self.get_admin("/memory").await.json();
-        let rows = table["purposes"].as_array().expect("purposes");
-        rows.iter().find(|row| row["purpose"] == name).expect("a known purpose").clone()
+        let rows = table["purposes"].as_array().expect("the table has purposes");
+        rows.iter().find(|row| row["purpose"] == name).expect("the purpose is known").clone()
     }
 
     /// Returns the number of bytes charged to a purpose.
     pub(crate) async fn open_bytes(&self, name: &str) -> u64 {
-        self.purpose_row(name).await["now"].as_u64().expect("a number")
+        self.purpose_row(name).await["now"].as_u64().expect("the value is a number")
     }
 
     /// Replaces the settings file.
     pub(crate) fn rewrite_settings(&self, own: &str) {
-        std::fs::write(self.folder.join("own.star"), script(self.admin, own)).expect("a settings file");
+        std::fs::write(self.folder.join("own.star"), script(self.admin, own))
+            .expect("the settings file is written");
     }
 
     pub(crate) fn part_count(&self) -> usize {
@@ -513,21 +533,21 @@
 
     /// Applies `change` to the configuration file.
     pub(crate) fn rewrite_config(&self, change: impl FnOnce(&mut Value)) {
-        let text = std::fs::read_to_string(self.config()).expect("the configuration");
-        let mut config = serde_json::from_str(&text).expect("JSON");
+        let text = std::fs::read_to_string(self.config()).expect("the configuration is readable");
+        let mut config = serde_json::from_str(&text).expect("the text is JSON");
         change(&mut config);
-        std::fs::write(self.config(), config.to_string()).expect("a configuration");
+        std::fs::write(self.config(), config.to_string()).expect("the configuration is written");
     }
 
     pub(crate) fn signal(&self, name: &str) {
         let line = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &line]).status().expect("sh").success());
+        assert!(Command::new("sh").args(["-c", &line]).status().expect("sh starts").success());
     }
 
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until_async("the program exits", async || {
-            status = self.child.try_wait().expect("its state");
+            status = self.child.try_wait().expect("the state of the process is known");
             status.is_some()
         })
         .await;
@@ -535,34 +555,39 @@
     }
 
     pub(crate) fn config(&self) -> String {
-        self.folder.join("config.json").to_str().expect("text").to_owned()
+        self.folder.join("config.json").to_str().expect("the text is UTF-8").to_owned()
     }
 
     /// Returns the resident memory of the program, in kB.
     pub(crate) fn resident_kb(&self) -> usize {
-        let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the process has a status");
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .expect("the status has the resident memory");
+        line.trim().trim_end_matches(" kB").parse().expect("the value is a number")
     }
 
     /// Whether the program has ever started another process. A process that has ended shows in the page
     /// faults of the children, a running one in the list of children.
     pub(crate) fn has_started_process(&self) -> bool {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
-        let stat = read("stat").expect("its state");
+        let stat = read("stat").expect("the process has statistics");
         // Fields are counted from the end of the process name, which is in parentheses and may contain
         // spaces.
         let faults = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().nth(8));
-        let children = read(&format!("task/{}/children", self.child.id())).expect("its children");
-        faults.expect("a figure") != "0" || !children.trim().is_empty()
+        let children =
+            read(&format!("task/{}/children", self.child.id())).expect("the process has a list of children");
+        faults.expect("the statistics have the page faults") != "0" || !children.trim().is_empty()
     }
 
     /// Returns the distinct targets of the program's descriptors, without the standard streams and those that
     /// it inherited from the test process.
     pub(crate) fn open_files(&self) -> std::collections::BTreeSet<String> {
         let of = |process: &str| {
-            let entries = std::fs::read_dir(format!("/proc/{process}/fd")).expect("its descriptors");
+            let entries =
+                std::fs::read_dir(format!("/proc/{process}/fd")).expect("the process has descriptors");
             let apart = |e: &std::fs::DirEntry| !["0", "1", "2"].iter().any(|std| e.file_name() == *std);
             let target = |e: std::fs::DirEntry| Some(std::fs::read_link(e.path()).ok()?.to_str()?.to_owned());
             entries.flatten().filter(apart).filter_map(target).collect::<std::collections::BTreeSet<_>>()
@@ -573,7 +598,8 @@
 
     /// Returns how many of the program's sockets are Unix sockets.
     pub(crate) fn unix_sockets(&self) -> usize {
-        let table = std::fs::read_to_string(format!("/proc/{}/net/unix", self.child.id())).expect("a table");
+        let table = std::fs::read_to_string(format!("/proc/{}/net/unix", self.child.id()))
+            .expect("the table of Unix sockets is readable");
         let inodes: std::collections::BTreeSet<&str> =
             table.lines().skip(1).filter_map(|line| line.split_whitespace().nth(6)).collect();
         let inode = |file: &String| Some(file.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned());
@@ -607,9 +633,9 @@
     if let Some(path) = config {
         command.env("GW_CONFIG", path);
     }
-    let mut child = command.spawn().expect("the program");
+    let mut child = command.spawn().expect("the program starts");
     let (mut out, mut err) = (String::new(), String::new());
-    child.stdout.take().expect("a pipe").read_to_string(&mut out).expect("text");
-    child.stderr.take().expect("a pipe").read_to_string(&mut err).expect("text");
+    child.stdout.take().expect("the output is piped").read_to_string(&mut out).expect("the text is UTF-8");
+    child.stderr.take().expect("the output is piped").read_to_string(&mut err).expect("the text is UTF-8");
     (child.wait().expect("the program exits").success(), out, err)
 }
--- a/crates/gatherer/tests/life.rs
+++ b/crates/gatherer/tests/life.rs
@@ -31,7 +31,8 @@
         ["", "{\"revision\": 9", "{\"revision\":9,\"complete\":true,\"members\":[{\"id\":\"x\"}]}"]
     {
         let environment = Environment::start(&[Behaviour::Answer; 2]).await.ready().await;
-        *environment.discovery.override_body.lock().expect("words") = Some(override_body.into());
+        *environment.discovery.override_body.lock().expect("no test panicked while it held the lock") =
+            Some(override_body.into());
         let calls = environment.discovery.calls.load(Ordering::SeqCst);
         environment.discovery.publish(true, Vec::new());
         if !override_body.is_empty() {
@@ -94,8 +95,15 @@
         let address = environment.shards[generation % 2].address;
         let members = (0..500).map(|i| member(&format!("g-{generation}-{i}"), address, i % 2, "ready", 0));
         let revision = environment.discovery.publish(true, members.collect());
-        let is_requested =
-            || environment.discovery.requested_after.lock().expect("revisions").last() == Some(&revision);
+        let is_requested = || {
+            environment
+                .discovery
+                .requested_after
+                .lock()
+                .expect("no test panicked while it held the lock")
+                .last()
+                == Some(&revision)
+        };
         wait_until("the list is applied", is_requested).await;
         let id = format!("q-{generation}");
         assert_eq!(client.ask(&request("near", &id, 4, "900m")).await.status, 200);
@@ -115,7 +123,8 @@
 /// recently.
 #[tokio::test]
 async fn a_server_that_started_before_this_gatherer_did_is_still_cold() {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
+    let now =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("the time is after 1970").as_millis() as u64;
     let environment = Environment::with(&[Behaviour::Delayed(ms(20)); 2], |config| {
         config["settings"]["rules"]["cold_us"] = 60_000_000.into();
         config["known"]["members"][0]["up_since_ms"] = now.into();
@@ -133,7 +142,7 @@
 /// Guards against an exit on SIGHUP, and against following the previous discovery although the file names
 /// another, whose revisions are unrelated.
 #[tokio::test]
-async fn after_sighup_the_list_of_the_configured_discovery_is_followed_from_its_complete_list() {
+async fn after_sighup_the_configured_discovery_is_followed_from_its_complete_list() {
     let environment = Environment::start(&[Behaviour::Delayed(ms(200)); 2]).await.ready().await;
     let mut out = environment.client().await;
     for (kept, gone) in [(1, 0), (0, 1)] {
@@ -148,11 +157,11 @@
         wait_until("the query is sent", || environment.part_count() > had).await;
         (0..3).for_each(|_| environment.signal("HUP"));
         wait_until("the new discovery is followed", || {
-            next.requested_after.lock().expect("revisions").last() == Some(&2)
+            next.requested_after.lock().expect("no test panicked while it held the lock").last() == Some(&2)
         })
         .await;
         assert_eq!(
-            next.requested_after.lock().expect("revisions")[0],
+            next.requested_after.lock().expect("no test panicked while it held the lock")[0],
             0,
             "the complete list is requested first"
         );
--- a/crates/gatherer/tests/memory.rs
+++ b/crates/gatherer/tests/memory.rs
@@ -87,7 +87,7 @@
         assert!(answers["now"].as_u64() <= answers["cap"].as_u64(), "{answers}");
         sleep(ms(50)).await;
     }
-    let all = load.await.expect("clients");
+    let all = load.await.expect("the clients are started");
     assert!(complete >= 38, "{complete} of the quiet tenant's 40 are served");
     assert!(peak < SMALL_MEMORY_MB as usize * 1024, "{peak} kB resident");
     drop(all);
@@ -102,7 +102,7 @@
         environment.open_bytes("answers").await > 500_000
     })
     .await;
-    client.0.read_exact(&mut [0; 1000]).await.expect("a beginning");
+    client.0.read_exact(&mut [0; 1000]).await.expect("the answer begins");
     drop(client);
     wait_until_async("all memory is released", async || open_query_bytes(&environment).await == 0).await;
 }
@@ -124,7 +124,7 @@
     let mut aborted = 0;
     for asked in asking {
         let reply = asked.await.expect("an answer arrives");
-        // A query none of whose parts was last in its frame gets all values.
+        // A query gets all values if none of its parts was last in a frame.
         let is_complete = || reply.json()["results"].as_array().map(Vec::len) == Some(16);
         assert!(matches!(reply.status, 502 | 503) || is_complete(), "{}: {}", reply.status, reply.body.len());
         aborted += usize::from(reply.status == 502);
@@ -143,13 +143,13 @@
         let reply = client.ask(&request("near", &id, 16, "1900m")).await;
         assert_eq!(reply.status, 200);
         let body = reply.json();
-        let results = body["results"].as_array().expect("results");
+        let results = body["results"].as_array().expect("the body has results");
         for r in results {
             assert_eq!(r["value"], long_value(&format!("{id}.{}", r["partition"]), MAX_VALUE_BYTES));
         }
         assert!(results.len() >= 12, "{}", results.len());
     }
-    let peak = environment.purpose_row("values").await["peak"].as_u64().expect("a number");
+    let peak = environment.purpose_row("values").await["peak"].as_u64().expect("the value is a number");
     assert!(
         peak >= 12 * MAX_VALUE_BYTES as u64,
         "the peak {peak} includes the memory that is set aside or used for a query"
@@ -172,11 +172,11 @@
                 let asked = request("near", &format!("flood-{rounds}-{number}"), 16, "1900m");
                 asking.push(tokio::spawn(async move {
                     let connected = tokio::net::TcpStream::connect(listen).await;
-                    Client(connected.expect("a connection")).ask(&asked).await
+                    Client(connected.expect("the connection is accepted")).ask(&asked).await
                 }));
             }
             for asked in asking {
-                let reply = asked.await.expect("a client");
+                let reply = asked.await.expect("the request is answered");
                 if reply.status == 503 {
                     assert!(reply.head.contains("retry-after"), "a rejection has a Retry-After header");
                     refused += 1;
@@ -196,7 +196,10 @@
         served += usize::from(reply.status == 200);
         sleep(ms(50)).await;
     }
-    assert!(flood.await.expect("the flood") > 0, "some queries of the flood are rejected for lack of memory");
+    assert!(
+        flood.await.expect("the flood ends") > 0,
+        "some queries of the flood are rejected for lack of memory"
+    );
     assert!(served * 100 >= asked * 95, "{served} of {asked}");
 }
 
@@ -248,8 +251,8 @@
     for number in 0..3 {
         let mut client = environment.client().await;
         let asked = request("near", &format!("body-{number}"), 2, "900m");
-        let head = asked.split("\r\n\r\n").next().expect("a head");
-        let head = head.rsplit_once("Content-Length").expect("a length").0;
+        let head = asked.split("\r\n\r\n").next().expect("the request has a head");
+        let head = head.rsplit_once("Content-Length").expect("the length is stated").0;
         client.send(&format!("{head}Content-Length: 40000\r\n\r\n")).await;
         slow.push(client);
     }
@@ -307,7 +310,8 @@
 async fn a_cap_lowered_below_the_memory_in_use_releases_nothing_and_admits_nothing_more() {
     let long_timeouts = |config: &mut Value| {
         use_small_limits(config);
-        for class in config["settings"]["request_classes"].as_array_mut().expect("classes") {
+        for class in config["settings"]["request_classes"].as_array_mut().expect("the settings have classes")
+        {
             class["aim_us"] = 5_000_000.into();
             class["hard_limit_us"] = 6_000_000.into();
         }
@@ -322,7 +326,8 @@
     environment.rewrite_settings("cap(purpose = \"queries\", bytes = 64 * KB, reserve = 0)\ncap(purpose = \"values\", bytes = 64 * KB, reserve = 0, more = 1)");
     environment.signal("HUP");
     sleep(ms(300)).await;
-    let cap = async || environment.purpose_row("queries").await["cap"].as_u64().expect("a number");
+    let cap =
+        async || environment.purpose_row("queries").await["cap"].as_u64().expect("the value is a number");
     assert!(cap().await > 1 << 20, "a file with one fault changes nothing");
     let mut others = Vec::new();
     for number in 0..4 {
@@ -371,8 +376,8 @@
     let mut refused = 0;
     wait_until_async("memory is refused", async || {
         let table = environment.get_admin("/memory").await.json();
-        let rows = table["purposes"].as_array().expect("purposes").clone();
-        refused = rows.iter().map(|r| r["refused"].as_u64().expect("a number")).sum();
+        let rows = table["purposes"].as_array().expect("the table has purposes").clone();
+        refused = rows.iter().map(|r| r["refused"].as_u64().expect("the value is a number")).sum();
         refused > 5
     })
     .await;
@@ -413,8 +418,10 @@
     let mut readings = 0;
     while !asking.iter().all(tokio::task::JoinHandle::is_finished) {
         let table = environment.get_admin("/memory").await.json();
-        let (live, off) =
-            (table["live"].as_f64().expect("live"), table["unattributed"].as_f64().expect("rest"));
+        let (live, off) = (
+            table["live"].as_f64().expect("the table has the allocated bytes"),
+            table["unattributed"].as_f64().expect("the table has the unattributed bytes"),
+        );
         assert!(off.abs() <= (live * 0.15).max(3e6), "{off} of {live} allocated bytes are unattributed");
         readings += 1;
         sleep(ms(10)).await;
@@ -442,22 +449,24 @@
 #[test]
 fn a_settings_file_is_checked_from_the_command_line() {
     let folder = std::env::temp_dir().join(format!("ashvane-check-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the directory is created");
     let file = folder.join("own.star");
-    let path = file.to_str().expect("text");
-    std::fs::write(&file, "cap(purpose = \"values\", bytes = 4 * MB)\n").expect("a file");
+    let path = file.to_str().expect("the text is UTF-8");
+    std::fs::write(&file, "cap(purpose = \"values\", bytes = 4 * MB)\n")
+        .expect("the settings file is written");
     assert_eq!(common::run(&["check", "--settings", path], None).1, "ok\n");
-    std::fs::write(&file, "cap(purpose = \"valeus\")\nadmin(listen = 3)\n").expect("a file");
+    std::fs::write(&file, "cap(purpose = \"valeus\")\nadmin(listen = 3)\n")
+        .expect("the settings file is written");
     let (good, _, err) = common::run(&["check", "--settings", path], None);
     assert!(
         !good && err.contains("own.star:1: cap.purpose") && err.contains("own.star:2: admin.listen"),
         "{err}"
     );
     // An allocation beyond the memory limit ends only the evaluator.
-    std::fs::write(&file, "x = \"a\" * (1 << 30)\n").expect("a file");
+    std::fs::write(&file, "x = \"a\" * (1 << 30)\n").expect("the settings file is written");
     let (good, _, err) = common::run(&["check", "--settings", path, "--memory-mb", "32"], None);
     assert!(!good && err.contains("own.star"), "{err}");
-    for unreadable in [folder.to_str().expect("text"), "/nowhere/own.star"] {
+    for unreadable in [folder.to_str().expect("the text is UTF-8"), "/nowhere/own.star"] {
         assert!(!common::run(&["check", "--settings", unreadable], None).0);
     }
     assert!(!common::run(&["check"], None).0);
