--- a/crates/gatherer/src/main.rs
+++ b/crates/gatherer/src/main.rs
@@ -1,4 +1,5 @@
-//! ashvane, the gatherer: takes clients' queries, asks shard servers for their parts, answers.
+//! ashvane, the gatherer: receives queries from clients, requests their parts from shard servers, and
+//! answers.
 
 mod live;
 mod log_lines;
@@ -30,23 +31,25 @@
 SIGUSR1 logs what memory is used for. docs/memory.md has the settings.
 ";
 
-/// Memory that a settings file is checked for where nothing says how much there is, in MB.
-const MEMORY_MB: u64 = 192;
+/// Memory that a settings file is checked against if neither the command line nor the configuration states
+/// it.
+const DEFAULT_MEMORY_MB: u64 = 192;
 
+/// Loads the configuration and runs the program.
 fn serve(level: log::LevelFilter, settings: Option<String>, as_json: bool) -> Result<(), String> {
     let path = std::env::var("GW_CONFIG");
-    let path = path.map_err(|_| "GW_CONFIG is not set: it names the configuration file")?;
+    let path = path.map_err(|_| "GW_CONFIG is not set; it must name the configuration file")?;
     let config = protocol::config::load(&path, false)?;
     Program::run(config, Files { config: path, settings }, level, as_json)
 }
 
-/// Checks a settings file, for the memory that is stated, else for that of the configuration.
+/// Checks a settings file, for `memory` bytes if given, else for the memory in the configuration.
 fn check(file: &str, memory: Option<u64>) -> Result<(), String> {
     let configured = || {
         let config = protocol::config::load(&std::env::var("GW_CONFIG").ok()?, false).ok()?;
         Some(config.memory_mb << 20)
     };
-    let memory = memory.or_else(configured).unwrap_or(MEMORY_MB << 20);
+    let memory = memory.or_else(configured).unwrap_or(DEFAULT_MEMORY_MB << 20);
     match Program::check(file, memory)? {
         faults if faults.is_empty() => {
             println!("ok");
@@ -54,35 +57,36 @@
         }
         faults => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            Err(format!("{} faults in {file}", faults.len()))
+            Err(format!("{file} has {} faults", faults.len()))
         }
     }
 }
 
-fn command() -> Result<(), String> {
+/// Parses the command line and runs the command.
+fn run_command() -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
         print!("{HELP}");
         return Ok(());
     }
-    let wrong = |e: pico_args::Error| e.to_string();
-    let command = arguments.subcommand().map_err(wrong)?;
-    let level = arguments.opt_value_from_str("--log").map_err(wrong)?;
-    let form: Option<String> = arguments.opt_value_from_str("--log-form").map_err(wrong)?;
-    let settings: Option<String> = arguments.opt_value_from_str("--settings").map_err(wrong)?;
-    let memory_mb: Option<u64> = arguments.opt_value_from_str("--memory-mb").map_err(wrong)?;
+    let parse_error = |e: pico_args::Error| e.to_string();
+    let command = arguments.subcommand().map_err(parse_error)?;
+    let level = arguments.opt_value_from_str("--log").map_err(parse_error)?;
+    let form: Option<String> = arguments.opt_value_from_str("--log-form").map_err(parse_error)?;
+    let settings: Option<String> = arguments.opt_value_from_str("--settings").map_err(parse_error)?;
+    let memory_mb: Option<u64> = arguments.opt_value_from_str("--memory-mb").map_err(parse_error)?;
     if let Some(unknown) = arguments.finish().first() {
         return Err(format!("unknown argument {unknown:?}; see ashvane help"));
     }
     let as_json = match form.as_deref() {
         None | Some("text") => false,
         Some("json") => true,
-        Some(other) => return Err(format!("--log-form {other:?} is not text or json")),
+        Some(other) => return Err(format!("--log-form {other:?} is neither text nor json")),
     };
     match command.as_deref() {
         Some("serve") => serve(level.unwrap_or(log::LevelFilter::Info), settings, as_json),
         Some("check") => {
-            let file = settings.ok_or("check needs --settings FILE")?;
+            let file = settings.ok_or("check requires --settings FILE")?;
             check(&file, memory_mb.map(|mb| mb << 20))
         }
         Some("version") => {
@@ -98,9 +102,9 @@
 }
 
 fn main() -> ExitCode {
-    let ended = command();
+    let result = run_command();
     log::logger().flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             eprintln!("ashvane: {reason}");
--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program from start to exit, as named phases of one object.
+//! The program from start to exit: start, readiness, reload and graceful shutdown.
 
 mod own;
 
@@ -22,34 +22,38 @@
 use crate::routing::{Routing, RoutingContext};
 use crate::transport::admin::Admin;
 use crate::transport::answers::Answers;
-use crate::transport::discovery::Discovery;
-use crate::transport::front::{self, CLIENT_BYTES, Door, Front};
-use crate::transport::keepers::Keepers;
-use crate::transport::lane::LANE_BYTES;
+use crate::transport::discovery::DiscoveryClient;
+use crate::transport::front::{self, CLIENT_CONNECTION_BYTES, ClientSlots, HandlerContext};
+use crate::transport::keepers::KeeperSession;
+use crate::transport::lane::SERVER_CONNECTION_BYTES;
 use crate::{live, log_lines};
 
-/// Events that may wait for the decisions; past it, handlers and connections wait.
-const EVENTS_MOST: usize = 256;
-/// Descriptors for all but clients and shard servers: standard streams, the runtime, discovery, the listener.
-const SOCKETS_APART: usize = 64;
-/// New connections count as having stopped once none has come for so long: they come for up to 0.4 s.
-const QUIET: Duration = Duration::from_millis(600);
-/// How often an ending program looks whether it is done.
-const LOOK: Duration = Duration::from_millis(20);
-/// The longest deadline counts as this where it is longer.
-const LONGEST_MOST: Duration = Duration::from_secs(3);
-/// Beyond the longest deadline, what is open is given up; a program is killed no sooner than 0.7 s beyond it.
-const LAST_MARGIN: Duration = Duration::from_millis(500);
-/// Share of the time until then in which clients are served on as before: perhaps nobody else is there.
-const SERVED_SHARE: f64 = 0.6;
-/// Time for the last answers to be written.
-const LAST_WRITES: Duration = Duration::from_millis(100);
+/// Capacity of the queue of events for routing. Handlers and connections wait while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 256;
+/// Number of descriptors for everything but connections to clients and shard servers: standard streams, the
+/// runtime, discovery and the listeners.
+const RESERVED_SOCKETS: usize = 64;
+/// Time without new connections after which clients count as having moved elsewhere. While they move, new
+/// connections arrive for up to 0.4 s.
+const QUIET_PERIOD: Duration = Duration::from_millis(600);
+/// Interval of the check whether all clients have disconnected.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum query timeout that the shutdown waits for.
+const MAX_QUERY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time beyond the longest query timeout after which open queries are aborted. The program is not killed
+/// earlier than 0.7 s beyond that timeout.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
+/// Ratio of the draining phase to the whole shutdown. Clients are served as usual in it, because there may be
+/// no other gatherer yet.
+const DRAINING_RATIO: f64 = 0.6;
+/// Time for writing the last answers.
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(100);
 
-/// The files that the program starts from and reads again when it is told to.
+/// Paths of the files that the program reads at start and at each reload.
 pub(crate) struct Files {
-    /// What the platform tells it.
+    /// The configuration file, written by the platform.
     pub config: String,
-    /// Our own settings, where there are any.
+    /// The settings file, if one is given.
     pub settings: Option<String>,
 }
 
@@ -57,66 +61,68 @@
     hangup: Signal,
     terminate: Signal,
     interrupt: Signal,
-    table: Signal,
+    memory_report: Signal,
 }
 
 impl Signals {
     fn listen() -> Result<Signals, String> {
-        let listen = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
+        let listen = |kind| signal(kind).map_err(|e| format!("cannot install the signal handlers: {e}"));
         Ok(Signals {
             hangup: listen(SignalKind::hangup())?,
             terminate: listen(SignalKind::terminate())?,
             interrupt: listen(SignalKind::interrupt())?,
-            table: listen(SignalKind::user_defined1())?,
+            memory_report: listen(SignalKind::user_defined1())?,
         })
     }
 }
 
-/// The admin listener, where there is one.
+/// Address and task of the admin listener, if there is one.
 type AdminTask = Option<(SocketAddr, JoinHandle<()>)>;
 
+/// The running program.
 pub(crate) struct Program {
     config: Config,
     files: Files,
-    /// The keepers that it talks with, until its end.
+    /// Settings of the keepers, which only a restart changes.
     fleet: Option<FleetSettings>,
-    /// Whether log lines are JSON where the settings don't say.
+    /// Whether log lines are JSON if the settings file does not state the form.
     as_json: bool,
     ledger: Ledger,
     admin: RefCell<AdminTask>,
     phase: watch::Sender<Phase>,
     discovery: watch::Sender<SocketAddr>,
-    door: Rc<Door>,
+    clients: Rc<ClientSlots>,
     events: mpsc::Sender<Event>,
-    /// Once told to end, it ends after this at the latest.
-    last: Duration,
+    /// Time after the signal to end at which open queries are aborted.
+    shutdown_timeout: Duration,
 }
 
 fn runtime() -> Result<Runtime, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("no runtime: {e}"))
+    runtime.map_err(|e| format!("cannot start the async runtime: {e}"))
 }
 
-/// All faults of a settings file, one to a line.
-fn told(faults: &[Fault]) -> String {
+/// Formats the faults of a settings file, one per line.
+fn format_faults(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 impl Program {
-    /// Runs until told to end and done, or until it cannot start.
+    /// Runs the program until its graceful shutdown is complete. Fails if it cannot start.
     pub(crate) fn run(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
         LocalSet::new().block_on(&runtime()?, Self::serve(config, files, level, as_json))
     }
 
-    /// All faults of a settings file for a program that may take so much memory.
+    /// Returns all faults of a settings file, for a program with `memory` bytes of memory.
     pub(crate) fn check(file: &str, memory: u64) -> Result<Vec<Fault>, String> {
         Ok(runtime()?.block_on(own::load(file, memory)).err().unwrap_or_default())
     }
 
-    async fn own(files: &Files, as_json: bool, memory: u64) -> Result<Settings, Vec<Fault>> {
+    /// Loads the settings file, or the defaults if there is none.
+    async fn load_settings(files: &Files, as_json: bool, memory: u64) -> Result<Settings, Vec<Fault>> {
         let mut settings = match &files.settings {
             Some(file) => own::load(file, memory).await?,
             None => Settings::default(),
@@ -126,141 +132,163 @@
         Ok(settings)
     }
 
-    async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+    async fn bind(address: SocketAddr) -> Result<TcpListener, String> {
         TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
     }
 
-    /// The room that there is for each purpose, and for each tenant by its rate.
-    fn ledger(config: &Config, own: &Settings) -> Ledger {
-        let limits = own.limits(config.memory_mb << 20);
+    /// Creates the ledger: a memory limit for each purpose, divided among the tenants by their rates.
+    fn create_ledger(config: &Config, settings: &Settings) -> Ledger {
+        let limits = settings.limits(config.memory_mb << 20);
         let (names, rates) = (config.network.tenants.iter(), config.settings.tenant_rates.iter());
         Ledger::new(limits, &names.cloned().zip(rates.copied()).collect::<Vec<_>>())
     }
 
-    /// How many clients, and as many connections to servers, descriptors and memory leave room for.
-    fn places(config: &Config, ledger: &Ledger) -> usize {
-        let sockets = config.sockets.saturating_sub(SOCKETS_APART).max(2) / 2;
-        let room = ledger.limits().of(Purpose::Connections).cap / (CLIENT_BYTES + LANE_BYTES);
-        sockets.min(usize::try_from(room).unwrap_or(usize::MAX)).max(1)
+    /// Returns the maximum number of client connections. The number of connections to servers has the same
+    /// limit, and descriptors and memory suffice for both.
+    fn max_clients(config: &Config, ledger: &Ledger) -> usize {
+        let sockets = config.sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
+        let memory_slots = ledger.limits().of(Purpose::Connections).cap
+            / (CLIENT_CONNECTION_BYTES + SERVER_CONNECTION_BYTES);
+        sockets.min(usize::try_from(memory_slots).unwrap_or(usize::MAX)).max(1)
     }
 
     #[expect(
         clippy::too_many_lines,
         reason = "not done yet: The path of a request reads as well as it works"
     )]
+    /// Starts all tasks, and runs until the graceful shutdown is complete.
     async fn serve(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
     ) -> Result<(), String> {
         let mut signals = Signals::listen()?;
-        let own = Self::own(&files, as_json, config.memory_mb << 20).await.map_err(|faults| told(&faults))?;
+        let settings = Self::load_settings(&files, as_json, config.memory_mb << 20)
+            .await
+            .map_err(|faults| format_faults(&faults))?;
         let listener = front::listen(config.listen);
         let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-        let ledger = Self::ledger(&config, &own);
-        log_lines::start(&config.name, level, &own.log, ledger.clone());
-        let (events, inbox) = mpsc::channel(EVENTS_MOST);
+        let ledger = Self::create_ledger(&config, &settings);
+        log_lines::start(&config.name, level, &settings.log, ledger.clone());
+        let (events, inbox) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (phase, phases) = watch::channel(Phase::Starting);
         let (ready, is_ready) = oneshot::channel();
-        let (left, list_requested, followed) =
+        let (ended_handlers, list_requested, first_list_received) =
             (Arc::<EndedHandlers>::default(), Rc::default(), Rc::new(Notify::new()));
         let (discovery, address) = watch::channel(config.discovery);
-        let each = Self::places(&config, &ledger);
+        let max_clients = Self::max_clients(&config, &ledger);
         log::info!(
-            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb, clients = each;
-            "starts, with as many connections to servers as to clients"
+            listen:% = config.listen, sockets = config.sockets, memory_mb = config.memory_mb,
+            clients = max_clients;
+            "starting; at most as many connections to servers as to clients"
         );
-        let door = Rc::new(Door::new(each, ledger.clone()));
+        let clients = Rc::new(ClientSlots::new(max_clients, ledger.clone()));
         let network = Arc::new(config.network.clone());
-        let fronting = Front {
+        let handler_context = HandlerContext {
             network: network.clone(),
             events: events.clone(),
-            left: left.clone(),
+            ended_handlers: ended_handlers.clone(),
             phase: phases,
             ledger: ledger.clone(),
             answers: Arc::new(Answers::new(ledger.clone())),
-            back_after: config.settings.max_retry_after,
+            retry_after: config.settings.max_retry_after,
         };
-        let watching = Discovery {
+        let discovery_client = DiscoveryClient {
             address,
             network: network.clone(),
             ledger: ledger.clone(),
             events: events.clone(),
-            asked: Rc::clone(&list_requested),
-            followed: followed.clone(),
+            list_requested: Rc::clone(&list_requested),
+            first_list_received: first_list_received.clone(),
         };
-        if let Some(fleet) = &own.fleet {
-            let keepers = Keepers::new(&config.name, config.settings.seed, fleet, events.clone());
+        if let Some(fleet) = &settings.fleet {
+            let keepers = KeeperSession::new(&config.name, config.settings.seed, fleet, events.clone());
             spawn_local(keepers.run(phase.subscribe()));
         }
-        let ends = RoutingContext {
-            max_connections: each,
+        let routing_context = RoutingContext {
+            max_connections: max_clients,
             events: events.clone(),
             list_requested,
             ready,
             ledger: ledger.clone(),
         };
-        let routing = Routing::new(&config.settings, &network, &config.initial_servers, ends);
+        let routing = Routing::new(&config.settings, &network, &config.initial_servers, routing_context);
         let routing = routing.map_err(|e| e.to_string())?;
-        let deciding = spawn_local(routing.run(inbox, left));
-        spawn_local(watching.run(config.initial_servers.revision));
-        spawn_local(door.clone().run(listener, Arc::new(fronting)));
+        let routing_task = spawn_local(routing.run(inbox, ended_handlers));
+        spawn_local(discovery_client.run(config.initial_servers.revision));
+        spawn_local(clients.clone().run(listener, Arc::new(handler_context)));
         spawn_local(async {
             loop {
-                sleep(log_lines::LOOK_AGAIN).await;
-                log_lines::write_waiting();
+                sleep(log_lines::RETRY_INTERVAL).await;
+                log_lines::write_queued_lines();
             }
         });
-        let last = network.longest.min(LONGEST_MOST) + LAST_MARGIN;
+        let shutdown_timeout = network.longest.min(MAX_QUERY_TIMEOUT) + SHUTDOWN_MARGIN;
         let admin = RefCell::default();
-        let fleet = own.fleet.clone();
-        let program =
-            Program { config, files, fleet, as_json, ledger, admin, phase, discovery, door, events, last };
-        program.attend(program.admin_listener(&own).await?);
+        let fleet = settings.fleet.clone();
+        let program = Program {
+            config,
+            files,
+            fleet,
+            as_json,
+            ledger,
+            admin,
+            phase,
+            discovery,
+            clients,
+            events,
+            shutdown_timeout,
+        };
+        program.replace_admin_listener(program.admin_listener(&settings).await?);
         let terminated = async {
             tokio::select! { _ = signals.terminate.recv() => {}, _ = signals.interrupt.recv() => {} }
         };
         let serving = async {
-            tokio::select! { () = terminated => {}, () = program.start(is_ready, &followed) => {} }
-            program.end().await;
+            tokio::select! {
+                () = terminated => {},
+                () = program.track_readiness(is_ready, &first_list_received) => {}
+            }
+            program.shut_down().await;
         };
         let reloading = async {
             while signals.hangup.recv().await.is_some() {
-                if let Err(words) = program.reload().await {
-                    words.lines().for_each(|line| log::error!("not reloaded: {line}"));
+                if let Err(message) = program.reload().await {
+                    message
+                        .lines()
+                        .for_each(|line| log::error!("reload failed, keeping the current settings: {line}"));
                 }
             }
         };
-        let telling = async {
-            while signals.table.recv().await.is_some() {
-                program.tell_memory();
+        let reporting = async {
+            while signals.memory_report.recv().await.is_some() {
+                program.log_memory_report();
             }
         };
         tokio::select! {
             () = serving => Ok(()),
-            _ = deciding => Err("the decisions stopped".into()),
-            () = reloading => Err("no signals".into()),
-            () = telling => Err("no signals".into()),
+            _ = routing_task => Err("the routing task ended unexpectedly".into()),
+            () = reloading => Err("SIGHUP can no longer be received".into()),
+            () = reporting => Err("SIGUSR1 can no longer be received".into()),
         }
     }
 
-    /// A listener for what settings newly say; none where they leave it as it is. The inner one is none where
-    /// there is to be no listener any more.
-    async fn admin_listener(&self, own: &Settings) -> Result<Option<Option<TcpListener>>, String> {
-        if own.admin == self.admin.borrow().as_ref().map(|(address, _)| *address) {
+    /// Binds the admin listener if its address in the settings has changed. Returns `None` if it has not, and
+    /// `Some(None)` if the settings no longer state one.
+    async fn admin_listener(&self, settings: &Settings) -> Result<Option<Option<TcpListener>>, String> {
+        if settings.admin == self.admin.borrow().as_ref().map(|(address, _)| *address) {
             return Ok(None);
         }
-        match own.admin {
-            Some(address) => Ok(Some(Some(Self::listen(address).await?))),
+        match settings.admin {
+            Some(address) => Ok(Some(Some(Self::bind(address).await?))),
             None => Ok(Some(None)),
         }
     }
 
-    /// Goes over to a newer admin listener, if there is one.
-    fn attend(&self, newer: Option<Option<TcpListener>>) {
-        let Some(newer) = newer else { return };
-        let task = newer.and_then(|listener| {
+    /// Replaces the admin listener as [`Program::admin_listener`] determined.
+    fn replace_admin_listener(&self, replacement: Option<Option<TcpListener>>) {
+        let Some(replacement) = replacement else { return };
+        let task = replacement.and_then(|listener| {
             let address = listener.local_addr().ok()?;
-            log::info!(listen:% = address; "the admin listener is up");
-            let admin = Admin { ledger: self.ledger.clone(), live: live::bytes };
+            log::info!(listen:% = address; "admin listener started");
+            let admin = Admin { ledger: self.ledger.clone(), allocated_bytes: live::allocated_bytes };
             Some((address, spawn_local(Arc::new(admin).run(listener))))
         });
         if let Some((_, before)) = self.admin.replace(task) {
@@ -268,9 +296,9 @@
         }
     }
 
-    /// Logs what memory is used for.
-    fn tell_memory(&self) {
-        let table = self.ledger.table(live::bytes());
+    /// Logs the memory use by purpose.
+    fn log_memory_report(&self) {
+        let table = self.ledger.table(live::allocated_bytes());
         log::info!(
             live = table.live, sum = table.sum, total = table.total, unattributed = table.unattributed;
             "memory"
@@ -284,66 +312,79 @@
         }
     }
 
-    /// Becomes ready with the first ready server, and again each time that a reload is done.
-    async fn start(&self, is_ready: oneshot::Receiver<()>, followed: &Notify) {
+    /// Enters the ready phase when a list has a ready server for the first time, and again after each reload.
+    async fn track_readiness(&self, is_ready: oneshot::Receiver<()>, first_list_received: &Notify) {
         if is_ready.await.is_ok() {
-            self.enter(Phase::Ready);
+            self.enter_phase(Phase::Ready);
         }
         loop {
-            followed.notified().await;
+            first_list_received.notified().await;
             if *self.phase.borrow() == Phase::Reloading {
-                self.enter(Phase::Ready);
+                self.enter_phase(Phase::Ready);
             }
         }
     }
 
-    /// Reads both files anew and takes them over: the discovery that the one names, our own settings from the
-    /// other. In trouble all stays as it is.
+    /// Reads both files again, and applies the address of discovery from the configuration and all of the
+    /// settings file. If either file is invalid, nothing changes.
     async fn reload(&self) -> Result<(), String> {
-        let newer = config::load(&self.files.config, true)?;
+        let reloaded = config::load(&self.files.config, true)?;
         let memory = self.config.memory_mb << 20;
-        let own = Self::own(&self.files, self.as_json, memory).await.map_err(|faults| told(&faults))?;
-        let admin = self.admin_listener(&own).await?;
-        let mut fixed = self.config.restart_only_changes(&newer);
-        if own.fleet != self.fleet {
-            fixed.push("fleet");
+        let settings = Self::load_settings(&self.files, self.as_json, memory)
+            .await
+            .map_err(|faults| format_faults(&faults))?;
+        let admin = self.admin_listener(&settings).await?;
+        let mut restart_only = self.config.restart_only_changes(&reloaded);
+        if settings.fleet != self.fleet {
+            restart_only.push("fleet");
         }
-        if !fixed.is_empty() {
-            log::warn!("only a restart takes over what is new in {}", fixed.join(", "));
+        if !restart_only.is_empty() {
+            log::warn!(
+                "changes to these settings need a restart and are ignored: {}",
+                restart_only.join(", ")
+            );
         }
-        self.ledger.limit(own.limits(memory));
-        log_lines::adopt(&own.log);
-        self.attend(admin);
-        log::info!(discovery:% = newer.discovery; "reloaded");
+        self.ledger.limit(settings.limits(memory));
+        log_lines::apply_settings(&settings.log);
+        self.replace_admin_listener(admin);
+        log::info!(discovery:% = reloaded.discovery; "configuration reloaded");
         if *self.phase.borrow() == Phase::Ready {
-            self.enter(Phase::Reloading);
+            self.enter_phase(Phase::Reloading);
         }
-        self.discovery.send_replace(newer.discovery);
+        self.discovery.send_replace(reloaded.discovery);
         Ok(())
     }
 
-    fn enter(&self, phase: Phase) {
-        log::info!(phase:? = phase, clients = self.door.open(); "goes on");
+    /// Enters a phase.
+    fn enter_phase(&self, phase: Phase) {
+        log::info!(phase:? = phase, clients = self.clients.open_count(); "entering phase");
         self.phase.send_replace(phase);
     }
 
-    /// Ends: serves on as long as that leaves time to answer what is open, then sends its clients away.
-    async fn end(&self) {
-        let told = Instant::now();
-        let is_left = || self.door.open() == 0 && self.door.quiet_for().min(told.elapsed()) >= QUIET;
-        self.enter(Phase::Draining);
-        while !is_left() && told.elapsed() < self.last.mul_f64(SERVED_SHARE) {
-            sleep(LOOK).await;
+    /// Shuts down gracefully. Clients are served as usual in the draining phase, and are then asked to
+    /// reconnect elsewhere. Queries that are still open after `shutdown_timeout` are aborted.
+    async fn shut_down(&self) {
+        let signalled_at = Instant::now();
+        let is_drained = || {
+            self.clients.open_count() == 0
+                && self.clients.since_last_accept().min(signalled_at.elapsed()) >= QUIET_PERIOD
+        };
+        self.enter_phase(Phase::Draining);
+        while !is_drained() && signalled_at.elapsed() < self.shutdown_timeout.mul_f64(DRAINING_RATIO) {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        self.enter(Phase::Closing);
-        while !is_left() && told.elapsed() < self.last {
-            sleep(LOOK).await;
+        self.enter_phase(Phase::Closing);
+        while !is_drained() && signalled_at.elapsed() < self.shutdown_timeout {
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
-        if self.door.open() > 0 {
-            log::warn!("{} clients are still connected: what they wait for is given up", self.door.open());
+        if self.clients.open_count() > 0 {
+            log::warn!(
+                "aborting all open queries: {} clients are still connected at the end of the shutdown",
+                self.clients.open_count()
+            );
             let _ = self.events.send(Event::ShuttingDown).await;
-            sleep(LAST_WRITES).await;
+            sleep(FINAL_WRITE_DELAY).await;
         }
-        log::info!("ends");
+        log::info!("shutdown complete");
     }
 }
--- a/crates/gatherer/src/transport/admin.rs
+++ b/crates/gatherer/src/transport/admin.rs
@@ -1,5 +1,6 @@
-//! The admin listener: what the program's memory is used for, as JSON and as metrics. Off unless the settings
-//! name a loopback address for it. It takes nothing from any purpose, so that it answers while all are full.
+//! The admin listener, which reports memory use by purpose as JSON and as metrics. It is off unless the
+//! settings state a loopback address for it. It charges no purpose, so that it answers even if all caps are
+//! reached.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,21 +24,23 @@
 
 use crate::protocol::query;
 
-/// Connections at once: an operator and a scraper or two. Their descriptors are among those set apart.
-const OPEN_MOST: usize = 8;
-/// The longest that one connection lasts.
-const OPEN_FOR: Duration = Duration::from_secs(10);
-/// Time in which a request's head must be whole.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(100);
-/// The longest head that is read.
-const HEAD_MOST: usize = 8 * 1024;
+/// Maximum number of open connections: an operator and one or two scrapers. Their descriptors are part of
+/// `RESERVED_SOCKETS`.
+const MAX_CONNECTIONS: usize = 8;
+/// Maximum duration of a connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time within which a request head must be complete.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum length of a request head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
+/// What the admin listener reports on.
 pub(crate) struct Admin {
     pub ledger: Ledger,
-    /// What the allocator has given out.
-    pub live: fn() -> u64,
+    /// Returns the number of bytes that are allocated.
+    pub allocated_bytes: fn() -> u64,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -51,32 +54,32 @@
     tenant: String,
 }
 
-/// The table as metrics in the OpenMetrics text form.
-fn metrics(table: &Table) -> Result<String, std::fmt::Error> {
+/// Encodes the table as metrics in the OpenMetrics text format.
+fn encode_metrics(table: &Table) -> Result<String, std::fmt::Error> {
     let mut registry = Registry::with_prefix("ashvane_memory");
-    let one = |registry: &mut Registry, name: &str, help: &str, value: i64| {
+    let register_gauge = |registry: &mut Registry, name: &str, help: &str, value: i64| {
         let gauge = <Gauge>::default();
         gauge.set(value);
         registry.register_with_unit(name, help, Unit::Bytes, gauge);
     };
-    one(&mut registry, "live", "What the allocator has given out", table.live as i64);
-    one(&mut registry, "attributed", "What all purposes have open", table.sum as i64);
-    one(&mut registry, "unattributed", "What is live and has no purpose", table.unattributed);
-    one(&mut registry, "total", "What all purposes may take together", table.total as i64);
+    register_gauge(&mut registry, "live", "What the allocator has given out", table.live as i64);
+    register_gauge(&mut registry, "attributed", "What all purposes have open", table.sum as i64);
+    register_gauge(&mut registry, "unattributed", "What is live and has no purpose", table.unattributed);
+    register_gauge(&mut registry, "total", "What all purposes may take together", table.total as i64);
     let gauges = || Family::<PurposeLabel, Gauge>::default();
     let (open, peak, cap, reserve) = (gauges(), gauges(), gauges(), gauges());
     let refused = Family::<PurposeLabel, Counter>::default();
     let tenants = Family::<TenantLabel, Gauge>::default();
     for row in &table.purposes {
         let label = PurposeLabel { purpose: row.purpose };
-        let shown = [(&open, row.now), (&peak, row.peak), (&cap, row.cap), (&reserve, row.reserve)];
-        for (family, value) in shown {
+        let values = [(&open, row.now), (&peak, row.peak), (&cap, row.cap), (&reserve, row.reserve)];
+        for (family, value) in values {
             family.get_or_create(&label).set(value as i64);
         }
         refused.get_or_create(&label).inc_by(row.refused);
-        for t in &row.tenants {
-            let label = TenantLabel { purpose: row.purpose, tenant: t.tenant.clone() };
-            tenants.get_or_create(&label).set(t.now as i64);
+        for entry in &row.tenants {
+            let label = TenantLabel { purpose: row.purpose, tenant: entry.tenant.clone() };
+            tenants.get_or_create(&label).set(entry.now as i64);
         }
     }
     registry.register_with_unit("open", "What a purpose has open", Unit::Bytes, open);
@@ -91,15 +94,16 @@
 }
 
 impl Admin {
+    /// Answers a request.
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.method() != Method::GET {
             return query::text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET");
         }
-        let table = || self.ledger.table((self.live)());
-        let (kind, text) = match request.uri().path() {
+        let table = || self.ledger.table((self.allocated_bytes)());
+        let (content_type, text) = match request.uri().path() {
             "/memory" => ("application/json", serde_json::to_string(&table()).ok()),
             "/metrics" => {
-                ("application/openmetrics-text; version=1.0.0; charset=utf-8", metrics(&table()).ok())
+                ("application/openmetrics-text; version=1.0.0; charset=utf-8", encode_metrics(&table()).ok())
             }
             _ => return query::text_response(StatusCode::NOT_FOUND, "there are /memory and /metrics"),
         };
@@ -107,36 +111,39 @@
             return query::text_response(StatusCode::INTERNAL_SERVER_ERROR, "not told");
         };
         let mut answer = Response::new(Body::from(text));
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
         answer
     }
 
+    /// Serves one connection.
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let answer = self.answer(&request);
             async move { Ok::<_, Infallible>(answer) }
         });
         let mut http = hyper::server::conn::http1::Builder::new();
-        // One answer each: who keeps a connection would find it closed under its next request.
-        http.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT).max_buf_size(HEAD_MOST);
+        // Each connection serves one request. With keep-alive, the connection timeout could interrupt a later
+        // request.
+        http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
         http.keep_alive(false);
-        // One that lasts too long or breaks is of no more use; whoever asked asks again.
-        let _ = timeout(OPEN_FOR, http.serve_connection(TokioIo::new(stream), service)).await;
+        // A failure is ignored, because the client can retry.
+        let _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(TokioIo::new(stream), service)).await;
     }
 
+    /// Accepts and serves connections.
     pub(crate) async fn run(self: Arc<Self>, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(OPEN_MOST));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let admin = self.clone();
                     tokio::task::spawn_local(async move {
                         admin.serve(stream).await;
-                        drop(place);
+                        drop(permit);
                     });
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
