--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,6 +1,7 @@
-//! Runs the decision module on the simulator's wire: one line in, one call; one call, one line out.
+//! Adapter between the simulator and the decision module. Each input line becomes a call into the module, and
+//! each call that the module makes becomes an output line.
 
-#![expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
+#![expect(clippy::too_many_lines, reason = "one arm for each event of the wire")]
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,21 +13,21 @@
 
 use ashvane::{Gatherer, Health, Host, Outcome};
 
-/// Lines of the reply so far, shared by all hosts.
+/// Output lines of the current batch, shared by all hosts.
 #[derive(Default)]
 struct Reply {
     text: String,
     context: Option<u64>,
 }
 
-/// One instance's way to the reply.
-struct Wire {
+/// Host of one gatherer instance; writes its calls to the shared reply.
+struct WireHost {
     instance: u64,
     reply: Rc<RefCell<Reply>>,
 }
 
-impl Wire {
-    fn line(&self, line: std::fmt::Arguments<'_>) {
+impl WireHost {
+    fn write_line(&self, line: std::fmt::Arguments<'_>) {
         let reply = &mut *self.reply.borrow_mut();
         if reply.context != Some(self.instance) {
             reply.context = Some(self.instance);
@@ -37,175 +38,181 @@
     }
 }
 
-impl Host for Wire {
+impl Host for WireHost {
     fn start_call(&mut self, part: u64, server: &str, timeout: Duration) {
-        // On the wire 0 means no limit, and a negative one expires straight away.
+        // On the wire, 0 means no time-out, and a negative value expires immediately.
         let us = if timeout.is_zero() { -1 } else { timeout.as_micros() as i64 };
-        self.line(format_args!("attempt\t{part}\t{us}\t{server}"));
+        self.write_line(format_args!("attempt\t{part}\t{us}\t{server}"));
     }
 
     fn cancel_call(&mut self, part: u64, call: u32) {
-        self.line(format_args!("retract\t{part}\t{call}"));
+        self.write_line(format_args!("retract\t{part}\t{call}"));
     }
 
     fn answer(&mut self, query: u64, complete: bool) {
-        self.line(format_args!("respond\t{query}\t{}", u8::from(complete)));
+        self.write_line(format_args!("respond\t{query}\t{}", u8::from(complete)));
     }
 
     fn reject(&mut self, query: u64, retry_after: Option<Duration>) {
         match retry_after {
-            Some(after) => self.line(format_args!("bounce\t{query}\t{}", after.as_micros())),
-            None => self.line(format_args!("bounce\t{query}\t-")),
+            Some(after) => self.write_line(format_args!("bounce\t{query}\t{}", after.as_micros())),
+            None => self.write_line(format_args!("bounce\t{query}\t-")),
         }
     }
 
     fn abort(&mut self, query: u64) {
-        self.line(format_args!("finish_error\t{query}"));
+        self.write_line(format_args!("finish_error\t{query}"));
     }
 
     fn set_timer(&mut self, token: u64, delay: Duration) {
-        self.line(format_args!("arm\t{token}\t{}", delay.as_micros()));
+        self.write_line(format_args!("arm\t{token}\t{}", delay.as_micros()));
     }
 
     fn watch_server_list(&mut self) {
-        self.line(format_args!("track\t1"));
+        self.write_line(format_args!("track\t1"));
     }
 }
 
-/// The values of one line, in order.
-struct Fields<'a>(std::str::Split<'a, char>);
+/// Tab-separated fields of a line, read in order.
+struct LineFields<'a>(std::str::Split<'a, char>);
 
-impl<'a> Fields<'a> {
-    fn text(&mut self, name: &str) -> Result<&'a str, String> {
+impl<'a> LineFields<'a> {
+    /// Returns the next field, or an error that names it.
+    fn required(&mut self, name: &str) -> Result<&'a str, String> {
         self.0.next().ok_or_else(|| format!("{name} is missing"))
     }
 
+    /// Returns the next field, or `None` if it is given as "-".
     fn optional(&mut self, name: &str) -> Result<Option<&'a str>, String> {
-        Ok(Some(self.text(name)?).filter(|text| *text != "-"))
+        Ok(Some(self.required(name)?).filter(|text| *text != "-"))
     }
 
-    fn parsed<T: std::str::FromStr>(&mut self, name: &str) -> Result<T, String> {
-        self.maybe(name)?.ok_or_else(|| format!("{name} is absent"))
+    fn parse_required<T: std::str::FromStr>(&mut self, name: &str) -> Result<T, String> {
+        self.parse_optional(name)?.ok_or_else(|| format!("{name} is required but given as \"-\""))
     }
 
-    fn maybe<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
+    fn parse_optional<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
         let Some(text) = self.optional(name)? else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| format!("{name} is not a value of its type: {text:?}"))
+        text.parse().map(Some).map_err(|_| format!("{name} cannot be parsed: {text:?}"))
     }
 
-    /// The wire's "number": it may be written with a point, and stands for a whole one here.
-    fn whole(&mut self, name: &str) -> Result<i64, String> {
-        let number: f64 = self.parsed(name)?;
+    /// Reads a field of the wire type "number" that must be an integer. It may be written with a decimal point.
+    fn integer(&mut self, name: &str) -> Result<i64, String> {
+        let number: f64 = self.parse_required(name)?;
         if number.fract() != 0.0 || number.abs() > 9e15 {
-            return Err(format!("{name} is not a whole number: {number}"));
+            return Err(format!("{name} is not an integer of magnitude up to 9e15: {number}"));
         }
         Ok(number as i64)
     }
 
     fn micros(&mut self, name: &str) -> Result<Option<Duration>, String> {
-        let us: Option<i64> = self.maybe(name)?;
+        let us: Option<i64> = self.parse_optional(name)?;
         Ok(us.map(|us| Duration::from_micros(us.max(0) as u64)))
     }
 }
 
-/// One row of a list of servers.
-type Row = (String, Health, u32, Option<u32>, Option<Duration>);
+/// Row of a server list: name, health, cell, zone and start time.
+type ServerRow = (String, Health, u32, Option<u32>, Option<Duration>);
 
 #[derive(Default)]
-struct Drill {
+struct Adapter {
     reply: Rc<RefCell<Reply>>,
-    gatherers: BTreeMap<u64, Gatherer<Wire>>,
-    lists: BTreeMap<u8, Vec<Row>>,
+    gatherers: BTreeMap<u64, Gatherer<WireHost>>,
+    lists: BTreeMap<u8, Vec<ServerRow>>,
     open_list: Option<(u8, usize)>,
     instance: Option<u64>,
     now: Duration,
     in_batch: bool,
 }
 
-impl Drill {
-    /// Takes one line; true when it ends a batch.
-    fn line(&mut self, line: &str) -> Result<bool, String> {
-        let mut f = Fields(line.split('\t'));
-        let name = f.text("name")?;
+impl Adapter {
+    /// Handles an input line. Returns true if the line ends a batch.
+    fn handle_line(&mut self, line: &str) -> Result<bool, String> {
+        let mut fields = LineFields(line.split('\t'));
+        let name = fields.required("name")?;
         if self.open_list.is_some() && name != "row" {
-            return Err("a list has fewer rows than stated".into());
+            return Err("server list has fewer rows than declared".into());
         }
         match name {
-            "tick" if self.in_batch => return Err("a batch begins within a batch".into()),
+            "tick" if self.in_batch => return Err("tick within a batch; expected go first".into()),
             "tick" => {
-                self.now = Duration::from_micros(f.parsed("time_us")?);
+                self.now = Duration::from_micros(fields.parse_required("time_us")?);
                 self.in_batch = true;
                 return Ok(false);
             }
-            _ if !self.in_batch => return Err(format!("{name:?} stands outside a batch")),
+            _ if !self.in_batch => return Err(format!("{name:?} outside a batch")),
             "go" => {
                 self.in_batch = false;
                 self.instance = None;
                 return Ok(true);
             }
             "target_instance" => {
-                let instance = f.parsed("gatherer_id")?;
+                let instance = fields.parse_required("gatherer_id")?;
                 self.instance = Some(instance);
                 self.gatherers.get_mut(&instance).iter_mut().for_each(|g| g.advance_to(self.now));
                 return Ok(false);
             }
-            "list" => return self.list(&mut f).map(|()| false),
-            "row" => return self.row(&mut f).map(|()| false),
+            "list" => return self.begin_list(&mut fields).map(|()| false),
+            "row" => return self.add_row(&mut fields).map(|()| false),
             _ => {}
         }
         let instance = self.instance.ok_or_else(|| format!("{name:?} names no instance"))?;
         match name {
             "configure" => {
-                let seed: u64 = f.parsed("nonce64")?;
-                let json = f.text("config")?;
-                let json = serde_json::from_str(json).map_err(|e| format!("settings: {e}"))?;
+                let seed: u64 = fields.parse_required("nonce64")?;
+                let json = fields.required("config")?;
+                let json =
+                    serde_json::from_str(json).map_err(|e| format!("settings are not valid JSON: {e}"))?;
                 let settings = ashvane_settings::read(seed, &json)?;
-                let host = Wire { instance, reply: self.reply.clone() };
+                let host = WireHost { instance, reply: self.reply.clone() };
                 self.gatherers.insert(instance, Gatherer::new(host, &settings, self.now));
             }
             "retire" => {
                 self.gatherers.remove(&instance);
             }
-            _ => self.event(instance, name, &mut f)?,
+            _ => self.dispatch_event(instance, name, &mut fields)?,
         }
         Ok(false)
     }
 
-    fn list(&mut self, f: &mut Fields<'_>) -> Result<(), String> {
-        let number = f.parsed("list")?;
-        let rows = f.parsed("hosts")?;
+    fn begin_list(&mut self, fields: &mut LineFields<'_>) -> Result<(), String> {
+        let number = fields.parse_required("list")?;
+        let rows = fields.parse_required("hosts")?;
         self.lists.insert(number, Vec::new());
         self.open_list = Some((number, rows)).filter(|(_, rows)| *rows > 0);
         Ok(())
     }
 
-    fn row(&mut self, f: &mut Fields<'_>) -> Result<(), String> {
-        let (number, left) = self.open_list.ok_or("a row stands outside a list")?;
-        let started = f.micros("online_since_us")?.filter(|t| !t.is_zero());
-        let _weight: Option<f64> = f.maybe("weight")?;
-        let zone = f.maybe("failure_domain")?;
-        let _kind: Option<u32> = f.maybe("kind")?;
-        let health = match f.text("health")? {
+    fn add_row(&mut self, fields: &mut LineFields<'_>) -> Result<(), String> {
+        let (number, remaining) =
+            self.open_list.ok_or("row without a preceding list, or beyond its declared rows")?;
+        let started = fields.micros("online_since_us")?.filter(|t| !t.is_zero());
+        let _weight: Option<f64> = fields.parse_optional("weight")?;
+        let zone = fields.parse_optional("failure_domain")?;
+        let _kind: Option<u32> = fields.parse_optional("kind")?;
+        let health = match fields.required("health")? {
             "ready" => Health::Ready,
             "draining" => Health::Draining,
             "gone" => Health::Gone,
             other => return Err(format!("unknown health {other:?}")),
         };
-        let server = f.text("server")?.to_owned();
-        let cell = f.maybe("cell")?.unwrap_or(0);
+        let server = fields.required("server")?.to_owned();
+        let cell = fields.parse_optional("cell")?.unwrap_or(0);
         self.lists.entry(number).or_default().push((server, health, cell, zone, started));
-        self.open_list = Some((number, left - 1)).filter(|(_, left)| *left > 0);
+        self.open_list = Some((number, remaining - 1)).filter(|(_, remaining)| *remaining > 0);
         Ok(())
     }
 
-    fn event(&mut self, instance: u64, name: &str, f: &mut Fields<'_>) -> Result<(), String> {
+    fn dispatch_event(
+        &mut self, instance: u64, name: &str, fields: &mut LineFields<'_>,
+    ) -> Result<(), String> {
         let mut gatherer = self.gatherers.get_mut(&instance);
         match name {
             "sync" => {
-                let number: Option<u8> = f.maybe("list")?;
-                let _version: Option<u64> = f.maybe("version")?;
-                let scope = f.text("scope")?;
-                let all = match scope {
+                let number: Option<u8> = fields.parse_optional("list")?;
+                let _version: Option<u64> = fields.parse_optional("version")?;
+                let scope = fields.required("scope")?;
+                let is_full_list = match scope {
                     "C" | "F" => true,
                     "D" => false,
                     "X" => {
@@ -214,39 +221,50 @@
                     }
                     other => return Err(format!("unknown scope {other:?}")),
                 };
-                let rows = number.and_then(|n| self.lists.get(&n)).ok_or("unknown list")?;
+                let rows =
+                    number.and_then(|n| self.lists.get(&n)).ok_or("sync with an absent or unknown list")?;
                 let Some(g) = gatherer else { return Ok(()) };
-                g.begin_server_list(all);
+                g.begin_server_list(is_full_list);
                 for (server, health, cell, zone, started) in rows {
                     g.update_server(server, *health, *cell, *zone, *started);
                 }
             }
             "ask" => {
-                let id = f.parsed("msg_id")?;
-                let vertical = f.parsed("type")?;
-                let tenant = f.maybe("billing")?;
-                let key = f.optional("partition_key")?;
-                let until = f.micros("valid_until_us")?.ok_or("valid_until_us is absent")?;
-                let _cost = f.micros("effort_us")?;
-                let number = f.whole("job_no")? as u64;
-                let shard = f.whole("segment_no")?;
-                let heft: f64 = f.parsed("heft")?;
-                let _bits: u64 = f.parsed("state_bits")?;
+                let id = fields.parse_required("msg_id")?;
+                let vertical = fields.parse_required("type")?;
+                let tenant = fields.parse_optional("billing")?;
+                let partition_key = fields.optional("partition_key")?;
+                let deadline = fields
+                    .micros("valid_until_us")?
+                    .ok_or("valid_until_us is required but given as \"-\"")?;
+                let _effort = fields.micros("effort_us")?;
+                let number = fields.integer("job_no")? as u64;
+                let shard = fields.integer("segment_no")?;
+                let weight: f64 = fields.parse_required("heft")?;
+                let _state_bits: u64 = fields.parse_required("state_bits")?;
                 let Some(g) = gatherer else { return Ok(()) };
                 if shard < 0 {
-                    g.query_arrived(id, number, vertical, tenant, key, until, heft.max(0.0) as usize);
+                    g.query_arrived(
+                        id,
+                        number,
+                        vertical,
+                        tenant,
+                        partition_key,
+                        deadline,
+                        weight.max(0.0) as usize,
+                    );
                 } else {
-                    g.part_arrived(id, number, shard as u32, heft);
+                    g.part_arrived(id, number, shard as u32, weight);
                 }
             }
             "ring" => {
-                let token = f.parsed("ctx")?;
+                let token = fields.parse_required("ctx")?;
                 gatherer.iter_mut().for_each(|g| g.timer_fired(token));
             }
             "settled" => {
-                let id = f.parsed("msg_id")?;
-                let call = f.parsed("attempt")?;
-                let outcome = match f.text("result")? {
+                let id = fields.parse_required("msg_id")?;
+                let call = fields.parse_required("attempt")?;
+                let outcome = match fields.required("result")? {
                     "completed" => Outcome::Completed,
                     "errored" => Outcome::Errored,
                     "saturated" => Outcome::Rejected,
@@ -257,16 +275,16 @@
                     "superseded" => Outcome::NeverSent,
                     other => return Err(format!("unknown result {other:?}")),
                 };
-                let server = f.text("server")?;
-                let _latency: Option<i64> = f.maybe("latency_us")?;
-                let over: u8 = f.maybe("no_more")?.unwrap_or(0);
-                gatherer.iter_mut().for_each(|g| g.call_ended(id, call, outcome, server, over == 1));
+                let server = fields.required("server")?;
+                let _latency: Option<i64> = fields.parse_optional("latency_us")?;
+                let is_final: u8 = fields.parse_optional("no_more")?.unwrap_or(0);
+                gatherer.iter_mut().for_each(|g| g.call_ended(id, call, outcome, server, is_final == 1));
             }
             "abandoned" => {
-                let id = f.parsed("msg_id")?;
+                let id = fields.parse_required("msg_id")?;
                 gatherer.iter_mut().for_each(|g| g.query_abandoned(id));
             }
-            // Only streamed verticals, peers and probes bring these; no gatherer here has any.
+            // Sent only for streamed verticals, peers and probes, which gatherers here do not use.
             "started" | "inbox" | "probe_done" => {}
             other => return Err(format!("unknown event {other:?}")),
         }
@@ -275,27 +293,27 @@
 }
 
 fn run() -> Result<(), String> {
-    let mut drill = Drill::default();
+    let mut adapter = Adapter::default();
     let mut out = io::stdout().lock();
     let mut number = 0;
     for line in io::stdin().lock().lines() {
         number += 1;
-        let told = |reason: String| format!("line {number}: {reason}");
-        let line = line.map_err(|e| told(e.to_string()))?;
-        if line.is_empty() && !drill.in_batch {
+        let at_line = |reason: String| format!("line {number}: {reason}");
+        let line = line.map_err(|e| at_line(e.to_string()))?;
+        if line.is_empty() && !adapter.in_batch {
             continue;
         }
-        if drill.line(&line).map_err(told)? {
-            let mut reply = drill.reply.borrow_mut();
+        if adapter.handle_line(&line).map_err(at_line)? {
+            let mut reply = adapter.reply.borrow_mut();
             reply.text.push_str("yield\n");
-            let sent = out.write_all(reply.text.as_bytes()).and_then(|()| out.flush());
-            sent.map_err(|e| told(e.to_string()))?;
+            let written = out.write_all(reply.text.as_bytes()).and_then(|()| out.flush());
+            written.map_err(|e| at_line(e.to_string()))?;
             reply.text.clear();
             reply.context = None;
         }
     }
-    if drill.in_batch {
-        return Err(format!("line {number}: the input ends within a batch"));
+    if adapter.in_batch {
+        return Err(format!("line {number}: input ends within a batch"));
     }
     Ok(())
 }
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: every charge that is open, by purpose and tenant, and whether there is room for one more.
+//! Ledger of the open charges by purpose and tenant, and admission of new ones.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,18 +10,18 @@
 use crate::purpose::Purpose;
 use crate::shares::Shares;
 
-/// Which limit leaves no room.
+/// Limit that a refused charge would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The purpose's own cap.
+    /// Cap of the purpose.
     Cap,
-    /// What the others have taken or is kept for them.
+    /// Total over all purposes, including the unused reserves of the other purposes.
     Total,
-    /// The tenant is beyond its share, and others need theirs.
+    /// Share of the tenant: it is used up, and other tenants need the rest of the cap.
     Share,
 }
 
-/// There is no room.
+/// Refusal of a charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoRoom {
     pub purpose: Purpose,
@@ -31,11 +31,11 @@
 impl fmt::Display for NoRoom {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let reason = match self.reason {
-            Reason::Cap => "its cap is reached",
-            Reason::Total => "the total is reached",
-            Reason::Share => "the tenant's share is reached",
+            Reason::Cap => "cap of the purpose reached",
+            Reason::Total => "total of all purposes reached",
+            Reason::Share => "share of the tenant reached",
         };
-        write!(f, "no room for {}: {reason}", self.purpose.name())
+        write!(f, "memory charge for {} refused: {reason}", self.purpose.name())
     }
 }
 
@@ -43,48 +43,49 @@
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    now: u64,
-    /// So much of it is set aside and not there yet.
-    idle: u64,
+    /// Bytes of all open charges.
+    used: u64,
+    /// Part of `used` that is set aside for data that has not arrived yet.
+    unfilled: u64,
     peak: u64,
-    /// How often there was no room.
+    /// Number of refused charges.
     refused: u64,
 }
 
-/// What is open of all purposes. Sums only; the charges themselves are with those who took them.
-struct Books {
+/// Sums of the open charges of all purposes. The charges themselves are held by their owners.
+struct LedgerState {
     limits: Limits,
     accounts: [Account; Purpose::COUNT],
     shares: [Shares; Purpose::COUNT],
     now: Duration,
 }
 
-impl Books {
-    /// What the purposes have taken, or have kept for them where that is more.
-    fn spoken_for(&self) -> u64 {
-        Purpose::ALL.iter().map(|p| self.accounts[p.at()].now.max(self.limits.of(*p).reserve)).sum()
+impl LedgerState {
+    /// Returns the bytes that are in use or reserved: the greater of the two for each purpose, summed.
+    fn committed_bytes(&self) -> u64 {
+        Purpose::ALL.iter().map(|p| self.accounts[p.index()].used.max(self.limits.of(*p).reserve)).sum()
     }
 
-    fn lacks(&mut self, purpose: Purpose, tenant: usize, bytes: u64) -> Option<Reason> {
+    fn refusal_reason(&mut self, purpose: Purpose, tenant: usize, bytes: u64) -> Option<Reason> {
         let Limit { cap, reserve } = self.limits.of(purpose);
-        let used = self.accounts[purpose.at()].now;
+        let used = self.accounts[purpose.index()].used;
         if used.saturating_add(bytes) > cap {
             return Some(Reason::Cap);
         }
-        let more = (used + bytes).max(reserve) - used.max(reserve);
-        if more > 0 && self.spoken_for() + more > self.limits.total {
+        let growth = (used + bytes).max(reserve) - used.max(reserve);
+        if growth > 0 && self.committed_bytes() + growth > self.limits.total {
             return Some(Reason::Total);
         }
         let now = self.now;
-        let shared = purpose.is_shared();
-        (shared && !self.shares[purpose.at()].may_take(tenant, bytes, used, cap, now))
+        let is_shared = purpose.is_shared();
+        (is_shared && !self.shares[purpose.index()].may_take(tenant, bytes, used, cap, now))
             .then_some(Reason::Share)
     }
 
     fn take(&mut self, purpose: Purpose, tenant: usize, bytes: u64) -> Result<(), NoRoom> {
-        if let Some(reason) = self.lacks(purpose, tenant, bytes) {
-            self.accounts[purpose.at()].refused += 1;
-            self.shares[purpose.at()].tenants[tenant].refused += 1;
+        if let Some(reason) = self.refusal_reason(purpose, tenant, bytes) {
+            self.accounts[purpose.index()].refused += 1;
+            self.shares[purpose.index()].tenants[tenant].refused += 1;
             return Err(NoRoom { purpose, reason });
         }
         self.add(purpose, tenant, bytes);
@@ -92,126 +93,136 @@
     }
 
     fn add(&mut self, purpose: Purpose, tenant: usize, bytes: u64) {
-        let account = &mut self.accounts[purpose.at()];
-        account.now += bytes;
-        account.peak = account.peak.max(account.now);
-        self.shares[purpose.at()].add(tenant, bytes);
+        let account = &mut self.accounts[purpose.index()];
+        account.used += bytes;
+        account.peak = account.peak.max(account.used);
+        self.shares[purpose.index()].add(tenant, bytes);
     }
 
-    fn give_back(&mut self, purpose: Purpose, tenant: usize, bytes: u64) {
-        self.accounts[purpose.at()].now -= bytes;
-        self.shares[purpose.at()].give_back(tenant, bytes);
+    fn release(&mut self, purpose: Purpose, tenant: usize, bytes: u64) {
+        self.accounts[purpose.index()].used -= bytes;
+        self.shares[purpose.index()].release(tenant, bytes);
     }
 }
 
-/// The one ledger of a program; clones are the same one.
+/// Memory ledger of a process. Clones share the same state.
 #[derive(Clone)]
 pub struct Ledger {
-    books: Arc<Mutex<Books>>,
-    names: Arc<[String]>,
+    state: Arc<Mutex<LedgerState>>,
+    tenant_names: Arc<[String]>,
 }
 
 impl Ledger {
-    /// A ledger under these limits for tenants of these names and weights.
+    /// Creates a ledger with the given limits, for tenants with the given names and weights.
     pub fn new(limits: Limits, tenants: &[(String, f64)]) -> Ledger {
         let weights: Vec<f64> = tenants.iter().map(|(_, weight)| *weight).collect();
-        let books = Books {
+        let state = LedgerState {
             limits,
             accounts: Default::default(),
             shares: std::array::from_fn(|_| Shares::new(&weights)),
             now: Duration::ZERO,
         };
-        let names = tenants.iter().map(|(name, _)| name.clone()).collect();
-        Ledger { books: Arc::new(Mutex::new(books)), names }
+        let tenant_names = tenants.iter().map(|(name, _)| name.clone()).collect();
+        Ledger { state: Arc::new(Mutex::new(state)), tenant_names }
     }
 
-    /// Sums are whole between calls, so that a panic elsewhere leaves them good.
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the state and ignores poisoning: the sums are consistent whenever the lock is released, so a
+    /// panic in another thread does not invalidate them.
+    fn lock_state(&self) -> MutexGuard<'_, LedgerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time of what follows.
+    /// Advances the clock that decides which tenants are active. An earlier time has no effect.
     pub fn at(&self, now: Duration) {
-        let mut books = self.books();
-        books.now = books.now.max(now);
+        let mut state = self.lock_state();
+        state.now = state.now.max(now);
     }
 
-    /// Takes room, or tells why there is none.
+    /// Charges the given bytes, or returns the limit that they would exceed.
     pub fn take(&self, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> Result<Charge, NoRoom> {
-        let mut books = self.books();
-        let tenant = books.shares[purpose.at()].index(tenant);
-        books.take(purpose, tenant, bytes)?;
-        Ok(Charge { ledger: self.clone(), purpose, tenant, bytes, idle: 0 })
+        let mut state = self.lock_state();
+        let tenant = state.shares[purpose.index()].index(tenant);
+        state.take(purpose, tenant, bytes)?;
+        Ok(Charge { ledger: self.clone(), purpose, tenant, bytes, unfilled: 0 })
     }
 
-    /// Takes room for what is still to come; what has come is told with [`Charge::fill`].
+    /// Charges the given bytes for data that has not arrived yet; [`Charge::fill`] records its arrival.
     pub fn set_aside(&self, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> Result<Charge, NoRoom> {
         let mut charge = self.take(purpose, tenant, bytes)?;
-        charge.idle = bytes;
-        self.books().accounts[purpose.at()].idle += bytes;
+        charge.unfilled = bytes;
+        self.lock_state().accounts[purpose.index()].unfilled += bytes;
         Ok(charge)
     }
 
-    /// What would leave no room for so much more, if anything would.
+    /// Returns the refusal that a charge of the given bytes would meet, if any, without charging them.
     pub fn lacks(&self, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> Option<NoRoom> {
-        let mut books = self.books();
-        let tenant = books.shares[purpose.at()].index(tenant);
-        books.lacks(purpose, tenant, bytes).map(|reason| NoRoom { purpose, reason })
+        let mut state = self.lock_state();
+        let tenant = state.shares[purpose.index()].index(tenant);
+        state.refusal_reason(purpose, tenant, bytes).map(|reason| NoRoom { purpose, reason })
     }
 
-    /// New limits hold from now on. What is above a lowered cap stays until it is given back.
+    /// Replaces the limits. Open charges above a lowered cap stay until they are released.
     pub fn limit(&self, limits: Limits) {
-        self.books().limits = limits;
+        self.lock_state().limits = limits;
     }
 
     pub fn limits(&self) -> Limits {
-        self.books().limits.clone()
+        self.lock_state().limits.clone()
     }
 
-    /// What is open of one purpose.
+    /// Returns the bytes of all open charges for one purpose.
     pub fn open(&self, purpose: Purpose) -> u64 {
-        self.books().accounts[purpose.at()].now
+        self.lock_state().accounts[purpose.index()].used
     }
 
-    /// What is open of all purposes.
+    /// Returns the bytes of all open charges.
     pub fn sum(&self) -> u64 {
-        self.books().accounts.iter().map(|a| a.now).sum()
+        self.lock_state().accounts.iter().map(|a| a.used).sum()
     }
 
-    /// The state of all purposes. `live` is what the allocator has given out.
+    /// Returns the state of all purposes. `live` is the number of bytes allocated, as the allocator reports it.
     pub fn table(&self, live: u64) -> Table {
-        let books = self.books();
+        let state = self.lock_state();
         let row = |purpose: &Purpose| {
             let (Limit { cap, reserve }, account) =
-                (books.limits.of(*purpose), &books.accounts[purpose.at()]);
-            let shares = &books.shares[purpose.at()];
+                (state.limits.of(*purpose), &state.accounts[purpose.index()]);
+            let shares = &state.shares[purpose.index()];
             let tenants = shares.tenants.iter().enumerate().filter(|(_, t)| t.peak > 0 || t.refused > 0);
-            let tenant = |(at, t): (usize, &crate::shares::Tenant)| TenantRow {
-                tenant: self.names.get(at).cloned().unwrap_or_else(|| "-".into()),
-                now: t.now,
+            let tenant = |(index, t): (usize, &crate::shares::Tenant)| TenantRow {
+                tenant: self.tenant_names.get(index).cloned().unwrap_or_else(|| "-".into()),
+                now: t.used,
                 peak: t.peak,
-                share: shares.share(at, cap),
+                share: shares.share(index, cap),
                 refused: t.refused,
             };
             let tenants = if purpose.is_shared() { tenants.map(tenant).collect() } else { Vec::new() };
-            let Account { now, idle, peak, refused } = *account;
-            Row { purpose: purpose.name(), now, set_aside: idle, peak, cap, reserve, refused, tenants }
+            let Account { used, unfilled, peak, refused } = *account;
+            Row {
+                purpose: purpose.name(),
+                now: used,
+                set_aside: unfilled,
+                peak,
+                cap,
+                reserve,
+                refused,
+                tenants,
+            }
         };
         let purposes: Vec<Row> = Purpose::ALL.iter().map(row).collect();
         let sum = purposes.iter().map(|r| r.now).sum::<u64>();
-        let idle = purposes.iter().map(|r| r.set_aside).sum::<u64>();
-        let unattributed = live as i64 - (sum - idle) as i64;
-        Table { live, sum, unattributed, total: books.limits.total, purposes }
+        let unfilled = purposes.iter().map(|r| r.set_aside).sum::<u64>();
+        let unattributed = live as i64 - (sum - unfilled) as i64;
+        Table { live, sum, unattributed, total: state.limits.total, purposes }
     }
 }
 
-/// Room that was taken. It gives itself back when it is dropped.
+/// Bytes charged to a purpose and a tenant, released on drop.
 pub struct Charge {
     ledger: Ledger,
     purpose: Purpose,
     tenant: usize,
     bytes: u64,
-    idle: u64,
+    unfilled: u64,
 }
 
 impl fmt::Debug for Charge {
@@ -225,72 +236,73 @@
         self.bytes
     }
 
-    /// Makes the charge this large. It stays as it is where there is no room for more.
+    /// Sets the size of the charge. If an increase is refused, the charge is unchanged.
     pub fn resize(&mut self, bytes: u64) -> Result<(), NoRoom> {
-        let mut books = self.ledger.books();
+        let mut state = self.ledger.lock_state();
         match bytes.checked_sub(self.bytes) {
-            Some(more) => books.take(self.purpose, self.tenant, more)?,
-            None => books.give_back(self.purpose, self.tenant, self.bytes - bytes),
+            Some(more) => state.take(self.purpose, self.tenant, more)?,
+            None => state.release(self.purpose, self.tenant, self.bytes - bytes),
         }
-        drop(books);
+        drop(state);
         self.bytes = bytes;
-        // A charge holds no more that is still to come than it holds.
-        self.less_idle(self.idle.saturating_sub(bytes));
+        // The unfilled part cannot exceed the charge.
+        self.reduce_unfilled(self.unfilled.saturating_sub(bytes));
         Ok(())
     }
 
-    /// So much has come of what this was set aside for. Where that was too little, it takes more, or tells that
-    /// there is none and stays as it is.
+    /// Records that the given bytes have arrived. Bytes beyond the part set aside are charged in addition; if
+    /// that is refused, the charge is unchanged.
     pub fn fill(&mut self, bytes: u64) -> Result<(), NoRoom> {
-        if let Some(more) = bytes.checked_sub(self.idle).filter(|more| *more > 0) {
+        if let Some(more) = bytes.checked_sub(self.unfilled).filter(|more| *more > 0) {
             self.resize(self.bytes + more)?;
         }
-        self.less_idle(bytes.min(self.idle));
+        self.reduce_unfilled(bytes.min(self.unfilled));
         Ok(())
     }
 
-    /// Nothing more will come: what is still set aside is given back.
+    /// Releases the part that is still set aside, once all data has arrived.
     pub fn settle(&mut self) {
-        let idle = self.idle;
-        self.less_idle(idle);
-        self.ledger.books().give_back(self.purpose, self.tenant, idle);
-        self.bytes -= idle;
+        let unfilled = self.unfilled;
+        self.reduce_unfilled(unfilled);
+        self.ledger.lock_state().release(self.purpose, self.tenant, unfilled);
+        self.bytes -= unfilled;
     }
 
-    fn less_idle(&mut self, bytes: u64) {
-        self.idle -= bytes;
-        self.ledger.books().accounts[self.purpose.at()].idle -= bytes;
+    fn reduce_unfilled(&mut self, bytes: u64) {
+        self.unfilled -= bytes;
+        self.ledger.lock_state().accounts[self.purpose.index()].unfilled -= bytes;
     }
 
-    /// Makes the charge as large as what it stands for has turned out to be, cap or no cap: for what exists
-    /// already and is about to be given back, where a refusal would help nobody.
+    /// Sets the charge to the actual size of its data without checking limits: for data that is already in
+    /// memory and is released soon, so that a refusal would free nothing.
     pub fn correct(&mut self, bytes: u64) {
-        let mut books = self.ledger.books();
-        books.give_back(self.purpose, self.tenant, self.bytes);
-        books.add(self.purpose, self.tenant, bytes);
-        drop(books);
+        let mut state = self.ledger.lock_state();
+        state.release(self.purpose, self.tenant, self.bytes);
+        state.add(self.purpose, self.tenant, bytes);
+        drop(state);
         self.bytes = bytes;
-        self.less_idle(self.idle.saturating_sub(bytes));
+        self.reduce_unfilled(self.unfilled.saturating_sub(bytes));
     }
 }
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        let mut books = self.ledger.books();
-        books.accounts[self.purpose.at()].idle -= self.idle;
-        books.give_back(self.purpose, self.tenant, self.bytes);
+        let mut state = self.ledger.lock_state();
+        state.accounts[self.purpose.index()].unfilled -= self.unfilled;
+        state.release(self.purpose, self.tenant, self.bytes);
     }
 }
 
-/// All purposes at one moment, in bytes.
+/// Snapshot of all purposes, in bytes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Table {
-    /// What the allocator has given out.
+    /// Allocated bytes, as the allocator reports them.
     pub live: u64,
-    /// What the purposes have open together, and what they may.
+    /// Bytes of all open charges.
     pub sum: u64,
+    /// Limit of `sum`.
     pub total: u64,
-    /// What is live and has no purpose; what is only set aside is not live.
+    /// Live bytes that no charge covers. Bytes that are only set aside do not count as live.
     pub unattributed: i64,
     pub purposes: Vec<Row>,
 }
@@ -299,14 +311,14 @@
 pub struct Row {
     pub purpose: &'static str,
     pub now: u64,
-    /// So much of that is set aside for what is still to come.
+    /// Part of `now` that is set aside for data that has not arrived yet.
     pub set_aside: u64,
     pub peak: u64,
     pub cap: u64,
     pub reserve: u64,
-    /// How often there was no room.
+    /// Number of refused charges.
     pub refused: u64,
-    /// The tenants that have had something of it.
+    /// Tenants that have had a charge accepted or refused.
     pub tenants: Vec<TenantRow>,
 }
 
@@ -315,7 +327,7 @@
     pub tenant: String,
     pub now: u64,
     pub peak: u64,
-    /// What it may always take; beyond it, what others lend.
+    /// Bytes that the tenant may always use; beyond them it borrows unused shares of others.
     pub share: u64,
     pub refused: u64,
 }
@@ -328,7 +340,7 @@
         Ledger::new(Limits::of_memory(32 << 20), &[("a".into(), 1.0), ("b".into(), 1.0)])
     }
 
-    /// Takes all there is, in charges of so many bytes.
+    /// Takes charges of the given size until one is refused.
     fn fill(ledger: &Ledger, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> (Vec<Charge>, NoRoom) {
         let mut charges = Vec::new();
         loop {
@@ -340,7 +352,7 @@
     }
 
     #[test]
-    fn a_charge_gives_itself_back_and_a_cap_is_never_passed() {
+    fn a_charge_is_released_on_drop_and_a_cap_is_never_exceeded() {
         let ledger = ledger();
         let cap = ledger.limits().of(Purpose::Frames).cap;
         let (charges, no_room) = fill(&ledger, Purpose::Frames, None, 60_000);
@@ -348,38 +360,42 @@
         assert!(ledger.open(Purpose::Frames) <= cap && ledger.open(Purpose::Frames) + 60_000 > cap);
         drop(charges);
         assert_eq!(ledger.sum(), 0);
-        let row = &ledger.table(0).purposes[Purpose::Frames.at()];
+        let row = &ledger.table(0).purposes[Purpose::Frames.index()];
         assert!(row.refused == 1 && row.peak <= cap && row.now == 0);
     }
 
-    /// Guards against a tenant whose flood through some purposes leaves another no share of the next.
+    /// Guards against a tenant that uses up the total through some purposes, so that another tenant cannot get
+    /// its share of the next purpose.
     #[test]
-    fn a_tenant_finds_its_share_of_each_purpose_whatever_another_takes_of_all() {
+    fn a_tenant_gets_its_share_of_each_purpose_under_load_from_another_tenant() {
         let ledger = ledger();
         let all: Vec<_> = Purpose::ALL.into_iter().map(|p| fill(&ledger, p, Some(0), 1000)).collect();
         assert!(all.iter().all(|(charges, _)| charges.len() > 100));
         for purpose in Purpose::ALL.into_iter().filter(|p| p.is_shared()) {
             let cap = ledger.limits().of(purpose).cap;
-            let got = fill(&ledger, purpose, Some(1), 1000).0.len() as u64 * 1000;
-            assert!(got + 2000 > cap / 4, "{got} of {cap} for {}", purpose.name());
+            let taken = fill(&ledger, purpose, Some(1), 1000).0.len() as u64 * 1000;
+            assert!(taken + 2000 > cap / 4, "{taken} of {cap} for {}", purpose.name());
         }
     }
 
-    /// Guards against one purpose's flood that takes another's room.
+    /// Guards against other purposes using up the reserve of one purpose.
     #[test]
-    fn what_is_kept_for_a_purpose_is_there_whatever_the_others_take() {
+    fn the_reserve_of_a_purpose_is_available_whatever_the_others_use() {
         let ledger = ledger();
         let others = Purpose::ALL.into_iter().filter(|p| *p != Purpose::Calls);
         let all: Vec<_> = others.map(|p| fill(&ledger, p, Some(0), 1000)).collect();
-        assert!(all.iter().any(|(_, no_room)| no_room.reason == Reason::Total), "the total binds");
+        assert!(
+            all.iter().any(|(_, no_room)| no_room.reason == Reason::Total),
+            "the total is the limit reached"
+        );
         let reserve = ledger.limits().of(Purpose::Calls).reserve;
         let (charges, _) = fill(&ledger, Purpose::Calls, None, 1000);
-        let got: u64 = charges.iter().map(Charge::bytes).sum();
-        assert!(got + 1000 > reserve, "{got} of {reserve}");
+        let taken: u64 = charges.iter().map(Charge::bytes).sum();
+        assert!(taken + 1000 > reserve, "{taken} of {reserve}");
     }
 
     #[test]
-    fn a_lowered_cap_takes_nothing_back_and_lets_nothing_more_in() {
+    fn a_lowered_cap_keeps_open_charges_and_refuses_new_ones() {
         let ledger = ledger();
         let (mut charges, _) = fill(&ledger, Purpose::Calls, None, 1000);
         let held = ledger.open(Purpose::Calls);
@@ -389,42 +405,42 @@
         assert_eq!(ledger.open(Purpose::Calls), held);
         assert!(ledger.take(Purpose::Calls, None, 1).is_err());
         assert!(charges[0].resize(2000).is_err() && charges[0].bytes() == 1000);
-        assert!(charges[0].resize(500).is_ok(), "less is always possible");
+        assert!(charges[0].resize(500).is_ok(), "a charge can always shrink");
         charges.truncate(charges.len() / 2 - 2);
         assert!(ledger.take(Purpose::Calls, None, 1).is_ok());
     }
 
     #[test]
-    fn what_is_set_aside_is_filled_taken_beyond_it_and_given_back() {
+    fn bytes_set_aside_are_filled_exceeded_and_released() {
         let ledger = ledger();
-        let mut charge = ledger.set_aside(Purpose::Values, None, 1000).expect("room");
-        let seen = |live| {
+        let mut charge = ledger.set_aside(Purpose::Values, None, 1000).expect("the limits leave room");
+        let values_row = |live| {
             let table = ledger.table(live);
-            let row = &table.purposes[Purpose::Values.at()];
+            let row = &table.purposes[Purpose::Values.index()];
             (row.now, row.set_aside, table.unattributed)
         };
-        assert_eq!(seen(0), (1000, 1000, 0));
-        charge.fill(300).expect("room");
-        assert_eq!(seen(300), (1000, 700, 0));
-        charge.fill(900).expect("room");
-        assert_eq!((seen(1200), charge.bytes()), ((1200, 0, 0), 1200));
+        assert_eq!(values_row(0), (1000, 1000, 0));
+        charge.fill(300).expect("the limits leave room");
+        assert_eq!(values_row(300), (1000, 700, 0));
+        charge.fill(900).expect("the limits leave room");
+        assert_eq!((values_row(1200), charge.bytes()), ((1200, 0, 0), 1200));
         assert!(charge.fill(u64::MAX / 2).is_err() && charge.bytes() == 1200);
         drop(charge);
-        let mut charge = ledger.set_aside(Purpose::Values, None, 1000).expect("room");
-        charge.fill(300).expect("room");
+        let mut charge = ledger.set_aside(Purpose::Values, None, 1000).expect("the limits leave room");
+        charge.fill(300).expect("the limits leave room");
         charge.settle();
-        assert_eq!((seen(300), charge.bytes()), ((300, 0, 0), 300));
+        assert_eq!((values_row(300), charge.bytes()), ((300, 0, 0), 300));
         drop(charge);
-        assert_eq!(seen(0), (0, 0, 0));
+        assert_eq!(values_row(0), (0, 0, 0));
     }
 
     #[test]
-    fn the_table_tells_what_has_no_purpose() {
+    fn the_table_reports_live_bytes_without_a_purpose() {
         let ledger = ledger();
-        let _charge = ledger.take(Purpose::Values, Some(1), 700).expect("room");
+        let _charge = ledger.take(Purpose::Values, Some(1), 700).expect("the limits leave room");
         let table = ledger.table(1000);
         assert_eq!((table.live, table.sum, table.unattributed), (1000, 700, 300));
-        let values = &table.purposes[Purpose::Values.at()];
+        let values = &table.purposes[Purpose::Values.index()];
         assert_eq!((values.tenants.len(), &*values.tenants[0].tenant, values.tenants[0].now), (1, "b", 700));
     }
 }
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -1,12 +1,17 @@
-//! Memory by purpose. Decides who may take how much memory for what, and who gives way when there is no room:
-//! nothing here reads a clock, opens a socket or allocates what it accounts for.
+//! Memory accounting by purpose and tenant. Decides which charges are admitted and which answer to a
+//! stalled client is dropped under memory pressure. Nothing here reads a clock, opens a socket or allocates the
+//! memory it accounts for.
 //!
-//! Job: a [`Ledger`] of [`Charge`]s, each for a [`Purpose`] and perhaps a tenant, that give themselves back
-//! when they are dropped; the [`Limits`] it holds them to; the [`Writers`] whose clients may be stalled; the
-//! [`Usual`] weight of what a query brings. May know: bytes, purposes, tenants by number, the time it is
-//! told. Must not know: queries, servers, connections, protocols.
+//! Responsibilities: a [`Ledger`] of [`Charge`]s, each for a [`Purpose`] and optionally a tenant, which are
+//! released on drop; the [`Limits`] that the ledger enforces; the [`Writers`], which find stalled clients; the
+//! [`Usual`] size estimate for bytes to set aside. May depend on: bytes, purposes, tenant indexes, the time
+//! passed in. Must not depend on: queries, servers, connections, protocols.
 
-#![expect(missing_docs, clippy::missing_errors_doc, reason = "not done yet: The rest reads as well")]
+#![expect(
+    missing_docs,
+    clippy::missing_errors_doc,
+    reason = "documentation of the public items is incomplete"
+)]
 
 mod ledger;
 mod limits;
--- a/crates/memory/src/purpose.rs
+++ b/crates/memory/src/purpose.rs
@@ -1,25 +1,25 @@
-//! What memory is taken for.
+//! Purposes that memory is accounted for.
 
-/// What memory is taken for. Whatever has no purpose of its own shows as unattributed.
+/// Purpose of a memory charge. Allocations without a purpose are reported as unattributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
-    /// Open connections to clients and shard servers: buffers and state, by the connection.
+    /// Buffers and state of open connections to clients and shard servers, charged per connection.
     Connections,
-    /// Request bodies that are being read.
+    /// Request bodies being read.
     Bodies,
-    /// Queries and parts that are held.
+    /// Pending queries and their parts.
     Queries,
-    /// Frames on their way to shard servers.
+    /// Outgoing frames to shard servers.
     Calls,
-    /// Frames that come from shard servers, until their values are held.
+    /// Incoming frames from shard servers, until their values are stored.
     Frames,
-    /// Values held for answers, and what is set aside for those that are to come.
+    /// Values stored for answers, and bytes set aside for values that have not arrived yet.
     Values,
-    /// Answers that are being written to clients.
+    /// Answers being written to clients.
     Answers,
-    /// Shard servers and their lists.
+    /// Shard servers and server lists.
     Servers,
-    /// Log lines that wait to be written.
+    /// Log lines that are queued for writing.
     Logs,
 }
 
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether clients fill it, so that each tenant has a share of it.
+    /// Whether the purpose is filled by clients, so that each tenant has a share of its cap.
     pub fn is_shared(self) -> bool {
         matches!(self, Purpose::Bodies | Purpose::Queries | Purpose::Values | Purpose::Answers)
     }
 
-    pub(crate) fn at(self) -> usize {
+    pub(crate) fn index(self) -> usize {
         self as usize
     }
 }
--- a/crates/memory/src/shares.rs
+++ b/crates/memory/src/shares.rs
@@ -1,79 +1,81 @@
-//! Tenants' shares of one purpose: lent out while others don't need them, given back when they do.
+//! Tenants' shares of one purpose. Unused shares are lent to other tenants and return to their tenant when it
+//! needs them.
 
 use std::time::Duration;
 
-/// A tenant that has taken something within this time may need its whole share: bursts of one client are
-/// closer together, and what was lent comes back within a query's time.
-const ACTIVE_FOR: Duration = Duration::from_secs(5);
-/// Share of the cap that is never lent out while another tenant is idle: with it the first queries of one
-/// that wakes find room before what it lent has come back.
-const KEPT_BACK: f64 = 0.25;
+/// Time after its last request for which a tenant counts as active and may need its whole share. Bursts of one
+/// client are closer together, and lent memory is released within the duration of a query.
+const ACTIVE_WINDOW: Duration = Duration::from_secs(5);
+/// Fraction of the cap that is never lent while another tenant is idle. The first queries of a tenant that
+/// becomes active find room there before its lent memory is released.
+const IDLE_RESERVE_RATIO: f64 = 0.25;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Tenant {
-    pub now: u64,
+    pub used: u64,
     pub peak: u64,
     pub refused: u64,
     weight: f64,
-    active: Option<Duration>,
+    last_active: Option<Duration>,
 }
 
-/// The tenants of one purpose, the last of them all that have no name.
+/// Tenants of one purpose. The last entry stands for all requests without a known tenant.
 #[derive(Clone, Debug)]
 pub(crate) struct Shares {
     pub tenants: Vec<Tenant>,
-    weights: f64,
+    total_weight: f64,
 }
 
 impl Shares {
     pub(crate) fn new(weights: &[f64]) -> Shares {
-        let tenant = |weight: f64| Tenant { now: 0, peak: 0, refused: 0, weight, active: None };
+        let tenant = |weight: f64| Tenant { used: 0, peak: 0, refused: 0, weight, last_active: None };
         let tenants: Vec<Tenant> = weights.iter().map(|w| tenant(*w)).collect();
-        let weights = tenants.iter().map(|t| t.weight).sum::<f64>();
-        // The nameless have no share where there are names, and all of it where there are none.
-        let rest = if weights > 0.0 { 0.0 } else { 1.0 };
-        let tenants = tenants.into_iter().chain([tenant(rest)]).collect();
-        Shares { tenants, weights: weights + rest }
+        let total_weight = tenants.iter().map(|t| t.weight).sum::<f64>();
+        // Requests without a known tenant have no share if tenants are configured, and the whole cap if none are.
+        let unnamed_weight = if total_weight > 0.0 { 0.0 } else { 1.0 };
+        let tenants = tenants.into_iter().chain([tenant(unnamed_weight)]).collect();
+        Shares { tenants, total_weight: total_weight + unnamed_weight }
     }
 
+    /// Returns the position of a tenant in `tenants`; unknown tenants map to the last entry.
     pub(crate) fn index(&self, tenant: Option<usize>) -> usize {
         let last = self.tenants.len() - 1;
         tenant.filter(|t| *t < last).unwrap_or(last)
     }
 
-    /// What a tenant may always take of a cap.
+    /// Returns the bytes of a cap that a tenant may always use.
     pub(crate) fn share(&self, tenant: usize, cap: u64) -> u64 {
-        (cap as f64 * self.tenants[tenant].weight / self.weights) as u64
+        (cap as f64 * self.tenants[tenant].weight / self.total_weight) as u64
     }
 
-    /// Whether a tenant may take so much more while so much of the cap is in use: within its share always;
-    /// beyond it only what the others that are active, or may wake, don't need.
+    /// Whether a tenant may take `bytes` more while `used` bytes of the cap are in use. Within its share it
+    /// always may; beyond it, only memory that neither active tenants nor the reserve for idle ones need.
     pub(crate) fn may_take(&mut self, tenant: usize, bytes: u64, used: u64, cap: u64, now: Duration) -> bool {
         let own = &mut self.tenants[tenant];
-        own.active = Some(now);
-        if own.now + bytes <= self.share(tenant, cap) {
+        own.last_active = Some(now);
+        if own.used + bytes <= self.share(tenant, cap) {
             return true;
         }
-        let (mut owed, mut idle) = (0, 0);
-        for (at, t) in self.tenants.iter().enumerate().filter(|(at, _)| *at != tenant) {
-            let unused = self.share(at, cap).saturating_sub(t.now);
-            match t.active {
-                Some(active) if now < active + ACTIVE_FOR => owed += unused,
-                _ => idle += unused,
+        let (mut active_unused, mut idle_unused) = (0, 0);
+        for (index, t) in self.tenants.iter().enumerate().filter(|(index, _)| *index != tenant) {
+            let unused = self.share(index, cap).saturating_sub(t.used);
+            match t.last_active {
+                Some(last_active) if now < last_active + ACTIVE_WINDOW => active_unused += unused,
+                _ => idle_unused += unused,
             }
         }
-        let kept_back = idle.min((cap as f64 * KEPT_BACK) as u64);
-        used + bytes + owed + kept_back <= cap
+        let idle_reserve = idle_unused.min((cap as f64 * IDLE_RESERVE_RATIO) as u64);
+        used + bytes + active_unused + idle_reserve <= cap
     }
 
     pub(crate) fn add(&mut self, tenant: usize, bytes: u64) {
         let t = &mut self.tenants[tenant];
-        t.now += bytes;
-        t.peak = t.peak.max(t.now);
+        t.used += bytes;
+        t.peak = t.peak.max(t.used);
     }
 
-    pub(crate) fn give_back(&mut self, tenant: usize, bytes: u64) {
-        self.tenants[tenant].now -= bytes;
+    pub(crate) fn release(&mut self, tenant: usize, bytes: u64) {
+        self.tenants[tenant].used -= bytes;
     }
 }
 
@@ -83,45 +85,45 @@
 
     const CAP: u64 = 1000;
 
-    /// Takes units of ten until refused; how much that was.
+    /// Takes units of ten bytes until refused, and returns the bytes taken.
     fn fill(shares: &mut Shares, tenant: usize, now: Duration) -> u64 {
-        let mut got = 0;
+        let mut taken = 0;
         loop {
-            let used: u64 = shares.tenants.iter().map(|t| t.now).sum();
+            let used: u64 = shares.tenants.iter().map(|t| t.used).sum();
             if used + 10 > CAP || !shares.may_take(tenant, 10, used, CAP, now) {
-                return got;
+                return taken;
             }
             shares.add(tenant, 10);
-            got += 10;
+            taken += 10;
         }
     }
 
     #[test]
-    fn a_tenant_alone_takes_all() {
+    fn a_single_tenant_may_use_the_whole_cap() {
         assert_eq!(fill(&mut Shares::new(&[]), 0, Duration::ZERO), CAP);
         let mut shares = Shares::new(&[1.0]);
         assert_eq!(fill(&mut shares, 0, Duration::ZERO), CAP);
     }
 
     #[test]
-    fn what_is_idle_is_lent_but_for_what_is_kept_back_and_comes_back_when_it_is_needed() {
+    fn idle_shares_are_lent_except_for_the_reserve_and_return_when_needed() {
         let mut shares = Shares::new(&[1.0, 1.0]);
         let mut now = Duration::from_secs(100);
-        assert_eq!(fill(&mut shares, 0, now), 750, "a quarter is kept back for the other");
-        assert_eq!(fill(&mut shares, 1, now), 250, "which gets it at once");
-        // What was lent is given back as it ends, and not taken again.
-        shares.give_back(0, 100);
+        assert_eq!(fill(&mut shares, 0, now), 750, "a quarter of the cap stays reserved for the idle tenant");
+        assert_eq!(fill(&mut shares, 1, now), 250, "the second tenant gets the reserve at once");
+        // Lent memory is released as requests end, and cannot be borrowed again while the other is active.
+        shares.release(0, 100);
         assert_eq!(fill(&mut shares, 0, now), 0);
         assert_eq!(fill(&mut shares, 1, now), 100);
-        shares.give_back(0, 150);
-        assert_eq!(fill(&mut shares, 0, now), 0, "at its share, and the other is active");
-        now += ACTIVE_FOR;
-        shares.give_back(1, 350);
+        shares.release(0, 150);
+        assert_eq!(fill(&mut shares, 0, now), 0, "the first tenant is at its share and the other is active");
+        now += ACTIVE_WINDOW;
+        shares.release(1, 350);
         assert_eq!(fill(&mut shares, 0, now), 250, "the other is idle again");
     }
 
     #[test]
-    fn shares_go_by_weight_and_the_nameless_only_borrow() {
+    fn shares_follow_weights_and_unknown_tenants_only_borrow() {
         let mut shares = Shares::new(&[3.0, 1.0]);
         let now = Duration::from_secs(1);
         assert_eq!((shares.share(0, CAP), shares.share(1, CAP), shares.share(2, CAP)), (750, 250, 0));
--- a/crates/memory/src/usual.rs
+++ b/crates/memory/src/usual.rs
@@ -1,32 +1,35 @@
-//! What one thing usually weighs, so that room can be set aside for it before it comes.
+//! Estimate of the size of an item, for setting memory aside before the item arrives.
 
-/// Weight of the latest in the mean: some dozens count, so that a new kind of answer is soon known.
-const LATEST: f64 = 0.05;
-/// So many deviations above the mean are set aside: few weigh more, and those that do take more as they come.
-const DEVIATIONS: f64 = 2.0;
+/// Weight of the latest sample in the running mean. The last few dozen samples dominate, so that the estimate
+/// adapts quickly to a new kind of answer.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Number of standard deviations above the mean that are set aside. Few items are larger, and those charge the
+/// difference as they arrive.
+const DEVIATION_FACTOR: f64 = 2.0;
 
-/// The usual weight of one thing, in bytes: a running mean and deviation.
+/// Running mean and variance of the size of an item, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usual {
     mean: f64,
     variance: f64,
-    known: bool,
+    has_samples: bool,
 }
 
 impl Usual {
+    /// Adds a sample.
     pub fn learn(&mut self, bytes: u64) {
-        let off = bytes as f64 - self.mean;
-        if !self.known {
-            *self = Usual { mean: bytes as f64, variance: 0.0, known: true };
+        let deviation = bytes as f64 - self.mean;
+        if !self.has_samples {
+            *self = Usual { mean: bytes as f64, variance: 0.0, has_samples: true };
             return;
         }
-        self.mean += LATEST * off;
-        self.variance = (1.0 - LATEST) * (self.variance + LATEST * off * off);
+        self.mean += SAMPLE_WEIGHT * deviation;
+        self.variance = (1.0 - SAMPLE_WEIGHT) * (self.variance + SAMPLE_WEIGHT * deviation * deviation);
     }
 
-    /// So much is set aside for one.
+    /// Returns the bytes to set aside for one item.
     pub fn weight(&self) -> u64 {
-        (self.mean + DEVIATIONS * self.variance.sqrt()) as u64
+        (self.mean + DEVIATION_FACTOR * self.variance.sqrt()) as u64
     }
 }
 
@@ -35,9 +38,9 @@
     use super::*;
 
     #[test]
-    fn room_follows_what_came() {
+    fn the_estimate_follows_the_samples() {
         let mut usual = Usual::default();
-        assert_eq!(usual.weight(), 0, "nothing is known");
+        assert_eq!(usual.weight(), 0, "no sample yet");
         (0..100).for_each(|_| usual.learn(1000));
         assert_eq!(usual.weight(), 1000);
         (0..200).for_each(|i| usual.learn(if i % 2 == 0 { 500 } else { 1500 }));
--- a/crates/memory/src/writers.rs
+++ b/crates/memory/src/writers.rs
@@ -1,36 +1,40 @@
-//! Answers on their way to clients: which client is stalled longest.
+//! Answers being written to clients, and the choice of the one whose client is stalled longest.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A client that reads is no slower than this, in bytes a second: far below any network between the two, and
-/// such an answer would be late anyway.
-const LEAST_RATE: f64 = 256.0 * 1024.0;
-/// A client this far behind that is stalled; less may be the machine's own pause.
-const STALLED: Duration = Duration::from_secs(1);
+/// Lowest rate at which a client counts as reading. It is far below the rate of any network in between, and a
+/// slower answer would miss its deadline anyway.
+const MIN_READ_RATE_BYTES_PER_S: f64 = 256.0 * 1024.0;
+/// Delay behind the minimum rate from which a client counts as stalled. A shorter delay may be a pause of this
+/// machine.
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Writer {
     tenant: Option<usize>,
-    began: Duration,
+    started_at: Duration,
     written: u64,
 }
 
-/// The answers that are being written, each by a number of its own.
+/// Answers being written, by number.
 #[derive(Debug, Default)]
 pub struct Writers(BTreeMap<u64, Writer>);
 
 impl Writers {
+    /// Records the start of writing an answer.
     pub fn begins(&mut self, number: u64, tenant: Option<usize>, now: Duration) {
-        self.0.insert(number, Writer { tenant, began: now, written: 0 });
+        self.0.insert(number, Writer { tenant, started_at: now, written: 0 });
     }
 
+    /// Records bytes that the client has accepted.
     pub fn wrote(&mut self, number: u64, bytes: u64) {
         if let Some(w) = self.0.get_mut(&number) {
             w.written += bytes;
         }
     }
 
+    /// Removes an answer that is written completely or abandoned.
     pub fn ends(&mut self, number: u64) {
         self.0.remove(&number);
     }
@@ -39,16 +43,18 @@
         self.0.len()
     }
 
-    /// The one furthest behind a client that reads, if that is far: of one tenant where one is named. It is
-    /// forgotten with this.
+    /// Removes and returns the answer that is furthest behind the minimum rate, if its client counts as
+    /// stalled. With `of`, considers only the answers of that tenant.
     pub fn give_way(&mut self, of: Option<usize>, now: Duration) -> Option<u64> {
         let behind = |w: &Writer| {
-            let took = now.saturating_sub(w.began);
-            took.checked_sub(Duration::from_secs_f64(w.written as f64 / LEAST_RATE)).unwrap_or_default()
+            let elapsed = now.saturating_sub(w.started_at);
+            elapsed
+                .checked_sub(Duration::from_secs_f64(w.written as f64 / MIN_READ_RATE_BYTES_PER_S))
+                .unwrap_or_default()
         };
         let open = self.0.iter().filter(|(_, w)| of.is_none() || w.tenant == of);
         let (number, behind) = open.map(|(number, w)| (*number, behind(w))).max_by_key(|(_, b)| *b)?;
-        if behind < STALLED {
+        if behind < STALL_THRESHOLD {
             return None;
         }
         self.ends(number);
@@ -65,21 +71,21 @@
     }
 
     #[test]
-    fn the_client_stalled_longest_gives_way_and_one_that_reads_never() {
+    fn the_client_stalled_longest_is_chosen_and_a_reading_one_never() {
         let mut writers = Writers::default();
         writers.begins(1, Some(0), s(0));
         writers.begins(2, Some(1), s(1));
         writers.begins(3, Some(1), s(0));
         for at in 0..20 {
             writers.wrote(1, 256 * 1024);
-            // One byte a second is no reading.
+            // One byte a second is far below the minimum rate.
             writers.wrote(3, 1);
             assert!(at > 0 || writers.give_way(None, s(0)).is_none());
         }
-        assert_eq!(writers.give_way(Some(0), s(20)), None, "it reads");
+        assert_eq!(writers.give_way(Some(0), s(20)), None, "the client of tenant 0 is reading");
         assert_eq!(writers.give_way(None, s(20)), Some(3));
         assert_eq!(writers.give_way(Some(1), s(20)), Some(2));
         assert_eq!((writers.give_way(None, s(20)), writers.count()), (None, 1));
-        assert_eq!(writers.give_way(None, s(30)), Some(1), "once it stalls it may go too");
+        assert_eq!(writers.give_way(None, s(30)), Some(1), "a client that stops reading becomes stalled");
     }
 }
