--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,11 @@
-//! Our own settings as typed values.
+//! Typed values of the settings script of a gatherer.
 //!
-//! Job: the [`Settings`] that a script can make, the [`Fault`]s that it can have, and the limits that follow.
-//! May know: the limits' own rules in `ashvane-memory`, a lease's in `ashvane-fleet`. Must not know: the script's form, which is
-//! `ashvane-script`'s; files, processes, sockets; what the settings are used for.
+//! Responsibilities: the [`Settings`] that a script can make, the [`Fault`]s that it can have, and the memory
+//! limits derived from the settings. May depend on: the rules for limits in `ashvane-memory`, the rules for
+//! leases in `ashvane-fleet`. Must not depend on: the syntax of scripts, which belongs to `ashvane-script`;
+//! files, processes, sockets; what the settings are used for.
 
-#![expect(missing_docs, reason = "not done yet: The rest reads as well")]
+#![expect(missing_docs, reason = "documentation of the public items is incomplete")]
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,15 +16,15 @@
 use ashvane_memory::{Limit, Limits, Purpose};
 use serde::{Deserialize, Serialize};
 
-/// One thing that is wrong with a script.
+/// Error in a settings script.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     pub file: String,
-    /// Counted from 1; 0 where no one line is at fault.
+    /// Line number, from 1; 0 if the error is not on a particular line.
     pub line: usize,
-    /// The key at fault, `directive.key`, or the directive alone.
+    /// Key with the error as `directive.key`, or only the directive; empty if neither applies.
     pub key: String,
-    /// What is wrong and what would be right.
+    /// Description of the error and of the values accepted.
     pub words: String,
 }
 
@@ -54,7 +55,7 @@
     pub lines_a_second: Option<u32>,
 }
 
-/// What one purpose may take, in bytes, where that is stated.
+/// Memory limits of one purpose, in bytes. A limit that is absent has its default.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapSettings {
     pub purpose: String,
@@ -62,15 +63,16 @@
     pub reserve: Option<u64>,
 }
 
-/// Where the keepers are, and what a lease is there. Rates and shares are whole numbers, to be compared exactly.
+/// Addresses of the keepers and the terms of their leases. Rates and ratios are integers, so that they can be
+/// compared exactly.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSettings {
-    /// By their numbers.
+    /// Addresses of the keepers by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
     pub lease_ms: u64,
-    /// How far a clock's rate may be off, in parts of a million.
+    /// Maximum deviation of the rate of a clock, in parts per million.
     pub drift_ppm: u64,
-    /// How often each gatherer calls a keeper.
+    /// Interval between the calls of a gatherer to a keeper, in milliseconds.
     pub every_ms: u64,
 }
 
@@ -84,21 +86,22 @@
     }
 }
 
-/// All that a script can say. What it leaves out follows from the platform's limits.
+/// Settings that a script can make. The rest is derived from the limits of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Where the admin listener is; none unless stated.
+    /// Address of the admin listener; without it there is no listener.
     pub admin: Option<SocketAddr>,
     pub log: LogSettings,
-    /// What all purposes may take together, in bytes.
+    /// Maximum of the memory charged to all purposes together, in bytes.
     pub memory_total: Option<u64>,
     pub caps: Vec<CapSettings>,
-    /// Off unless stated: then this gatherer talks with nobody but servers, clients and discovery.
+    /// Keepers and lease terms. Without them, this gatherer communicates only with servers, clients and
+    /// discovery.
     pub fleet: Option<FleetSettings>,
 }
 
 impl Settings {
-    /// The limits of a program that may take so many bytes in all.
+    /// Derives the memory limits of a process with the given memory, in bytes.
     pub fn limits(&self, memory: u64) -> Limits {
         let mut limits = Limits::of_memory(memory);
         if let Some(total) = self.memory_total {
@@ -106,18 +109,19 @@
         }
         for cap in &self.caps {
             let Some(purpose) = Purpose::ALL.into_iter().find(|p| p.name() == cap.purpose) else { continue };
-            let stated = limits.of(purpose);
-            let bytes = cap.bytes.unwrap_or(stated.cap);
-            // A reserve that nobody stated follows a cap that somebody did: tenants' shares stand on all of it.
-            let follows = if purpose.is_shared() { bytes } else { stated.reserve.min(bytes) };
-            let reserve = cap.reserve.unwrap_or(follows);
+            let defaults = limits.of(purpose);
+            let bytes = cap.bytes.unwrap_or(defaults.cap);
+            // A reserve that is not set is bounded by the configured cap. In shared purposes it equals the cap,
+            // because the shares of tenants depend on the whole cap.
+            let default_reserve = if purpose.is_shared() { bytes } else { defaults.reserve.min(bytes) };
+            let reserve = cap.reserve.unwrap_or(default_reserve);
             limits.set(purpose, Limit { cap: bytes, reserve });
         }
         limits
     }
 }
 
-/// What came of evaluating a script, as one process tells it another.
+/// Result of evaluating a script, as sent from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evaluated {
     Settings(Settings),
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -96,7 +96,8 @@
         text.parse().map(Some).map_err(|_| format!("{name} cannot be parsed: {text:?}"))
     }
 
-    /// Reads a field of the wire type "number" that must be an integer. It may be written with a decimal point.
+    /// Reads a field of the wire type "number" that must be an integer. It may be written with a decimal
+    /// point.
     fn integer(&mut self, name: &str) -> Result<i64, String> {
         let number: f64 = self.parse_required(name)?;
         if number.fract() != 0.0 || number.abs() > 9e15 {
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -180,7 +180,8 @@
         self.lock_state().accounts.iter().map(|a| a.used).sum()
     }
 
-    /// Returns the state of all purposes. `live` is the number of bytes allocated, as the allocator reports it.
+    /// Returns the state of all purposes. `live` is the number of bytes allocated, as the allocator reports
+    /// it.
     pub fn table(&self, live: u64) -> Table {
         let state = self.lock_state();
         let row = |purpose: &Purpose| {
@@ -364,8 +365,8 @@
         assert!(row.refused == 1 && row.peak <= cap && row.now == 0);
     }
 
-    /// Guards against a tenant that uses up the total through some purposes, so that another tenant cannot get
-    /// its share of the next purpose.
+    /// Guards against a tenant that uses up the total through some purposes, so that another tenant cannot
+    /// get its share of the next purpose.
     #[test]
     fn a_tenant_gets_its_share_of_each_purpose_under_load_from_another_tenant() {
         let ledger = ledger();
--- a/crates/memory/src/shares.rs
+++ b/crates/memory/src/shares.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-/// Time after its last request for which a tenant counts as active and may need its whole share. Bursts of one
-/// client are closer together, and lent memory is released within the duration of a query.
+/// Time after its last request for which a tenant counts as active and may need its whole share. Bursts of
+/// one client are closer together, and lent memory is released within the duration of a query.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(5);
 /// Fraction of the cap that is never lent while another tenant is idle. The first queries of a tenant that
 /// becomes active find room there before its lent memory is released.
@@ -31,7 +31,8 @@
         let tenant = |weight: f64| Tenant { used: 0, peak: 0, refused: 0, weight, last_active: None };
         let tenants: Vec<Tenant> = weights.iter().map(|w| tenant(*w)).collect();
         let total_weight = tenants.iter().map(|t| t.weight).sum::<f64>();
-        // Requests without a known tenant have no share if tenants are configured, and the whole cap if none are.
+        // Requests without a known tenant have no share if tenants are configured, and the whole cap if none
+        // are.
         let unnamed_weight = if total_weight > 0.0 { 0.0 } else { 1.0 };
         let tenants = tenants.into_iter().chain([tenant(unnamed_weight)]).collect();
         Shares { tenants, total_weight: total_weight + unnamed_weight }
--- a/crates/memory/src/usual.rs
+++ b/crates/memory/src/usual.rs
@@ -3,8 +3,8 @@
 /// Weight of the latest sample in the running mean. The last few dozen samples dominate, so that the estimate
 /// adapts quickly to a new kind of answer.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Number of standard deviations above the mean that are set aside. Few items are larger, and those charge the
-/// difference as they arrive.
+/// Number of standard deviations above the mean that are set aside. Few items are larger, and those charge
+/// the difference as they arrive.
 const DEVIATION_FACTOR: f64 = 2.0;
 
 /// Running mean and variance of the size of an item, in bytes.
--- a/crates/memory/src/writers.rs
+++ b/crates/memory/src/writers.rs
@@ -6,8 +6,8 @@
 /// Lowest rate at which a client counts as reading. It is far below the rate of any network in between, and a
 /// slower answer would miss its deadline anyway.
 const MIN_READ_RATE_BYTES_PER_S: f64 = 256.0 * 1024.0;
-/// Delay behind the minimum rate from which a client counts as stalled. A shorter delay may be a pause of this
-/// machine.
+/// Delay behind the minimum rate from which a client counts as stalled. A shorter delay may be a pause of
+/// this machine.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
--- a/crates/memory/tests/model.rs
+++ b/crates/memory/tests/model.rs
@@ -1,6 +1,6 @@
-//! Random sequences of charges, releases and limit changes, compared with a model that sums the charges: no cap
-//! is exceeded, no reserve of another purpose is used, no tenant within its share is refused because of its
-//! share, and all bytes are released at the end.
+//! Random sequences of charges, releases and limit changes, compared with a model that sums the charges: no
+//! cap is exceeded, no reserve of another purpose is used, no tenant within its share is refused because of
+//! its share, and all bytes are released at the end.
 
 use std::time::Duration;
 
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -1,19 +1,19 @@
-//! Our own settings file: a Starlark script, evaluated within bounds and decoded into typed values.
+//! Evaluates the settings file, a Starlark script, under resource limits and decodes it into typed values.
 //!
-//! Job: [`evaluate`] takes a script's text and the memory that the program may take, and returns settings that
-//! agree with each other, or every fault with its file, line and key and what would be right. May know: the
-//! script's form and the settings' types. Must not know: files, processes, sockets. It is no part of the
-//! gatherer's own process: the evaluator would take more of a small one's memory than all it does.
+//! Responsibilities: [`evaluate`] takes the text of a script and the memory available to the program, and
+//! returns consistent settings, or every fault with its file, line, key and the values accepted. May depend on:
+//! the syntax of scripts and the types of settings. Must not depend on: files, processes, sockets. It does not
+//! run in the process of the gatherer: in a small gatherer the evaluator would use more memory than all the rest.
 
-#![expect(clippy::missing_errors_doc, reason = "not done yet: The rest reads as well")]
+#![expect(clippy::missing_errors_doc, reason = "documentation of errors is incomplete")]
 
 mod schema;
 mod script;
 
 use ashvane_config::{Fault, Settings};
 
-/// Evaluates a script for a program that may take so many bytes of memory in all.
+/// Evaluates a script for a program with the given memory, in bytes.
 pub fn evaluate(file: &str, text: &str, memory: u64) -> Result<Settings, Vec<Fault>> {
-    let said = script::run(file, text, memory).map_err(|fault| vec![fault])?;
-    schema::decode(file, text, &said, memory)
+    let directives = script::run(file, text, memory).map_err(|fault| vec![fault])?;
+    schema::decode(file, text, &directives, memory)
 }
--- a/crates/script/src/schema.rs
+++ b/crates/script/src/schema.rs
@@ -1,5 +1,5 @@
-//! Decodes what a script says into settings: every key known and of its kind, nothing said twice, and all of
-//! it in agreement. All faults are told, not the first alone.
+//! Decodes the directives of a script into settings. Checks that every key is known and of its type, that no
+//! directive is repeated, and that the limits are consistent. Reports all faults, not only the first.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,233 +9,254 @@
 use ashvane_memory::{Limits, Purpose};
 use serde_json::Value as Json;
 
-use crate::script::Said;
-
-/// Share of the program's memory above which the purposes' total leaves too little for the program itself.
-const TOTAL_SHARE_MOST: f64 = 0.85;
-/// The least of a cap, in bytes: one body, frame or answer at its usual longest.
-const CAP_LEAST: u64 = 64 * 1024;
-/// The usual lease, clocks' drift, and time between a gatherer's calls, and the bounds of the last.
-const LEASE_MS: u64 = 3000;
-const DRIFT_PPM: u64 = 10_000;
-const EVERY_MS: u64 = 1000;
-const EVERY_LEAST_MS: u64 = 200;
-/// The most lines that may be written in a second.
-const LINES_MOST: u64 = 10_000;
-/// Names that differ by more than this are not offered as what was meant.
-const ALIKE: f64 = 0.6;
-
-/// The name most like one that is not known.
-fn nearest<'a>(name: &str, known: &[&'a str]) -> Option<&'a str> {
-    let alike = |k: &&'a str| (strsim::normalized_damerau_levenshtein(name, k), *k);
-    let best = known.iter().map(alike).max_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some(best.1).filter(|_| best.0 >= ALIKE)
+use crate::script::Directive;
+
+/// Maximum fraction of the program's memory for the total of all purposes. A higher total leaves too little
+/// for the program itself.
+const MAX_TOTAL_RATIO: f64 = 0.85;
+/// Minimum of a cap: the usual maximum of one body, frame or answer.
+const MIN_CAP_BYTES: u64 = 64 * 1024;
+const DEFAULT_LEASE_MS: u64 = 3000;
+/// Default bound of the drift of clocks.
+const DEFAULT_DRIFT_PPM: u64 = 10_000;
+/// Default interval between the calls of a gatherer to a keeper.
+const DEFAULT_CALL_INTERVAL_MS: u64 = 1000;
+const MIN_CALL_INTERVAL_MS: u64 = 200;
+const MAX_LOG_LINES_PER_S: u64 = 10_000;
+/// Minimum similarity of a known name to an unknown one for offering it as a suggestion.
+const MIN_NAME_SIMILARITY: f64 = 0.6;
+
+/// Returns the known name that is most similar to an unknown one, if it is similar enough.
+fn nearest_name<'a>(name: &str, known: &[&'a str]) -> Option<&'a str> {
+    let similarity = |k: &&'a str| (strsim::normalized_damerau_levenshtein(name, k), *k);
+    let best = known.iter().map(similarity).max_by(|a, b| a.0.total_cmp(&b.0))?;
+    Some(best.1).filter(|_| best.0 >= MIN_NAME_SIMILARITY)
 }
 
-/// What was found in place of what would be right.
-fn shown(value: &Json) -> String {
+/// Formats a value for an error message, truncated to 40 characters.
+fn abbreviated(value: &Json) -> String {
     let text = value.to_string();
     if text.chars().count() <= 40 { text } else { text.chars().take(40).chain(['…']).collect() }
 }
 
-/// One directive that is being decoded.
-struct Reader<'a> {
+/// Decoder of one directive.
+struct DirectiveDecoder<'a> {
     file: &'a str,
-    text_lines: &'a [&'a str],
-    said: &'a Said,
+    script_lines: &'a [&'a str],
+    directive: &'a Directive,
     faults: &'a mut Vec<Fault>,
 }
 
-impl Reader<'_> {
-    /// The line of a key within its call: the first that names it.
-    fn line(&self, key: &str) -> usize {
-        let (first, last) = self.said.lines;
-        let names = |line: &&str| line.contains(key);
-        let lines = self.text_lines.iter().take(last).skip(first.saturating_sub(1));
-        first + lines.take_while(|line| !names(line)).count().min(last - first)
+impl DirectiveDecoder<'_> {
+    /// Returns the line of a key: the first line of the call that contains it.
+    fn line_of_key(&self, key: &str) -> usize {
+        let (first, last) = self.directive.lines;
+        let matches = |line: &&str| line.contains(key);
+        let lines = self.script_lines.iter().take(last).skip(first.saturating_sub(1));
+        first + lines.take_while(|line| !matches(line)).count().min(last - first)
     }
 
-    fn wrong(&mut self, key: &str, words: String) {
-        let line = if key.is_empty() { self.said.lines.0 } else { self.line(key) };
-        let key = if key.is_empty() { self.said.name.into() } else { format!("{}.{key}", self.said.name) };
+    fn report(&mut self, key: &str, words: String) {
+        let line = if key.is_empty() { self.directive.lines.0 } else { self.line_of_key(key) };
+        let key = if key.is_empty() {
+            self.directive.name.into()
+        } else {
+            format!("{}.{key}", self.directive.name)
+        };
         self.faults.push(Fault { file: self.file.to_owned(), line, key, words });
     }
 
-    /// Refuses what has no name or one that is not known.
-    fn keys(&mut self, known: &[&str]) {
-        if !self.said.unnamed.is_empty() {
+    /// Reports arguments without a name and unknown keys.
+    fn check_keys(&mut self, known: &[&str]) {
+        if !self.directive.positional.is_empty() {
             let words = format!("its arguments need names; it takes {}", known.join(", "));
-            self.wrong("", words);
+            self.report("", words);
         }
-        let said = self.said;
-        for (key, _) in said.named.iter().filter(|(key, _)| !known.contains(&key.as_str())) {
-            let words = match nearest(key, known) {
-                Some(near) => format!("unknown key; {near} is the nearest known one"),
+        let directive = self.directive;
+        for (key, _) in directive.named.iter().filter(|(key, _)| !known.contains(&key.as_str())) {
+            let words = match nearest_name(key, known) {
+                Some(suggestion) => format!("unknown key; {suggestion} is the nearest known one"),
                 None => format!("unknown key; it takes {}", known.join(", ")),
             };
-            self.wrong(key, words);
+            self.report(key, words);
         }
     }
 
     fn value(&self, key: &str) -> Option<&Json> {
-        let found = self.said.named.iter().find(|(name, _)| name == key).map(|(_, value)| value);
+        let found = self.directive.named.iter().find(|(name, _)| name == key).map(|(_, value)| value);
         found.filter(|value| !value.is_null())
     }
 
-    /// A whole number within bounds.
-    fn count(&mut self, key: &str, least: u64, most: u64, unit: &str) -> Option<u64> {
+    /// Returns an integer from `min` to `max`, or reports a fault.
+    fn integer(&mut self, key: &str, min: u64, max: u64, unit: &str) -> Option<u64> {
         let value = self.value(key)?;
-        let number = value.as_u64().filter(|n| (least..=most).contains(n));
+        let number = value.as_u64().filter(|n| (min..=max).contains(n));
         if number.is_none() {
-            let words = format!("{} is not a whole number of {unit} from {least} to {most}", shown(value));
-            self.wrong(key, words);
+            let words = format!("{} is not a whole number of {unit} from {min} to {max}", abbreviated(value));
+            self.report(key, words);
         }
         number
     }
 
-    fn text(&mut self, key: &str, right: &str) -> Option<String> {
+    fn string(&mut self, key: &str, expected: &str) -> Option<String> {
         let value = self.value(key)?;
         let text = value.as_str().map(str::to_owned);
         if text.is_none() {
-            let words = format!("{} is not {right}", shown(value));
-            self.wrong(key, words);
+            let words = format!("{} is not {expected}", abbreviated(value));
+            self.report(key, words);
         }
         text
     }
 
-    fn required(&mut self, key: &str) {
+    fn require(&mut self, key: &str) {
         if self.value(key).is_none() {
-            self.wrong("", format!("{key} is missing"));
+            self.report("", format!("{key} is missing"));
         }
     }
 
     fn admin(&mut self, settings: &mut Settings) {
-        self.keys(&["listen"]);
-        self.required("listen");
-        let Some(text) = self.text("listen", "an address such as \"127.0.0.1:9300\"") else { return };
+        self.check_keys(&["listen"]);
+        self.require("listen");
+        let Some(text) = self.string("listen", "an address such as \"127.0.0.1:9300\"") else { return };
         match text.parse::<SocketAddr>() {
             Ok(address) if address.ip().is_loopback() => settings.admin = Some(address),
             Ok(address) => {
-                self.wrong("listen", format!("{address} is not on loopback; 127.0.0.1:{}", address.port()));
+                self.report("listen", format!("{address} is not on loopback; 127.0.0.1:{}", address.port()));
             }
             Err(_) => {
-                self.wrong("listen", format!("{text:?} is not an address such as \"127.0.0.1:9300\""));
+                self.report("listen", format!("{text:?} is not an address such as \"127.0.0.1:9300\""));
             }
         }
     }
 
     fn log(&mut self, settings: &mut Settings) {
-        self.keys(&["form", "lines_a_second"]);
-        if let Some(form) = self.text("form", "\"text\" or \"json\"") {
+        self.check_keys(&["form", "lines_a_second"]);
+        if let Some(form) = self.string("form", "\"text\" or \"json\"") {
             match form.as_str() {
                 "text" => settings.log.form = Some(LogForm::Text),
                 "json" => settings.log.form = Some(LogForm::Json),
-                _ => self.wrong("form", format!("{form:?} is not \"text\" or \"json\"")),
+                _ => self.report("form", format!("{form:?} is not \"text\" or \"json\"")),
             }
         }
-        let lines = self.count("lines_a_second", 1, LINES_MOST, "lines");
+        let lines = self.integer("lines_a_second", 1, MAX_LOG_LINES_PER_S, "lines");
         settings.log.lines_a_second = lines.map(|n| n as u32);
     }
 
     fn memory(&mut self, settings: &mut Settings, memory: u64) {
-        self.keys(&["total"]);
-        self.required("total");
-        let most = (memory as f64 * TOTAL_SHARE_MOST) as u64;
-        let least = CAP_LEAST * Purpose::COUNT as u64;
-        settings.memory_total = self.count("total", least, most, "bytes");
+        self.check_keys(&["total"]);
+        self.require("total");
+        let max = (memory as f64 * MAX_TOTAL_RATIO) as u64;
+        let min = MIN_CAP_BYTES * Purpose::COUNT as u64;
+        settings.memory_total = self.integer("total", min, max, "bytes");
     }
 
     fn cap(&mut self, settings: &mut Settings, memory: u64) {
-        self.keys(&["purpose", "bytes", "reserve"]);
-        self.required("purpose");
+        self.check_keys(&["purpose", "bytes", "reserve"]);
+        self.require("purpose");
         let names: Vec<&str> = Purpose::ALL.iter().map(|p| p.name()).collect();
-        let bytes = self.count("bytes", CAP_LEAST, memory, "bytes");
-        let reserve = self.count("reserve", 0, memory, "bytes");
-        let Some(purpose) = self.text("purpose", "the name of a purpose") else { return };
+        let bytes = self.integer("bytes", MIN_CAP_BYTES, memory, "bytes");
+        let reserve = self.integer("reserve", 0, memory, "bytes");
+        let Some(purpose) = self.string("purpose", "the name of a purpose") else { return };
         if !names.contains(&purpose.as_str()) {
-            let near = nearest(&purpose, &names).map(|near| format!("; {near} is the nearest known one"));
-            let near = near.unwrap_or_else(|| format!("; there are {}", names.join(", ")));
-            return self.wrong("purpose", format!("{purpose:?} is no purpose{near}"));
+            let suggestion = nearest_name(&purpose, &names)
+                .map(|suggestion| format!("; {suggestion} is the nearest known one"));
+            let suggestion = suggestion.unwrap_or_else(|| format!("; the purposes are {}", names.join(", ")));
+            return self.report("purpose", format!("{purpose:?} is no purpose{suggestion}"));
         }
         if settings.caps.iter().any(|c| c.purpose == purpose) {
-            return self.wrong("purpose", format!("{purpose:?} has a cap already; state each once"));
+            return self.report("purpose", format!("{purpose:?} has a cap already; state each once"));
         }
         settings.caps.push(CapSettings { purpose, bytes, reserve });
     }
 
-    /// The keepers, as a dictionary from number to address.
+    /// Decodes the keepers, a dictionary from number to address.
     fn keepers(&mut self) -> BTreeMap<u64, SocketAddr> {
-        let right = "{1: \"127.0.0.1:9401\", 2: ..., 3: ...}";
+        let expected = "{1: \"127.0.0.1:9401\", 2: ..., 3: ...}";
         let Some(value) = self.value("keepers").cloned() else { return BTreeMap::new() };
-        let Some(members) = value.as_object() else {
-            self.wrong("keepers", format!("{} is not a dictionary as {right}", shown(&value)));
+        let Some(entries) = value.as_object() else {
+            self.report("keepers", format!("{} is not a dictionary as {expected}", abbreviated(&value)));
             return BTreeMap::new();
         };
         let mut keepers = BTreeMap::new();
-        for (number, address) in members {
+        for (number, address) in entries {
             let found = number.parse().ok().zip(address.as_str().and_then(|text| text.parse().ok()));
             match found {
                 Some((number, address)) => drop(keepers.insert(number, address)),
-                None => self.wrong("keepers", format!("{number:?}: {} is not as in {right}", shown(address))),
+                None => self.report(
+                    "keepers",
+                    format!("{number:?}: {} is not as in {expected}", abbreviated(address)),
+                ),
             }
         }
-        let named: Vec<(u64, String)> =
+        let by_number: Vec<(u64, String)> =
             keepers.iter().map(|(n, a): (&u64, &SocketAddr)| (*n, a.to_string())).collect();
-        if named.len() == members.len() {
-            let faults = keepers_faults(named.iter().map(|(number, address)| (*number, address.as_str())));
-            faults.into_iter().for_each(|fault| self.wrong("keepers", fault.to_string()));
+        if by_number.len() == entries.len() {
+            let faults =
+                keepers_faults(by_number.iter().map(|(number, address)| (*number, address.as_str())));
+            faults.into_iter().for_each(|fault| self.report("keepers", fault.to_string()));
         }
         keepers
     }
 
     fn fleet(&mut self, settings: &mut Settings) {
-        self.keys(&["keepers", "lease_ms", "drift_ppm", "every_ms"]);
-        self.required("keepers");
+        self.check_keys(&["keepers", "lease_ms", "drift_ppm", "every_ms"]);
+        self.require("keepers");
         let keepers = self.keepers();
-        let (least, most) = (MIN_LEASE.as_millis() as u64, MAX_LEASE.as_millis() as u64);
-        let lease_ms = self.count("lease_ms", least, most, "milliseconds").unwrap_or(LEASE_MS);
-        let drift_most = (MAX_DRIFT * 1e6) as u64;
-        let drift_ppm = self.count("drift_ppm", 0, drift_most, "parts of a million").unwrap_or(DRIFT_PPM);
-        // A candidate that calls more seldom than a lease would leave the duty without an owner for as long.
-        let every_ms = self.count("every_ms", EVERY_LEAST_MS, lease_ms, "milliseconds").unwrap_or(EVERY_MS);
+        let (min, max) = (MIN_LEASE.as_millis() as u64, MAX_LEASE.as_millis() as u64);
+        let lease_ms = self.integer("lease_ms", min, max, "milliseconds").unwrap_or(DEFAULT_LEASE_MS);
+        let max_drift_ppm = (MAX_DRIFT * 1e6) as u64;
+        let drift_ppm =
+            self.integer("drift_ppm", 0, max_drift_ppm, "parts of a million").unwrap_or(DEFAULT_DRIFT_PPM);
+        // A candidate that calls less often than once per lease could leave the duty without an owner for that
+        // long.
+        let every_ms = self
+            .integer("every_ms", MIN_CALL_INTERVAL_MS, lease_ms, "milliseconds")
+            .unwrap_or(DEFAULT_CALL_INTERVAL_MS);
         settings.fleet = Some(FleetSettings { keepers, lease_ms, drift_ppm, every_ms });
     }
 }
 
-/// What the settings make of the limits must agree too.
-fn agree(file: &str, settings: &Settings, said: &[Said], memory: u64, faults: &mut Vec<Fault>) {
-    let of = |purpose: &str| {
-        let names = |s: &&Said| s.named.iter().any(|(_, v)| v.as_str() == Some(purpose));
-        said.iter().find(names).map_or(0, |s| s.lines.0)
+/// Reports contradictions between the limits that result from the settings.
+fn check_limits(
+    file: &str, settings: &Settings, directives: &[Directive], memory: u64, faults: &mut Vec<Fault>,
+) {
+    let line_of = |purpose: &str| {
+        let matches = |s: &&Directive| s.named.iter().any(|(_, v)| v.as_str() == Some(purpose));
+        directives.iter().find(matches).map_or(0, |s| s.lines.0)
     };
     let limits: Limits = settings.limits(memory);
     for words in limits.faults() {
         let purpose = words.split(':').next().unwrap_or_default();
-        let line = of(purpose);
+        let line = line_of(purpose);
         faults.push(Fault { file: file.to_owned(), line, key: "cap".into(), words });
     }
 }
 
-pub(crate) fn decode(file: &str, text: &str, said: &[Said], memory: u64) -> Result<Settings, Vec<Fault>> {
+/// Decodes the directives of a script into settings, or returns all faults.
+pub(crate) fn decode(
+    file: &str, text: &str, directives: &[Directive], memory: u64,
+) -> Result<Settings, Vec<Fault>> {
     let (mut settings, mut faults) = (Settings::default(), Vec::new());
-    let text_lines: Vec<&str> = text.lines().collect();
-    for (at, one) in said.iter().enumerate() {
-        let mut reader = Reader { file, text_lines: &text_lines, said: one, faults: &mut faults };
-        let before = said[..at].iter().find(|s| s.name == one.name && one.name != "cap");
-        if let Some(before) = before {
-            reader.wrong("", format!("said before, on line {}; say it once", before.lines.0));
+    let script_lines: Vec<&str> = text.lines().collect();
+    for (index, directive) in directives.iter().enumerate() {
+        let mut decoder =
+            DirectiveDecoder { file, script_lines: &script_lines, directive, faults: &mut faults };
+        let previous =
+            directives[..index].iter().find(|s| s.name == directive.name && directive.name != "cap");
+        if let Some(previous) = previous {
+            decoder.report("", format!("said before, on line {}; say it once", previous.lines.0));
             continue;
         }
-        match one.name {
-            "admin" => reader.admin(&mut settings),
-            "log" => reader.log(&mut settings),
-            "memory" => reader.memory(&mut settings, memory),
-            "fleet" => reader.fleet(&mut settings),
-            _ => reader.cap(&mut settings, memory),
+        match directive.name {
+            "admin" => decoder.admin(&mut settings),
+            "log" => decoder.log(&mut settings),
+            "memory" => decoder.memory(&mut settings, memory),
+            "fleet" => decoder.fleet(&mut settings),
+            _ => decoder.cap(&mut settings, memory),
         }
     }
     if faults.is_empty() {
-        agree(file, &settings, said, memory, &mut faults);
+        check_limits(file, &settings, directives, memory, &mut faults);
     }
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
 }
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Scripts that take effect, and broken ones with every message they must bring.
+//! Valid scripts and the settings they give, and faulty scripts and all messages they give.
 
 use ashvane_config::{LogForm, Settings};
 use ashvane_memory::Purpose;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_script_says_what_it_wants_in_any_way_that_starlark_has() {
+fn a_script_may_use_expressions_and_loops() {
     let text = r#"
 admin(listen = "127.0.0.1:9300")
 log(form = "json", lines_a_second = 20)
@@ -20,7 +20,7 @@
 for purpose in ["values", "answers"]:
     cap(purpose = purpose, bytes = 4 * MB, reserve = 512 * KB)
 "#;
-    let settings = evaluate("own.star", text, MEMORY).expect("good");
+    let settings = evaluate("own.star", text, MEMORY).expect("the script is valid");
     assert_eq!(settings.admin, Some(([127, 0, 0, 1], 9300).into()));
     assert_eq!((settings.log.form, settings.log.lines_a_second), (Some(LogForm::Json), Some(20)));
     let limits = settings.limits(MEMORY);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_fault_is_told_with_its_line_and_what_would_be_right() {
+fn every_fault_is_reported_with_its_line_and_the_accepted_values() {
     let text = r#"admin(
     listen = "0.0.0.0:9300",
     lisen = 3,
@@ -42,8 +42,8 @@
 memory(16 * MB)
 log()
 "#;
-    let told = faults(text);
-    let want = [
+    let messages = faults(text);
+    let expected = [
         "own.star:3: admin.lisen: unknown key; listen is the nearest known one",
         "own.star:2: admin.listen: 0.0.0.0:9300 is not on loopback; 127.0.0.1:9300",
         "own.star:5: log.form: \"xml\" is not \"text\" or \"json\"",
@@ -55,18 +55,18 @@
         "own.star:9: memory: total is missing",
         "own.star:10: log: said before, on line 5; say it once",
     ];
-    assert_eq!(told, want);
+    assert_eq!(messages, expected);
 }
 
 #[test]
 fn limits_that_contradict_each_other_are_refused() {
-    let told = faults("cap(purpose = \"logs\", bytes = 64 * KB, reserve = 1 * MB)\n");
-    assert_eq!(told, ["own.star:1: cap: logs: its reserve of 1048576 is above its cap of 65536"]);
+    let messages = faults("cap(purpose = \"logs\", bytes = 64 * KB, reserve = 1 * MB)\n");
+    assert_eq!(messages, ["own.star:1: cap: logs: its reserve of 1048576 is above its cap of 65536"]);
     assert!(faults("memory(total = MEMORY)")[0].contains("memory.total: 33554432 is not a whole number"));
     assert!(faults("cap(purpose=\"values\", bytes=20*MB)")[0].contains("is above the total"));
 }
 
-/// Guards against a script that never ends, or takes the program's stack or memory along.
+/// Guards against scripts that do not terminate, overflow the stack or exhaust memory.
 #[test]
 fn scripts_are_bounded_in_steps_depth_nesting_memory_and_length() {
     let cases = [
@@ -81,23 +81,24 @@
         ("fail(\"on purpose\")", "on purpose"),
     ];
     for (text, words) in cases {
-        let told = faults(text);
+        let messages = faults(text);
         assert!(
-            told.len() == 1 && told[0].to_lowercase().contains(&words.to_lowercase()),
-            "{words}: {told:?}"
+            messages.len() == 1 && messages[0].to_lowercase().contains(&words.to_lowercase()),
+            "{words}: {messages:?}"
         );
     }
-    let told = faults("\n\nx = 1 // 0\n");
-    assert!(told[0].starts_with("own.star:3: "), "{told:?}");
+    let messages = faults("\n\nx = 1 // 0\n");
+    assert!(messages[0].starts_with("own.star:3: "), "{messages:?}");
 }
 
-/// Guards against owners that keepers cannot hold, and against keepers that cannot agree.
+/// Guards against lease terms that keepers cannot enforce, and against sets of keepers without a safe quorum.
 #[test]
-fn a_fleet_that_cannot_have_one_owner_is_refused() {
+fn a_fleet_that_cannot_guarantee_a_single_owner_is_refused() {
     let of = |keepers: &str, rest: &str| format!("fleet(keepers = {{{keepers}}}{rest})\n");
     let three = "1: \"127.0.0.1:9401\", 2: \"127.0.0.1:9402\", 3: \"127.0.0.1:9403\"";
-    let settings = evaluate("own.star", &of(three, ", lease_ms = 2000"), MEMORY).expect("good");
-    let fleet = settings.fleet.expect("a fleet");
+    let settings =
+        evaluate("own.star", &of(three, ", lease_ms = 2000"), MEMORY).expect("the script is valid");
+    let fleet = settings.fleet.expect("the script configures a fleet");
     assert_eq!((fleet.keepers.len(), fleet.lease_ms, fleet.every_ms), (3, 2000, 1000));
     let four = format!("{three}, 4: \"127.0.0.1:9404\"");
     let twice = three.replace("9402", "9401");
@@ -118,7 +119,7 @@
         ("fleet()\n".into(), "keepers is missing"),
         ("fleet(keeper = {})\n".into(), "keepers is the nearest known one"),
     ] {
-        let told = faults(&text).join("\n");
-        assert!(told.contains(words), "{words}: {told}");
+        let messages = faults(&text).join("\n");
+        assert!(messages.contains(words), "{words}: {messages}");
     }
 }
