--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,8 +5,6 @@
 //! leases in `ashvane-fleet`. Must not depend on: the syntax of scripts, which belongs to `ashvane-script`;
 //! files, processes, sockets; what the settings are used for.
 
-#![expect(missing_docs, reason = "documentation of the public items is incomplete")]
-
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,6 +17,7 @@
 /// Error in a settings script.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
+    /// File name of the script.
     pub file: String,
     /// Line number, from 1; 0 if the error is not on a particular line.
     pub line: usize,
@@ -41,25 +40,34 @@
     }
 }
 
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogForm {
+    /// Plain text.
     #[default]
     Text,
+    /// One JSON object per line.
     Json,
 }
 
+/// Log settings. A setting that is absent has its default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSettings {
+    /// Format of log lines.
     pub form: Option<LogForm>,
+    /// Maximum number of log lines per second.
     pub lines_a_second: Option<u32>,
 }
 
 /// Memory limits of one purpose, in bytes. A limit that is absent has its default.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapSettings {
+    /// Name of the purpose.
     pub purpose: String,
+    /// Maximum of the open charges.
     pub bytes: Option<u64>,
+    /// Part of the total that other purposes cannot use.
     pub reserve: Option<u64>,
 }
 
@@ -69,6 +77,7 @@
 pub struct FleetSettings {
     /// Addresses of the keepers by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
+    /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
     /// Maximum deviation of the rate of a clock, in parts per million.
     pub drift_ppm: u64,
@@ -77,10 +86,12 @@
 }
 
 impl FleetSettings {
+    /// Returns the terms of a lease.
     pub fn terms(&self) -> LeaseTerms {
         LeaseTerms { lease: Duration::from_millis(self.lease_ms), drift: self.drift_ppm as f64 / 1e6 }
     }
 
+    /// Returns the interval between the calls of a gatherer to a keeper.
     pub fn every(&self) -> Duration {
         Duration::from_millis(self.every_ms)
     }
@@ -91,9 +102,11 @@
 pub struct Settings {
     /// Address of the admin listener; without it there is no listener.
     pub admin: Option<SocketAddr>,
+    /// Log settings.
     pub log: LogSettings,
     /// Maximum of the memory charged to all purposes together, in bytes.
     pub memory_total: Option<u64>,
+    /// Limits set for single purposes.
     pub caps: Vec<CapSettings>,
     /// Keepers and lease terms. Without them, this gatherer communicates only with servers, clients and
     /// discovery.
@@ -124,6 +137,8 @@
 /// Result of evaluating a script, as sent from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evaluated {
+    /// Valid settings.
     Settings(Settings),
+    /// All errors of a script without valid settings.
     Faults(Vec<Fault>),
 }
--- a/crates/memory/src/ledger.rs
+++ b/crates/memory/src/ledger.rs
@@ -24,7 +24,9 @@
 /// Refusal of a charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoRoom {
+    /// Purpose of the refused charge.
     pub purpose: Purpose,
+    /// Limit that the charge would exceed.
     pub reason: Reason,
 }
 
@@ -47,6 +49,7 @@
     used: u64,
     /// Part of `used` that is set aside for data that has not arrived yet.
     unfilled: u64,
+    /// Maximum of `used` so far.
     peak: u64,
     /// Number of refused charges.
     refused: u64,
@@ -139,6 +142,10 @@
     }
 
     /// Charges the given bytes, or returns the limit that they would exceed.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NoRoom`] if a limit would be exceeded.
     pub fn take(&self, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> Result<Charge, NoRoom> {
         let mut state = self.lock_state();
         let tenant = state.shares[purpose.index()].index(tenant);
@@ -147,6 +154,10 @@
     }
 
     /// Charges the given bytes for data that has not arrived yet; [`Charge::fill`] records its arrival.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NoRoom`] if a limit would be exceeded.
     pub fn set_aside(&self, purpose: Purpose, tenant: Option<usize>, bytes: u64) -> Result<Charge, NoRoom> {
         let mut charge = self.take(purpose, tenant, bytes)?;
         charge.unfilled = bytes;
@@ -166,6 +177,7 @@
         self.lock_state().limits = limits;
     }
 
+    /// Returns a copy of the limits in force.
     pub fn limits(&self) -> Limits {
         self.lock_state().limits.clone()
     }
@@ -233,11 +245,16 @@
 }
 
 impl Charge {
+    /// Returns the size of the charge.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
     /// Sets the size of the charge. If an increase is refused, the charge is unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NoRoom`] if an increase would exceed a limit.
     pub fn resize(&mut self, bytes: u64) -> Result<(), NoRoom> {
         let mut state = self.ledger.lock_state();
         match bytes.checked_sub(self.bytes) {
@@ -253,6 +270,10 @@
 
     /// Records that the given bytes have arrived. Bytes beyond the part set aside are charged in addition; if
     /// that is refused, the charge is unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NoRoom`] if the additional bytes would exceed a limit.
     pub fn fill(&mut self, bytes: u64) -> Result<(), NoRoom> {
         if let Some(more) = bytes.checked_sub(self.unfilled).filter(|more| *more > 0) {
             self.resize(self.bytes + more)?;
@@ -269,6 +290,7 @@
         self.bytes -= unfilled;
     }
 
+    /// Subtracts bytes from the unfilled part, here and in the ledger.
     fn reduce_unfilled(&mut self, bytes: u64) {
         self.unfilled -= bytes;
         self.ledger.lock_state().accounts[self.purpose.index()].unfilled -= bytes;
@@ -305,17 +327,24 @@
     pub total: u64,
     /// Live bytes that no charge covers. Bytes that are only set aside do not count as live.
     pub unattributed: i64,
+    /// One row for each purpose, in the order of [`Purpose::ALL`].
     pub purposes: Vec<Row>,
 }
 
+/// State of one purpose, in bytes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
+    /// Name of the purpose.
     pub purpose: &'static str,
+    /// Bytes of the open charges.
     pub now: u64,
     /// Part of `now` that is set aside for data that has not arrived yet.
     pub set_aside: u64,
+    /// Maximum of `now` so far.
     pub peak: u64,
+    /// Maximum of the open charges.
     pub cap: u64,
+    /// Part of the total that other purposes cannot use.
     pub reserve: u64,
     /// Number of refused charges.
     pub refused: u64,
@@ -323,13 +352,18 @@
     pub tenants: Vec<TenantRow>,
 }
 
+/// State of one tenant within a purpose, in bytes.
 #[derive(Clone, Debug, Serialize)]
 pub struct TenantRow {
+    /// Name of the tenant, or "-" for requests without a known tenant.
     pub tenant: String,
+    /// Bytes of the open charges.
     pub now: u64,
+    /// Maximum of `now` so far.
     pub peak: u64,
     /// Bytes that the tenant may always use; beyond them it borrows unused shares of others.
     pub share: u64,
+    /// Number of refused charges.
     pub refused: u64,
 }
 
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -7,12 +7,6 @@
 //! the [`Usual`] size estimate for bytes to set aside. May depend on: bytes, purposes, tenant indexes, the
 //! time passed in. Must not depend on: queries, servers, connections, protocols.
 
-#![expect(
-    missing_docs,
-    clippy::missing_errors_doc,
-    reason = "documentation of the public items is incomplete"
-)]
-
 mod ledger;
 mod limits;
 mod purpose;
--- a/crates/memory/src/limits.rs
+++ b/crates/memory/src/limits.rs
@@ -61,10 +61,12 @@
         *self = Limits { total, by_purpose: self.by_purpose.map(scaled) };
     }
 
+    /// Returns the limits of one purpose.
     pub fn of(&self, purpose: Purpose) -> Limit {
         self.by_purpose[purpose.index()]
     }
 
+    /// Sets the limits of one purpose.
     pub fn set(&mut self, purpose: Purpose, limit: Limit) {
         self.by_purpose[purpose.index()] = limit;
     }
--- a/crates/memory/src/purpose.rs
+++ b/crates/memory/src/purpose.rs
@@ -24,8 +24,10 @@
 }
 
 impl Purpose {
+    /// Number of purposes.
     pub const COUNT: usize = 9;
 
+    /// All purposes, in the order of their indexes.
     pub const ALL: [Purpose; Purpose::COUNT] = [
         Purpose::Connections,
         Purpose::Bodies,
@@ -38,6 +40,7 @@
         Purpose::Logs,
     ];
 
+    /// Returns the name used in settings, metrics and JSON.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::Connections => "connections",
--- a/crates/memory/src/writers.rs
+++ b/crates/memory/src/writers.rs
@@ -39,6 +39,7 @@
         self.0.remove(&number);
     }
 
+    /// Returns the number of answers being written.
     pub fn count(&self) -> usize {
         self.0.len()
     }
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -5,14 +5,16 @@
 //! the syntax of scripts and the types of settings. Must not depend on: files, processes, sockets. It does not
 //! run in the process of the gatherer: in a small gatherer the evaluator would use more memory than all the rest.
 
-#![expect(clippy::missing_errors_doc, reason = "documentation of errors is incomplete")]
-
 mod schema;
 mod script;
 
 use ashvane_config::{Fault, Settings};
 
 /// Evaluates a script for a program with the given memory, in bytes.
+///
+/// # Errors
+///
+/// Returns all faults of a script that cannot be evaluated or whose settings are invalid.
 pub fn evaluate(file: &str, text: &str, memory: u64) -> Result<Settings, Vec<Fault>> {
     let directives = script::run(file, text, memory).map_err(|fault| vec![fault])?;
     schema::decode(file, text, &directives, memory)
--- a/crates/script/src/script.rs
+++ b/crates/script/src/script.rs
@@ -38,6 +38,7 @@
 /// Call of a directive by a script.
 #[derive(Clone, Debug)]
 pub(crate) struct Directive {
+    /// Name of the directive.
     pub name: &'static str,
     /// First and last line of the call, from 1.
     pub lines: (usize, usize),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,6 @@
 //! Decodes the settings given to a gatherer into typed values, both for the simulator's adapter and for the
 //! network code. Unknown keys are ignored.
 
-#![expect(
-    missing_docs,
-    clippy::missing_errors_doc,
-    reason = "documentation of the public items is incomplete"
-)]
-
 use std::time::Duration;
 
 use ashvane::{Idempotency, RetryBudgetSettings, Settings, VerticalSettings};
@@ -90,6 +84,10 @@
 }
 
 /// Decodes the settings of the decision module.
+///
+/// # Errors
+///
+/// Names the key that is missing or invalid.
 pub fn read(seed: u64, settings: &Value) -> Result<Settings, String> {
     let root = SettingsValue(settings, "config".into());
     let (fan_out, limits, rules) =
@@ -143,12 +141,17 @@
 /// Settings of the network code: the names that are sent in place of numbers, and the limits of connections.
 #[derive(Clone, Debug)]
 pub struct Network {
+    /// Names of the verticals, by number.
     pub verticals: Vec<String>,
     /// Whether a vertical is non-idempotent, so that running a part of it again does harm.
     pub runs_once: Vec<bool>,
+    /// Names of the tenants, by number.
     pub tenants: Vec<String>,
+    /// Names of the zones, by number.
     pub zones: Vec<String>,
+    /// Number of cells.
     pub cells: u32,
+    /// Number of shards.
     pub shards: u32,
     /// Maximum number of parts in one frame.
     pub parts_a_call: usize,
@@ -165,6 +168,10 @@
 }
 
 /// Decodes the settings of the network code.
+///
+/// # Errors
+///
+/// Names the key that is missing or invalid.
 pub fn read_network(settings: &Value) -> Result<Network, String> {
     let root = SettingsValue(settings, "config".into());
     let (fan_out, limits) = (root.required("family_info")?, root.required("policy_limits")?);
