--- a/crates/lab/src/bin/ashvane-rehearse.rs
+++ b/crates/lab/src/bin/ashvane-rehearse.rs
@@ -125,7 +125,7 @@
     let passed = outcome.passed();
     let report = json!({
         "rehearsal": asked.name, "seed": seed, "passed": passed, "not_measured": outcome.not_measured,
-        "bounds": outcome.bounds, "broken": outcome.broken, "figures": outcome.figures, "ended": outcome.unasked,
+        "bounds": outcome.bounds, "broken": outcome.broken, "figures": outcome.figures, "ended": outcome.unexpected_exits,
     });
     if let Some(folder) = &asked.keep {
         keep(folder, &report, outcome).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -137,7 +137,7 @@
     for (name, value) in &outcome.figures {
         println!("{name:>22} {value:.3}");
     }
-    outcome.unasked.iter().for_each(|words| println!("{words}"));
+    outcome.unexpected_exits.iter().for_each(|words| println!("{words}"));
     outcome
         .broken
         .iter()
@@ -168,7 +168,7 @@
         played += 1;
         let Some(broken) = breaks(&rehearsal, seed).await? else { continue };
         eprintln!("seed {seed}: {broken}");
-        let acts = hunt::cut_down(rehearsal.act.clone(), async |acts| {
+        let acts = hunt::shrink(rehearsal.act.clone(), async |acts| {
             let fewer = Rehearsal { act: acts.to_vec(), ..rehearsal.clone() };
             matches!(breaks(&fewer, seed).await, Ok(Some(_)))
         });
--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -13,11 +13,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ashvane_lab::clients::{self, Ask, Counts};
+use ashvane_lab::clients::{self, ClientQuery, Counts};
 use ashvane_lab::discovery::{Discovery, member};
-use ashvane_lab::faults::Script;
+use ashvane_lab::faults::FaultSchedule;
 use ashvane_lab::levels::Levels;
-use ashvane_lab::process::processor;
+use ashvane_lab::process::cpu_time;
 use ashvane_lab::shards::Shard;
 use serde_json::{Value, json};
 use tokio::process::{Child, Command};
@@ -160,25 +160,25 @@
     let Ok(table) = serde_json::from_slice::<Value>(&body) else { return false };
     for row in table["purposes"].as_array().into_iter().flatten() {
         let (name, now) = (row["purpose"].as_str().unwrap_or("?"), row["now"].as_f64().unwrap_or(-1.0));
-        levels.note(name, now);
+        levels.record(name, now);
     }
     for name in ["live", "unattributed"] {
-        levels.note(name, table[name].as_f64().unwrap_or(-1.0));
+        levels.record(name, table[name].as_f64().unwrap_or(-1.0));
     }
     if let Some((now, _)) = resident(child) {
-        levels.note("resident", now);
+        levels.record("resident", now);
     }
     true
 }
 
 /// The query of this number: mostly small, some large, some of a booking; nine in ten of the loud tenant.
-fn query(number: u64, rng: &mut fastrand::Rng) -> Ask {
+fn query(number: u64, rng: &mut fastrand::Rng) -> ClientQuery {
     let length = match rng.u32(..100) {
         0..80 => rng.usize(16..512),
         80..98 => rng.usize(512..8192),
         _ => 60_000,
     };
-    Ask {
+    ClientQuery {
         id: format!("q{number}"),
         vertical: if rng.u32(..10) == 0 { "book" } else { "near" },
         tenant: if rng.u32(..10) == 0 { "quiet" } else { "loud" },
@@ -191,10 +191,19 @@
 }
 
 /// The same small query each time.
-fn plain(number: u64) -> Ask {
+fn plain(number: u64) -> ClientQuery {
     let (id, deadline) = (format!("q{number}"), Duration::from_millis(1500));
     let shards = (0..8).collect();
-    Ask { id, vertical: "near", tenant: "loud", shards, need: NEED, length: 64, deadline, retry: false }
+    ClientQuery {
+        id,
+        vertical: "near",
+        tenant: "loud",
+        shards,
+        need: NEED,
+        length: 64,
+        deadline,
+        retry: false,
+    }
 }
 
 /// Tells the program to end, and ends it if it does not.
@@ -208,8 +217,11 @@
 
 async fn run(options: Options) -> Result<bool, String> {
     let io = |e: std::io::Error| e.to_string();
-    let script =
-        Arc::new(if options.calm { Script::calm() } else { Script::minute().lasting(options.cycle) });
+    let script = Arc::new(if options.calm {
+        FaultSchedule::calm()
+    } else {
+        FaultSchedule::minute().lasting(options.cycle)
+    });
     let start = Instant::now();
     let mut shards = Vec::new();
     for number in 0..SERVERS {
@@ -247,7 +259,7 @@
         tokio::spawn(async move {
             for turn in 0.. {
                 let id = format!("stalled{number}x{turn}");
-                let ask = Ask {
+                let ask = ClientQuery {
                     id,
                     vertical: "near",
                     tenant: "loud",
@@ -292,7 +304,7 @@
     sleep(Duration::from_secs(6)).await;
     let took = began.elapsed();
     let alive = child.try_wait().map_err(io)?.is_none();
-    if let Some(used) = child.id().and_then(|id| processor(format!("/proc/{id}/stat"))) {
+    if let Some(used) = child.id().and_then(|id| cpu_time(format!("/proc/{id}/stat"))) {
         println!("{:.1} us of processor time a query", used.as_secs_f64() * 1e6 / options.queries as f64);
     }
     let peak = resident(&child).map_or(f64::NAN, |(_, peak)| peak);
@@ -319,9 +331,9 @@
     };
     let honest =
         [of(&loud, "loud"), of(&quiet, "quiet"), of(&odd, "stalled and leaving")].iter().all(|good| *good);
-    let courses = levels.courses(PARTS, options.share as f64 / 100.0, options.slack_kb as f64 * 1024.0);
+    let trends = levels.trends(PARTS, options.share as f64 / 100.0, options.slack_kb as f64 * 1024.0);
     println!("\nKB, mean of each sixth{:18} peak  furthest from the first", "");
-    for c in &courses {
+    for c in &trends {
         let means: Vec<String> = c.means.iter().map(|m| format!("{:7.0}", m / 1024.0)).collect();
         let steady = if c.steady { "" } else { "  NOT STEADY" };
         println!(
@@ -333,7 +345,7 @@
         );
     }
     let within = peak <= (options.memory_mb << 20) as f64;
-    let steady = courses.iter().all(|c| c.steady);
+    let steady = trends.iter().all(|c| c.steady);
     println!(
         "\n{} queries in {:.0} s; resident at most {:.1} of {} MB; alive {alive}; readings that failed {silent}",
         options.queries,
@@ -342,7 +354,7 @@
         options.memory_mb
     );
     if let Some(path) = &options.json {
-        let rows = courses
+        let rows = trends
             .iter()
             .map(|c| json!({"name": c.name, "means": c.means, "peak": c.peak, "steady": c.steady}));
         let report = json!({"queries": options.queries, "seconds": took.as_secs_f64(), "resident_peak": peak,
--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -6,21 +6,21 @@
 
 use serde::Serialize;
 
-use crate::history::{End, Event, History, What};
+use crate::history::{End, Event, EventKind, History};
 use crate::node::Node;
-use crate::script::BOOK;
+use crate::script::BOOK_VERTICAL;
 
 /// Time after which a server that is told to drain may get nothing new: what the settings grant and the slack of
 /// a machine that is busy.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(1250);
 /// Leaf calls that a part may have: what the settings of a rehearsal say.
-pub const CALLS_MOST: u32 = 3;
+pub const MAX_LEAF_CALLS: u32 = 3;
 /// How much later than it happened the rig may note something.
 const NOTED_LATE: Duration = Duration::from_millis(100);
 
 /// A rule that was broken, how often, and the first time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub times: usize,
     pub first: String,
@@ -49,23 +49,23 @@
         let (mut running, mut faulted) = (BTreeMap::<_, Vec<Span>>::new(), BTreeMap::<_, Vec<Span>>::new());
         // Faults of one link that hold at the same time.
         let mut depth = BTreeMap::<_, u32>::new();
-        for Event { at, what } in &history.events {
-            match *what {
+        for Event { at, kind } in &history.events {
+            match *kind {
                 // Between its start and its first sign of life nobody knows whether it listens yet.
-                What::Ready { node } | What::Signalled { node, signal: "CONT" } => {
+                EventKind::Ready { node } | EventKind::Signalled { node, signal: "CONT" } => {
                     running.entry(node).or_default().push((*at, Duration::MAX));
                 }
-                What::Signalled { node, .. } | What::Exited { node, .. } => {
+                EventKind::Signalled { node, .. } | EventKind::Exited { node, .. } => {
                     end(running.entry(node).or_default(), *at);
                 }
-                What::Faulted { from, to } => {
+                EventKind::Faulted { from, to } => {
                     let deep = depth.entry((from, to)).or_default();
                     *deep += 1;
                     if *deep == 1 {
                         faulted.entry((from, to)).or_default().push((*at, Duration::MAX));
                     }
                 }
-                What::Mended { from, to } => {
+                EventKind::Mended { from, to } => {
                     let deep = depth.entry((from, to)).or_default();
                     *deep = deep.saturating_sub(1);
                     if *deep == 0 {
@@ -95,7 +95,7 @@
 struct Found(BTreeMap<&'static str, (usize, String)>);
 
 impl Found {
-    fn note(&mut self, rule: &'static str, at: Duration, words: impl FnOnce() -> String) {
+    fn record(&mut self, rule: &'static str, at: Duration, words: impl FnOnce() -> String) {
         let (times, first) = self.0.entry(rule).or_default();
         *times += 1;
         if first.is_empty() {
@@ -107,48 +107,49 @@
 /// Every query has one final answer, and a process that lives loses none that it accepted.
 fn answers(history: &History, calm: &Calm, found: &mut Found) {
     let mut open = BTreeMap::new();
-    for Event { at, what } in &history.events {
-        match *what {
-            What::Asked { query, node, .. } => drop(open.insert(query, (*at, node))),
-            What::Ended { query, end, .. } => {
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::Asked { query, node, .. } => drop(open.insert(query, (*at, node))),
+            EventKind::Ended { query, end, .. } => {
                 let Some((asked, node)) = open.remove(&query) else {
-                    found.note("one-final-answer", *at, || format!("q{query} ended again, {end:?}"));
+                    found.record("one-final-answer", *at, || format!("q{query} ended again, {end:?}"));
                     continue;
                 };
                 let lost = matches!(end, End::Closed | End::Lost);
                 if lost && calm.ran(node, asked, *at) && calm.linked(Node::Clients, node, asked, *at) {
-                    found.note("lost-by-the-living", *at, || format!("q{query} at {node}: {end:?}"));
+                    found.record("lost-by-the-living", *at, || format!("q{query} at {node}: {end:?}"));
                 }
                 if end == End::False {
-                    found.note("false-answer", *at, || format!("q{query} at {node}"));
+                    found.record("false-answer", *at, || format!("q{query} at {node}"));
                 }
             }
             _ => {}
         }
     }
     for (query, (at, node)) in open {
-        found.note("one-final-answer", at, || format!("q{query} at {node} never ended"));
+        found.record("one-final-answer", at, || format!("q{query} at {node} never ended"));
     }
 }
 
 /// No part of a query runs more often than it may, and no answer has a value that no server gave.
 fn runs(history: &History, found: &mut Found) {
     let mut ran = BTreeMap::<(u64, u16), u32>::new();
-    for Event { at, what } in &history.events {
-        match what {
-            What::Ran { query, shard, vertical, server, .. } => {
+    for Event { at, kind } in &history.events {
+        match kind {
+            EventKind::Ran { query, shard, vertical, server, .. } => {
                 let times = ran.entry((*query, *shard)).or_default();
                 *times += 1;
-                if *vertical == BOOK && *times > 1 {
-                    found.note("effect-twice", *at, || format!("q{query}.{shard}, again at {server}"));
+                if *vertical == BOOK_VERTICAL && *times > 1 {
+                    found.record("effect-twice", *at, || format!("q{query}.{shard}, again at {server}"));
                 }
-                if *times > CALLS_MOST {
-                    found.note("calls-over-budget", *at, || format!("q{query}.{shard}: {times} leaf calls"));
+                if *times > MAX_LEAF_CALLS {
+                    found
+                        .record("calls-over-budget", *at, || format!("q{query}.{shard}: {times} leaf calls"));
                 }
             }
-            What::Ended { query, shards, .. } => {
+            EventKind::Ended { query, shards, .. } => {
                 for shard in shards.iter().filter(|shard| !ran.contains_key(&(*query, **shard))) {
-                    found.note("false-answer", *at, || format!("q{query}.{shard} ran nowhere"));
+                    found.record("false-answer", *at, || format!("q{query}.{shard} ran nowhere"));
                 }
             }
             _ => {}
@@ -159,21 +160,21 @@
 /// A server that drains gets nothing new from who was told so.
 fn drains(history: &History, calm: &Calm, found: &mut Found) {
     let mut told = BTreeMap::new();
-    for Event { at, what } in &history.events {
-        match *what {
-            What::ToldDrain { to, server } => {
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::ToldDrain { to, server } => {
                 let heard = calm.linked(to, Node::List, *at, *at + NOTED_LATE);
                 if heard && calm.ran(to, *at, *at + NOTED_LATE) {
                     told.entry((to, server)).or_insert(*at);
                 }
             }
             // Who starts anew is told anew.
-            What::Started { node } => told.retain(|(to, _), _| *to != node),
-            What::Ran { server, from, query, shard, .. } => {
+            EventKind::Started { node } => told.retain(|(to, _), _| *to != node),
+            EventKind::Ran { server, from, query, shard, .. } => {
                 let Some(since) = told.get(&(from, server)).copied() else { continue };
                 let calmly = calm.linked(from, server, since, *at) && calm.ran(from, since, *at);
                 if *at > since + DRAIN_GRACE && calmly {
-                    found.note("drain-kept", *at, || format!("q{query}.{shard} from {from} to {server}"));
+                    found.record("drain-kept", *at, || format!("q{query}.{shard} from {from} to {server}"));
                 }
             }
             _ => {}
@@ -184,12 +185,12 @@
 /// No process ends that was not told to.
 fn ends(history: &History, found: &mut Found) {
     let mut told = BTreeSet::new();
-    for Event { at, what } in &history.events {
-        match what {
-            What::Started { node } => drop(told.remove(node)),
-            What::Signalled { node, signal: "KILL" | "TERM" } => drop(told.insert(*node)),
-            What::Exited { node, status, .. } if !told.contains(node) => {
-                found.note("crashed", *at, || format!("{node}: {status}"));
+    for Event { at, kind } in &history.events {
+        match kind {
+            EventKind::Started { node } => drop(told.remove(node)),
+            EventKind::Signalled { node, signal: "KILL" | "TERM" } => drop(told.insert(*node)),
+            EventKind::Exited { node, status, .. } if !told.contains(node) => {
+                found.record("crashed", *at, || format!("{node}: {status}"));
             }
             _ => {}
         }
@@ -202,25 +203,25 @@
     let mut owns = BTreeMap::<(&str, u64), Node>::new();
     let mut log = BTreeMap::<u64, (u64, Option<u64>)>::new();
     let mut follows = BTreeMap::<(Node, &str), u64>::new();
-    for Event { at, what } in &history.events {
-        match what {
-            What::Owns { node, duty, epoch } => {
+    for Event { at, kind } in &history.events {
+        match kind {
+            EventKind::Owns { node, duty, epoch } => {
                 let first = *owns.entry((duty, *epoch)).or_insert(*node);
                 if first != *node {
-                    found.note("two-owners", *at, || format!("{first} and {node}, {duty} {epoch}"));
+                    found.record("two-owners", *at, || format!("{first} and {node}, {duty} {epoch}"));
                 }
             }
-            What::Agreed { node, place, epoch, wrote, .. } => {
+            EventKind::Agreed { node, place, epoch, wrote, .. } => {
                 let first = *log.entry(*place).or_insert((*epoch, *wrote));
                 if first != (*epoch, *wrote) {
-                    found.note("keepers-disagree", *at, || format!("{node} at {place} of the log"));
+                    found.record("keepers-disagree", *at, || format!("{node} at {place} of the log"));
                 }
             }
-            What::Started { node } => follows.retain(|(of, _), _| of != node),
-            What::Follows { node, duty, epoch } => {
+            EventKind::Started { node } => follows.retain(|(of, _), _| of != node),
+            EventKind::Follows { node, duty, epoch } => {
                 let latest = follows.insert((*node, duty), *epoch).unwrap_or_default();
                 if latest > *epoch {
-                    found.note("old-owner-followed", *at, || format!("{node}: {epoch} after {latest}"));
+                    found.record("old-owner-followed", *at, || format!("{node}: {epoch} after {latest}"));
                 }
             }
             _ => {}
@@ -230,21 +231,23 @@
     for (place, (epoch, wrote)) in &log {
         let Some(version) = wrote else { continue };
         if *epoch < latest.0 || *version <= latest.1 {
-            found.note("old-owner-acted", Duration::ZERO, || format!("at {place} of the log, epoch {epoch}"));
+            found.record("old-owner-acted", Duration::ZERO, || {
+                format!("at {place} of the log, epoch {epoch}")
+            });
         }
         latest = (*epoch, *version);
     }
 }
 
 /// All rules that a history breaks.
-pub fn broken(history: &History) -> Vec<Broken> {
+pub fn broken(history: &History) -> Vec<Violation> {
     let (calm, mut found) = (Calm::of(history), Found::default());
     answers(history, &calm, &mut found);
     runs(history, &mut found);
     drains(history, &calm, &mut found);
     ends(history, &mut found);
     owners(history, &mut found);
-    let broken = |(rule, (times, first))| Broken { rule, times, first };
+    let broken = |(rule, (times, first))| Violation { rule, times, first };
     found.0.into_iter().map(broken).collect()
 }
 
@@ -255,47 +258,48 @@
     const G: Node = Node::Gatherer(1);
     const S: Node = Node::Server(2);
 
-    fn history(events: Vec<(u64, What)>) -> History {
-        let event = |(ms, what)| Event { at: Duration::from_millis(ms), what };
-        History { events: events.into_iter().map(event).collect(), left_out: 0 }
+    fn history(events: Vec<(u64, EventKind)>) -> History {
+        let event = |(ms, kind)| Event { at: Duration::from_millis(ms), kind };
+        History { events: events.into_iter().map(event).collect(), dropped_count: 0 }
     }
 
-    fn rules(events: Vec<(u64, What)>) -> Vec<&'static str> {
+    fn rules(events: Vec<(u64, EventKind)>) -> Vec<&'static str> {
         broken(&history(events)).into_iter().map(|b| b.rule).collect()
     }
 
-    fn asked(query: u64) -> What {
-        What::Asked { query, node: G, vertical: BOOK, retry: false }
+    fn asked(query: u64) -> EventKind {
+        EventKind::Asked { query, node: G, vertical: BOOK_VERTICAL, retry: false }
     }
 
-    fn ended(query: u64, end: End, shards: &[u16]) -> What {
-        What::Ended { query, end, shards: shards.into() }
+    fn ended(query: u64, end: End, shards: &[u16]) -> EventKind {
+        EventKind::Ended { query, end, shards: shards.into() }
     }
 
-    fn ran(query: u64, vertical: u8) -> What {
-        What::Ran { server: S, from: G, query, shard: 3, vertical }
+    fn ran(query: u64, vertical: u8) -> EventKind {
+        EventKind::Ran { server: S, from: G, query, shard: 3, vertical }
     }
 
-    fn signalled(signal: &'static str) -> What {
-        What::Signalled { node: G, signal }
+    fn signalled(signal: &'static str) -> EventKind {
+        EventKind::Signalled { node: G, signal }
     }
 
-    fn exited() -> What {
-        What::Exited { node: G, well: false, status: "signal: 9".into() }
+    fn exited() -> EventKind {
+        EventKind::Exited { node: G, well: false, status: "signal: 9".into() }
     }
 
     #[test]
     fn a_good_history_breaks_nothing_and_each_bad_one_its_rule() {
-        let start = (0, What::Ready { node: G });
-        let good = [start.clone(), (10, asked(1)), (20, ran(1, BOOK)), (30, ended(1, End::Whole, &[3]))];
+        let start = (0, EventKind::Ready { node: G });
+        let good =
+            [start.clone(), (10, asked(1)), (20, ran(1, BOOK_VERTICAL)), (30, ended(1, End::Whole, &[3]))];
         assert_eq!(rules(good.to_vec()), [""; 0]);
-        let with = |more: &[(u64, What)]| rules([&good[..], more].concat());
+        let with = |more: &[(u64, EventKind)]| rules([&good[..], more].concat());
         assert_eq!(with(&[(40, ended(1, End::Whole, &[3]))]), ["one-final-answer"]);
         assert_eq!(with(&[(40, asked(2))]), ["one-final-answer"]);
         assert_eq!(with(&[(40, asked(2)), (50, ended(2, End::False, &[]))]), ["false-answer"]);
         assert_eq!(with(&[(40, asked(2)), (50, ended(2, End::Whole, &[4]))]), ["false-answer"]);
         assert_eq!(with(&[(40, asked(2)), (50, ended(2, End::Lost, &[]))]), ["lost-by-the-living"]);
-        assert_eq!(with(&[(40, ran(1, BOOK))]), ["effect-twice"]);
+        assert_eq!(with(&[(40, ran(1, BOOK_VERTICAL))]), ["effect-twice"]);
         let near = [
             (40, asked(2)),
             (41, ran(2, 1)),
@@ -311,14 +315,18 @@
 
     #[test]
     fn who_was_killed_stopped_or_cut_off_is_excused_for_that_time_only() {
-        let start = (0, What::Ready { node: G });
+        let start = (0, EventKind::Ready { node: G });
         let lost = [(100, asked(1)), (200, ended(1, End::Closed, &[]))];
-        let with = |before: &[(u64, What)], between: (u64, What), after: &[(u64, What)]| {
+        let with = |before: &[(u64, EventKind)], between: (u64, EventKind), after: &[(u64, EventKind)]| {
             rules([std::slice::from_ref(&start), before, &lost[..1], &[between], &lost[1..], after].concat())
         };
         assert_eq!(with(&[], (150, signalled("KILL")), &[]), [""; 0]);
-        let killed = [(50, signalled("KILL")), (60, What::Started { node: G })];
-        assert_eq!(with(&killed, (250, What::Ready { node: G }), &[]), [""; 0], "it does not listen yet");
+        let killed = [(50, signalled("KILL")), (60, EventKind::Started { node: G })];
+        assert_eq!(
+            with(&killed, (250, EventKind::Ready { node: G }), &[]),
+            [""; 0],
+            "it does not listen yet"
+        );
         assert_eq!(with(&[], (150, signalled("STOP")), &[]), [""; 0]);
         assert_eq!(
             with(
@@ -328,8 +336,8 @@
             ),
             ["lost-by-the-living"]
         );
-        let fault = What::Faulted { from: Node::Clients, to: G };
-        let mended = What::Mended { from: Node::Clients, to: G };
+        let fault = EventKind::Faulted { from: Node::Clients, to: G };
+        let mended = EventKind::Mended { from: Node::Clients, to: G };
         assert_eq!(with(&[], (150, fault.clone()), &[]), [""; 0]);
         assert_eq!(
             with(
@@ -349,11 +357,11 @@
 
     #[test]
     fn a_drain_is_kept_from_when_it_was_told_unless_the_news_or_the_call_was_held() {
-        let start = (0, What::Ready { node: G });
-        let told = (100, What::ToldDrain { to: G, server: S });
+        let start = (0, EventKind::Ready { node: G });
+        let told = (100, EventKind::ToldDrain { to: G, server: S });
         let late = 101 + DRAIN_GRACE.as_millis() as u64;
         let good = [(late - 10, asked(1)), (late + 500, ended(1, End::Whole, &[3]))];
-        let with = |before: &[(u64, What)], at: u64| {
+        let with = |before: &[(u64, EventKind)], at: u64| {
             rules(
                 [
                     std::slice::from_ref(&start),
@@ -369,7 +377,7 @@
         assert_eq!(with(&[], late - 5), [""; 0]);
         assert_eq!(with(&[], late), ["drain-kept"]);
         for to in [Node::List, S] {
-            assert_eq!(with(&[(50, What::Faulted { from: G, to })], late), [""; 0]);
+            assert_eq!(with(&[(50, EventKind::Faulted { from: G, to })], late), [""; 0]);
         }
         assert_eq!(with(&[(50, signalled("STOP"))], late), [""; 0]);
     }
@@ -377,15 +385,15 @@
     #[test]
     fn an_epoch_has_one_owner_and_nothing_of_an_older_one_counts_after_it() {
         let duty = || "roster".to_owned();
-        let owns = |node, epoch| What::Owns { node, duty: duty(), epoch };
-        let agreed = |keeper, place, epoch, wrote| What::Agreed {
+        let owns = |node, epoch| EventKind::Owns { node, duty: duty(), epoch };
+        let agreed = |keeper, place, epoch, wrote| EventKind::Agreed {
             node: Node::Keeper(keeper),
             place,
             duty: duty(),
             epoch,
             wrote: Some(wrote),
         };
-        let follows = |epoch| What::Follows { node: G, duty: duty(), epoch };
+        let follows = |epoch| EventKind::Follows { node: G, duty: duty(), epoch };
         let good = [
             (1, owns(G, 1)),
             (2, agreed(0, 5, 1, 1)),
@@ -395,7 +403,7 @@
             (6, agreed(0, 7, 2, 2)),
             (7, follows(2)),
         ];
-        let with = |more: (u64, What)| rules([&good[..], &[more]].concat());
+        let with = |more: (u64, EventKind)| rules([&good[..], &[more]].concat());
         assert_eq!(rules(good.to_vec()), [""; 0]);
         // A keeper that starts again applies its log anew.
         assert_eq!(with((9, agreed(0, 5, 1, 1))), [""; 0]);
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -29,7 +29,7 @@
 
 /// One query of a client.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientQuery {
     pub id: String,
     pub vertical: &'static str,
     pub tenant: &'static str,
@@ -46,15 +46,15 @@
 
 /// What a client got: how it ended, the shards whose values are in, and when to come back.
 #[derive(Debug)]
-pub struct Got {
+pub struct QueryOutcome {
     pub end: End,
     pub shards: Box<[u16]>,
-    pub back_after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl From<End> for Got {
-    fn from(end: End) -> Got {
-        Got { end, shards: Box::default(), back_after: None }
+impl From<End> for QueryOutcome {
+    fn from(end: End) -> QueryOutcome {
+        QueryOutcome { end, shards: Box::default(), retry_after: None }
     }
 }
 
@@ -92,7 +92,7 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-impl Ask {
+impl ClientQuery {
     fn body(&self) -> String {
         let part = |shard| json!({"partition": shard, "share": 1.0 / self.shards.len() as f64});
         let targets: Vec<_> = self.shards.iter().map(part).collect();
@@ -131,7 +131,7 @@
 }
 
 /// A client that asks, reads and checks.
-pub async fn get(pool: &Pool, at: SocketAddr, ask: &Ask) -> Got {
+pub async fn get(pool: &Pool, at: SocketAddr, ask: &ClientQuery) -> QueryOutcome {
     let request = Request::post(format!("http://{at}/{}/{}", ask.vertical, ask.id))
         .header("Req-Id", &ask.id)
         .header("Req-Owner", ask.tenant)
@@ -148,24 +148,28 @@
         Ok(Err(unreached)) => return if unreached { End::Unreached } else { End::Closed }.into(),
         Ok(Ok(answer)) => answer,
     };
-    let back_after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-    let back_after = back_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
+    let retry_after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+    let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
     match head.status.as_u16() {
         200 => match serde_json::from_slice::<Answer>(&body) {
             Ok(answer) if ask.is_true(&answer) => {
                 let shards = answer.results.iter().map(|v| v.partition as u16).collect();
-                Got { end: if answer.whole { End::Whole } else { End::Partial }, shards, back_after: None }
+                QueryOutcome {
+                    end: if answer.whole { End::Whole } else { End::Partial },
+                    shards,
+                    retry_after: None,
+                }
             }
             _ => End::False.into(),
         },
-        429 | 503 => Got { back_after, ..End::Rejected.into() },
+        429 | 503 => QueryOutcome { retry_after, ..End::Rejected.into() },
         502 => End::Aborted.into(),
         _ => End::False.into(),
     }
 }
 
 /// The same, counted.
-pub async fn ask(pool: &Pool, at: SocketAddr, ask: Ask, counts: &Counts) {
+pub async fn ask(pool: &Pool, at: SocketAddr, ask: ClientQuery, counts: &Counts) {
     count(&counts.asked);
     let began = Instant::now();
     let got = get(pool, at, &ask).await;
@@ -179,7 +183,7 @@
         End::False => &counts.false_answers,
     };
     count(counter);
-    if got.end == End::Rejected && got.back_after.is_none() {
+    if got.end == End::Rejected && got.retry_after.is_none() {
         count(&counts.bare);
     }
     if !matches!(got.end, End::Unreached | End::Closed | End::Lost)
@@ -198,7 +202,7 @@
 }
 
 /// A client that asks and then reads one byte a second, until it is closed or so long has passed.
-pub async fn trickle(at: SocketAddr, ask: Ask, lasts: Duration, counts: &Counts) {
+pub async fn trickle(at: SocketAddr, ask: ClientQuery, lasts: Duration, counts: &Counts) {
     let end = Instant::now() + lasts;
     let Ok(mut stream) = connect_narrow(at).await else { return count(&counts.closed) };
     count(&counts.asked);
@@ -215,7 +219,7 @@
 }
 
 /// A client that leaves after so long, whatever has come by then.
-pub async fn leave(at: SocketAddr, ask: Ask, after: Duration, counts: &Counts) {
+pub async fn leave(at: SocketAddr, ask: ClientQuery, after: Duration, counts: &Counts) {
     let Ok(mut stream) = TcpStream::connect(at).await else { return count(&counts.closed) };
     count(&counts.asked);
     let _ = stream.write_all(ask.bytes().as_bytes()).await;
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::history::{Recorder, What};
-use crate::links::Dials;
+use crate::history::{EventKind, Recorder};
+use crate::links::ConnectionSender;
 use crate::node::Node;
 
 /// The longest that a watch waits.
@@ -31,7 +31,7 @@
 /// What the service does wrong, to all or to some.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Trouble {
+pub enum ListFault {
     /// Takes calls and never answers.
     Hangs,
     /// Answers 503.
@@ -73,7 +73,7 @@
     number: usize,
     /// The gatherers hit; all of them where this is empty.
     who: Vec<u16>,
-    trouble: Trouble,
+    trouble: ListFault,
     /// What is told while it is old.
     then: List,
 }
@@ -133,7 +133,9 @@
     }
 
     /// One of a rehearsal, that answers so many calls a second; relays bring it who asks.
-    pub fn within(rate: Option<f64>, address_of: AddressOf, recorder: Recorder) -> (Discovery, Dials) {
+    pub fn within(
+        rate: Option<f64>, address_of: AddressOf, recorder: Recorder,
+    ) -> (Discovery, ConnectionSender) {
         let discovery = Discovery::new(rate, address_of, Some(recorder));
         let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, tokio::io::DuplexStream)>();
         let serving = discovery.clone();
@@ -153,7 +155,7 @@
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    fn trouble(&self, from: Node) -> Option<(Trouble, List)> {
+    fn trouble(&self, from: Node) -> Option<(ListFault, List)> {
         let meets =
             |hit: &&Hit| hit.who.is_empty() || matches!(from, Node::Gatherer(g) if hit.who.contains(&g));
         locked(&self.hits).iter().rev().find(meets).map(|hit| (hit.trouble, hit.then.clone()))
@@ -182,12 +184,12 @@
     async fn answer(&self, request: &Request<Incoming>, from: Node) -> Result<Answer, std::io::Error> {
         let trouble = self.trouble(from);
         let turn = match trouble {
-            Some((Trouble::Hangs, _)) => Err(0),
-            Some((Trouble::Sorry, _)) => Err(503),
+            Some((ListFault::Hangs, _)) => Err(0),
+            Some((ListFault::Sorry, _)) => Err(503),
             _ => self.turn().await,
         };
         if let Err(status) = turn {
-            self.note(What::Listed { from, status, revision: 0 });
+            self.record(EventKind::Listed { from, status, revision: 0 });
             if status == 0 {
                 std::future::pending::<()>().await;
             }
@@ -195,7 +197,7 @@
             *answer.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE;
             return Ok(answer);
         }
-        if let Some((Trouble::Late { ms }, _)) = trouble {
+        if let Some((ListFault::Late { ms }, _)) = trouble {
             sleep(Duration::from_millis(ms)).await;
         }
         let asked = |name: &str| -> Option<u64> {
@@ -204,14 +206,14 @@
         };
         let wait = Duration::from_millis(asked("wait_ms").unwrap_or(0)).min(WAIT_MOST);
         let by = match trouble {
-            Some((Trouble::Back { by }, _)) => by,
+            Some((ListFault::Back { by }, _)) => by,
             _ => 0,
         };
         let after = asked("after").map(|after| after + by);
         let mut watched = self.list.subscribe();
         // What is asked for is known to be told once the answer is written.
         let newer = match trouble {
-            Some((Trouble::Old, ref then)) => {
+            Some((ListFault::Old, ref then)) => {
                 let newer = after.is_none_or(|after| then.revision > after);
                 if !newer {
                     sleep(wait).await;
@@ -221,22 +223,22 @@
             _ => timeout(wait, watched.wait_for(|l| after.is_none_or(|a| l.revision > a))).await.is_ok(),
         };
         let list = match &trouble {
-            Some((Trouble::Old, then)) => then.clone(),
+            Some((ListFault::Old, then)) => then.clone(),
             _ => watched.borrow().clone(),
         };
         let complete = newer || after.is_none();
         let (status, revision) = (200, list.revision.saturating_sub(by));
         let mut members = if complete { self.members(&list, from) } else { Vec::new() };
-        if trouble.as_ref().is_some_and(|(t, _)| *t == Trouble::Halved) {
+        if trouble.as_ref().is_some_and(|(t, _)| *t == ListFault::Halved) {
             let mut number = 0;
             members.retain(|_| {
                 number += 1;
                 number % 2 == 1
             });
         }
-        self.note(What::Listed { from, status, revision });
+        self.record(EventKind::Listed { from, status, revision });
         let text = json!({"revision": revision, "complete": complete, "members": members}).to_string();
-        if trouble.is_some_and(|(t, _)| t == Trouble::Torn) {
+        if trouble.is_some_and(|(t, _)| t == ListFault::Torn) {
             // The length is the whole one's; the connection ends in the middle.
             let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
             let mut answer = Answer::new(Full::new(half));
@@ -258,8 +260,8 @@
         list.members.iter().cloned().chain(list.typed.iter().filter_map(one)).collect()
     }
 
-    fn note(&self, what: What) {
-        self.recorder.iter().for_each(|recorder| recorder.note(what.clone()));
+    fn record(&self, kind: EventKind) {
+        self.recorder.iter().for_each(|recorder| recorder.record(kind.clone()));
     }
 
     /// Notes which servers a gatherer now knows not to be ready.
@@ -269,7 +271,7 @@
             return;
         }
         for m in list.typed.iter().filter(|m| m.phase != "ready") {
-            self.note(What::ToldDrain { to, server: Node::Server(m.node) });
+            self.record(EventKind::ToldDrain { to, server: Node::Server(m.node) });
         }
     }
 
@@ -281,7 +283,7 @@
     }
 
     /// The same to a rehearsal's callers.
-    pub fn tell_typed(&self, change: impl FnOnce(&mut Vec<Member>)) {
+    pub fn update_members(&self, change: impl FnOnce(&mut Vec<Member>)) {
         self.list.send_modify(|list| {
             let mut members = list.typed.to_vec();
             change(&mut members);
@@ -295,15 +297,15 @@
         json!({"revision": list.revision, "complete": true, "members": self.members(&list, to)})
     }
 
-    pub fn hit(&self, number: usize, who: Vec<u16>, trouble: Trouble) {
+    pub fn hit(&self, number: usize, who: Vec<u16>, trouble: ListFault) {
         let then = self.list.borrow().clone();
         locked(&self.hits).push(Hit { number, who, trouble, then });
-        self.note(What::Troubled { node: Node::List, on: true });
+        self.record(EventKind::Troubled { node: Node::List, on: true });
     }
 
     pub fn mend(&self, number: usize) {
         locked(&self.hits).retain(|hit| hit.number != number);
-        self.note(What::Troubled { node: Node::List, on: false });
+        self.record(EventKind::Troubled { node: Node::List, on: false });
     }
 }
 
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::history::{End, Event, History, What};
+use crate::history::{End, Event, EventKind, History};
 use crate::node::Node;
 
 /// Buckets in which calls and dials are counted.
@@ -79,13 +79,13 @@
 fn queries(history: &History, mark: Duration, length: Duration, out: &mut Figures) {
     let (mut first, mut ends) = (0, BTreeMap::<End, u32>::new());
     let (mut asked_at, mut windows) = (BTreeMap::new(), BTreeMap::<u64, (u32, u32)>::new());
-    for Event { at, what } in &history.events {
-        match *what {
-            What::Asked { query, retry, .. } => {
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::Asked { query, retry, .. } => {
                 first += u32::from(!retry);
                 asked_at.insert(query, *at);
             }
-            What::Ended { query, end, .. } => {
+            EventKind::Ended { query, end, .. } => {
                 *ends.entry(end).or_default() += 1;
                 let asked = asked_at.get(&query).copied().unwrap_or_default();
                 let window = windows.entry(bucket(asked, WINDOW)).or_default();
@@ -116,11 +116,11 @@
 /// Time from each start to readiness.
 fn readiness(history: &History, out: &mut Figures) {
     let (mut started, mut took) = (BTreeMap::new(), Vec::new());
-    for Event { at, what } in &history.events {
-        match *what {
-            What::Started { node } => drop(started.insert(node, *at)),
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::Started { node } => drop(started.insert(node, *at)),
             // Who was ready before the clock began tells nothing.
-            What::Ready { node } if !at.is_zero() => {
+            EventKind::Ready { node } if !at.is_zero() => {
                 took.extend(started.remove(&node).map(|start| (*at - start).as_secs_f64()))
             }
             _ => {}
@@ -139,13 +139,13 @@
     let (mut open, mut most_open, mut hung, mut unused) = (BTreeMap::<Node, i64>::new(), 0, 0, 0);
     let (mut lists_first, mut dials_first, mut lists_all, mut dials_all) = (0, 0, 0, 0);
     let first = |at: Duration| u32::from((mark..mark + Duration::from_secs(1)).contains(&at));
-    for Event { at, what } in &history.events {
-        match *what {
-            What::Listed { .. } => {
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::Listed { .. } => {
                 *lists.entry(bucket(*at, BUCKET)).or_insert(0) += 1;
                 (lists_all, lists_first) = (lists_all + 1, lists_first + first(*at));
             }
-            What::Dialled { to: to @ Node::Server(_), .. } => {
+            EventKind::Dialled { to: to @ Node::Server(_), .. } => {
                 *dials.entry(bucket(*at, BUCKET)).or_insert(0) += 1;
                 *by_server.entry(to).or_default().entry(bucket(*at, BUCKET)).or_default() += 1;
                 (dials_all, dials_first) = (dials_all + 1, dials_first + first(*at));
@@ -153,7 +153,7 @@
                 *open += 1;
                 most_open = most_open.max(*open);
             }
-            What::Hung { to: to @ Node::Server(_), bytes, .. } => {
+            EventKind::Hung { to: to @ Node::Server(_), bytes, .. } => {
                 *open.entry(to).or_default() -= 1;
                 (hung, unused) = (hung + 1, unused + u32::from(bytes == 0));
             }
@@ -180,21 +180,21 @@
 fn leaf_calls(history: &History, mark: Duration, out: &mut Figures) {
     let (mut ran, mut full, mut falls, mut cold) = (0, 0, 0, 0);
     let (mut troubled, mut over) = (BTreeSet::new(), None);
-    for Event { at, what } in &history.events {
-        match *what {
-            What::Ran { .. } => ran += 1,
-            What::Full { .. } => full += 1,
-            What::Fell { cold: is_cold, .. } => (falls, cold) = (falls + 1, cold + u32::from(is_cold)),
-            What::Troubled { node: node @ Node::Server(_), on: true } => drop(troubled.insert(node)),
-            What::Troubled { node: Node::Server(_), on: false } => over = over.or(Some(*at)),
+    for Event { at, kind } in &history.events {
+        match *kind {
+            EventKind::Ran { .. } => ran += 1,
+            EventKind::Full { .. } => full += 1,
+            EventKind::Fell { cold: is_cold, .. } => (falls, cold) = (falls + 1, cold + u32::from(is_cold)),
+            EventKind::Troubled { node: node @ Node::Server(_), on: true } => drop(troubled.insert(node)),
+            EventKind::Troubled { node: Node::Server(_), on: false } => over = over.or(Some(*at)),
             _ => {}
         }
     }
     let over = over.unwrap_or(Duration::MAX);
     let (mut before, mut after) = ((0, 0), BTreeMap::<u64, (u32, u32)>::new());
     let mut times = Vec::new();
-    for Event { at, what } in &history.events {
-        let What::Ran { server, .. } = what else { continue };
+    for Event { at, kind } in &history.events {
+        let EventKind::Ran { server, .. } = kind else { continue };
         let hit = u32::from(troubled.contains(server));
         if *at < mark {
             before = (before.0 + 1, before.1 + hit);
@@ -228,9 +228,9 @@
     let (mut owner, mut lost, mut took) = (None, None, Vec::new());
     let (mut by_second, mut calls) = (BTreeMap::<u64, u32>::new(), BTreeMap::<Node, u64>::new());
     let (mut count, mut calls_most, mut alive) = (0, 0, 0);
-    for Event { at, what } in &history.events {
-        match what {
-            What::Owns { node, .. } => {
+    for Event { at, kind } in &history.events {
+        match kind {
+            EventKind::Owns { node, .. } => {
                 if owner.is_some() && owner != Some(*node) {
                     took.extend(lost.map(|lost: Duration| (*at - lost).as_secs_f64()));
                 }
@@ -238,17 +238,17 @@
                 *by_second.entry(at.as_secs()).or_default() += 1;
                 (owner, lost) = (Some(*node), None);
             }
-            What::Signalled { node, signal: "KILL" | "STOP" | "TERM" } if owner == Some(*node) => {
+            EventKind::Signalled { node, signal: "KILL" | "STOP" | "TERM" } if owner == Some(*node) => {
                 lost.get_or_insert(*at);
             }
-            What::Faulted { from, to: Node::Keeper(_) } if owner == Some(*from) => {
+            EventKind::Faulted { from, to: Node::Keeper(_) } if owner == Some(*from) => {
                 lost.get_or_insert(*at);
             }
-            What::GaveUp { node, .. } if owner == Some(*node) => {
+            EventKind::GaveUp { node, .. } if owner == Some(*node) => {
                 lost.get_or_insert(*at);
             }
-            What::Counts { alive: now, .. } if *now > 0 => alive = *now,
-            What::Called { node, calls: now } => {
+            EventKind::Counts { alive: now, .. } if *now > 0 => alive = *now,
+            EventKind::Called { node, calls: now } => {
                 let before = calls.insert(*node, *now);
                 calls_most = calls_most.max(now.saturating_sub(before.unwrap_or(*now)));
             }
@@ -286,22 +286,22 @@
     const S: Node = Node::Server(0);
     const T: Node = Node::Server(1);
 
-    fn history(mut events: Vec<(u64, What)>) -> History {
+    fn history(mut events: Vec<(u64, EventKind)>) -> History {
         events.sort_by_key(|(at, _)| *at);
-        let event = |(ms, what)| Event { at: Duration::from_millis(ms), what };
-        History { events: events.into_iter().map(event).collect(), left_out: 0 }
+        let event = |(ms, kind)| Event { at: Duration::from_millis(ms), kind };
+        History { events: events.into_iter().map(event).collect(), dropped_count: 0 }
     }
 
-    fn measured(events: Vec<(u64, What)>, mark: u64) -> Figures {
+    fn measured(events: Vec<(u64, EventKind)>, mark: u64) -> Figures {
         measure(&history(events), Duration::from_millis(mark), Duration::from_secs(20))
     }
 
     #[test]
     fn peaks_are_by_server_and_by_all_and_the_first_second_is_the_mark_s() {
         let from = Node::Gatherer(0);
-        let dial = |at, to| (at, What::Dialled { from, to });
-        let list = |at| (at, What::Listed { from, status: 200, revision: 1 });
-        let hung = |at, bytes| (at, What::Hung { from, to: S, bytes });
+        let dial = |at, to| (at, EventKind::Dialled { from, to });
+        let list = |at| (at, EventKind::Listed { from, status: 200, revision: 1 });
+        let hung = |at, bytes| (at, EventKind::Hung { from, to: S, bytes });
         let events = vec![
             dial(10, S),
             dial(20, S),
@@ -334,8 +334,8 @@
         for i in 0..200u64 {
             let (at, query) = (i * 50, i);
             let end = if (2000..4200).contains(&at) && i % 2 == 0 { End::Rejected } else { End::Whole };
-            events.push((at, What::Asked { query, node: Node::Gatherer(0), vertical: 0, retry: false }));
-            events.push((at + 1, What::Ended { query, end, shards: Box::default() }));
+            events.push((at, EventKind::Asked { query, node: Node::Gatherer(0), vertical: 0, retry: false }));
+            events.push((at + 1, EventKind::Ended { query, end, shards: Box::default() }));
         }
         let figures = measured(events, 2000);
         assert_eq!(figures["nine_tenths_s"], 2.5);
@@ -346,11 +346,11 @@
     #[test]
     fn a_troubled_server_is_avoided_once_a_tenth_of_its_usual_calls_is_left() {
         let ran = |at, server| {
-            (at, What::Ran { server, from: Node::Gatherer(0), query: at, shard: 0, vertical: 0 })
+            (at, EventKind::Ran { server, from: Node::Gatherer(0), query: at, shard: 0, vertical: 0 })
         };
         let mut events: Vec<_> = (0..200).map(|i| ran(i * 20, if i % 2 == 0 { S } else { T })).collect();
         // From 4 s on T is in trouble; a second later nearly all calls go elsewhere.
-        events.push((4000, What::Troubled { node: T, on: true }));
+        events.push((4000, EventKind::Troubled { node: T, on: true }));
         events.extend((200..400).map(|i| ran(i * 20, if i % 2 == 0 && i < 250 || i == 399 { T } else { S })));
         let figures = measured(events, 4000);
         assert_eq!(figures["avoided_s"], 1.0);
@@ -360,9 +360,10 @@
 
     #[test]
     fn a_takeover_counts_from_the_first_thing_that_took_the_owner_away() {
-        let owns = |at, i, epoch| (at, What::Owns { node: Node::Gatherer(i), duty: "roster".into(), epoch });
-        let signal = |at, i, signal| (at, What::Signalled { node: Node::Gatherer(i), signal });
-        let cut = What::Faulted { from: Node::Gatherer(2), to: Node::Keeper(1) };
+        let owns =
+            |at, i, epoch| (at, EventKind::Owns { node: Node::Gatherer(i), duty: "roster".into(), epoch });
+        let signal = |at, i, signal| (at, EventKind::Signalled { node: Node::Gatherer(i), signal });
+        let cut = EventKind::Faulted { from: Node::Gatherer(2), to: Node::Keeper(1) };
         let events = vec![
             owns(0, 1, 1),
             signal(900, 7, "KILL"),
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// Events that are kept at the most: some hundred MB. A run that has more is not measured.
-const EVENTS_MOST: usize = 3_000_000;
+const MAX_EVENTS: usize = 3_000_000;
 
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum What {
+pub enum EventKind {
     /// A fault begins or ends between two, in the direction of the bytes that are hit or in both.
     Faulted {
         from: Node,
@@ -160,7 +160,7 @@
     #[serde(rename = "at_us", serialize_with = "micros")]
     pub at: Duration,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EventKind,
 }
 
 fn micros<S: serde::Serializer>(at: &Duration, out: S) -> Result<S::Ok, S::Error> {
@@ -172,7 +172,7 @@
 pub struct History {
     pub events: Vec<Event>,
     /// Told when there was no room any more.
-    pub left_out: u64,
+    pub dropped_count: u64,
 }
 
 impl History {
@@ -202,7 +202,7 @@
 impl Recorder {
     pub fn new(start: Instant) -> Recorder {
         Recorder {
-            most: EVENTS_MOST,
+            most: MAX_EVENTS,
             told: Arc::new(Mutex::new(Told { start, history: History::default(), owner: None })),
         }
     }
@@ -211,16 +211,16 @@
         self.told.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn note(&self, what: What) {
+    pub fn record(&self, kind: EventKind) {
         let mut told = self.told();
         // The time is read under the lock: the order of the events is that of their times.
         let at = told.start.elapsed();
-        if let What::Owns { node, .. } = what {
+        if let EventKind::Owns { node, .. } = kind {
             told.owner = Some(node);
         }
         match told.history.events.len() < self.most {
-            true => told.history.events.push(Event { at, what }),
-            false => told.history.left_out += 1,
+            true => told.history.events.push(Event { at, kind }),
+            false => told.history.dropped_count += 1,
         }
     }
 
@@ -231,11 +231,12 @@
 
     /// Time begins now: of what was before, only who was started, is ready and owns is kept, as of now.
     pub fn zero(&self) {
-        let keeps =
-            |what: &What| matches!(what, What::Started { .. } | What::Ready { .. } | What::Owns { .. });
+        let keeps = |kind: &EventKind| {
+            matches!(kind, EventKind::Started { .. } | EventKind::Ready { .. } | EventKind::Owns { .. })
+        };
         let mut told = self.told();
         told.start = Instant::now();
-        told.history.events.retain(|e| keeps(&e.what));
+        told.history.events.retain(|e| keeps(&e.kind));
         told.history.events.iter_mut().for_each(|e| e.at = Duration::ZERO);
     }
 
@@ -254,10 +255,10 @@
         let mut recorder = Recorder::new(Instant::now());
         recorder.most = 3;
         for i in 0..5 {
-            recorder.note(What::Dialled { from: Node::Gatherer(i), to: Node::Server(1) });
+            recorder.record(EventKind::Dialled { from: Node::Gatherer(i), to: Node::Server(1) });
         }
         let history = recorder.take();
-        assert_eq!((history.events.len(), history.left_out), (3, 2));
+        assert_eq!((history.events.len(), history.dropped_count), (3, 2));
         assert!(history.events.is_sorted_by_key(|e| e.at));
         let mut text = Vec::new();
         history.write(&mut text).expect("written");
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::discovery::Trouble;
-use crate::faults::Manner;
-use crate::links::{Fault, Way};
+use crate::discovery::ListFault;
+use crate::faults::Behaviour;
+use crate::links::{Direction, Fault};
 use crate::node::Kind;
-use crate::script::{Act, Doing, Rehearsal, Select, VERTICALS};
+use crate::script::{Action, NodeSelector, Rehearsal, ScheduledAction, VERTICALS};
 
 /// Acts of a drawn script at the most.
 const ACTS_MOST: usize = 6;
@@ -37,17 +37,17 @@
 /// Acts on an owner and on keepers last up to so long: some leases.
 const FLEET_LAST_MS: std::ops::Range<u64> = 100..6000;
 
-fn some(rng: &mut fastrand::Rng, kind: Kind) -> Select {
+fn some(rng: &mut fastrand::Rng, kind: Kind) -> NodeSelector {
     let share = [0.125, 0.25, 0.5, 0.75, 1.0][rng.usize(..5)];
     let from = if share < 1.0 { (1.0 - share) * rng.f64() } else { 0.0 };
-    Select { kind, from, share, zone: (rng.u8(..4) == 0).then(|| rng.u16(..2)) }
+    NodeSelector { kind, from, share, zone: (rng.u8(..4) == 0).then(|| rng.u16(..2)) }
 }
 
-fn link(rng: &mut fastrand::Rng, for_ms: u64) -> Doing {
+fn link(rng: &mut fastrand::Rng, for_ms: u64) -> Action {
     let gatherers = some(rng, Kind::Gatherers);
     let (from, to) = match rng.u8(..6) {
-        0 => (Select { kind: Kind::Clients, from: 0.0, share: 1.0, zone: None }, gatherers),
-        1 => (gatherers, Select { kind: Kind::List, from: 0.0, share: 1.0, zone: None }),
+        0 => (NodeSelector { kind: Kind::Clients, from: 0.0, share: 1.0, zone: None }, gatherers),
+        1 => (gatherers, NodeSelector { kind: Kind::List, from: 0.0, share: 1.0, zone: None }),
         _ => (gatherers, some(rng, Kind::Servers)),
     };
     let fault = match rng.u8(..7) {
@@ -57,69 +57,74 @@
         5 => Fault::Late { ms: rng.u64(10..1000), spread_ms: rng.u64(..300) },
         _ => Fault::Slow { bytes_a_second: rng.u64(200..20_000) },
     };
-    let way = [Way::Both, Way::There, Way::Back][rng.usize(..3)];
-    Doing::Link { from, to, way, fault, for_ms, dropped: rng.bool() }
+    let way = [Direction::Both, Direction::There, Direction::Back][rng.usize(..3)];
+    Action::Link { from, to, way, fault, for_ms, dropped: rng.bool() }
 }
 
-fn doing(rng: &mut fastrand::Rng) -> Doing {
+fn action(rng: &mut fastrand::Rng) -> Action {
     let for_ms = rng.u64(LAST_MS);
     let gatherers = some(rng, Kind::Gatherers);
     let servers = some(rng, Kind::Servers);
     match rng.u8(..16) {
         0..5 => link(rng, for_ms),
-        5..7 => Doing::Stop { who: gatherers, for_ms },
-        7..9 => Doing::Restart { who: gatherers, after_ms: for_ms / 2, kept: rng.bool(), softly: rng.bool() },
+        5..7 => Action::Stop { who: gatherers, for_ms },
+        7..9 => {
+            Action::Restart { who: gatherers, after_ms: for_ms / 2, kept: rng.bool(), softly: rng.bool() }
+        }
         9..11 => {
             let late = Duration::from_millis(rng.u64(50..900));
             let manners = [
-                Manner::Slow(late),
-                Manner::Silent,
-                Manner::Failing,
-                Manner::Full,
-                Manner::Cut,
-                Manner::HoldsLast,
-                Manner::Half,
+                Behaviour::Slow(late),
+                Behaviour::Silent,
+                Behaviour::Failing,
+                Behaviour::Full,
+                Behaviour::Cut,
+                Behaviour::HoldsLast,
+                Behaviour::Half,
             ];
             let vertical = rng.bool().then(|| VERTICALS[rng.usize(..VERTICALS.len())].0.to_owned());
-            Doing::Server { who: servers, vertical, manner: manners[rng.usize(..manners.len())], for_ms }
+            Action::Server { who: servers, vertical, manner: manners[rng.usize(..manners.len())], for_ms }
         }
         11..13 => {
             let troubles = [
-                Trouble::Hangs,
-                Trouble::Sorry,
-                Trouble::Late { ms: for_ms / 2 },
-                Trouble::Old,
-                Trouble::Halved,
-                Trouble::Back { by: 3 },
-                Trouble::Torn,
+                ListFault::Hangs,
+                ListFault::Sorry,
+                ListFault::Late { ms: for_ms / 2 },
+                ListFault::Old,
+                ListFault::Halved,
+                ListFault::Back { by: 3 },
+                ListFault::Torn,
             ];
             let who = rng.bool().then_some(gatherers);
-            Doing::List { who, trouble: troubles[rng.usize(..troubles.len())], for_ms }
+            Action::List { who, trouble: troubles[rng.usize(..troubles.len())], for_ms }
         }
-        13 => Doing::Drain { who: Select { share: servers.share.min(0.5), ..servers }, for_ms },
-        14 => Doing::Cold { who: servers },
+        13 => Action::Drain { who: NodeSelector { share: servers.share.min(0.5), ..servers }, for_ms },
+        14 => Action::Cold { who: servers },
         _ => match rng.bool() {
-            true => Doing::Burst { times: 1.0 + 4.0 * rng.f64(), for_ms },
-            false => Doing::Rush { queries: rng.u32(1..20) },
+            true => Action::Burst { times: 1.0 + 4.0 * rng.f64(), for_ms },
+            false => Action::Rush { queries: rng.u32(1..20) },
         },
     }
 }
 
 /// An act on who owns, or on those who keep that.
-fn on_the_fleet(rng: &mut fastrand::Rng) -> Doing {
+fn on_the_fleet(rng: &mut fastrand::Rng) -> Action {
     let for_ms = rng.u64(FLEET_LAST_MS);
-    let all = |kind| Select { kind, from: 0.0, share: 1.0, zone: None };
-    let keepers = Select { zone: None, ..some(rng, Kind::Keepers) };
+    let all = |kind| NodeSelector { kind, from: 0.0, share: 1.0, zone: None };
+    let keepers = NodeSelector { zone: None, ..some(rng, Kind::Keepers) };
     let who = [all(Kind::Owner), all(Kind::Owner), some(rng, Kind::Gatherers), keepers.clone()];
     let who = who[rng.usize(..4)].clone();
     match rng.u8(..8) {
-        0..3 => Doing::Stop { who, for_ms },
-        3 => Doing::Restart { who, after_ms: for_ms / 4, kept: true, softly: rng.bool() },
+        0..3 => Action::Stop { who, for_ms },
+        3 => Action::Restart { who, after_ms: for_ms / 4, kept: true, softly: rng.bool() },
         _ => {
             let late = Fault::Late { ms: rng.u64(10..1600), spread_ms: rng.u64(..500) };
             let faults = [Fault::Silent, Fault::Silent, Fault::Reset, Fault::Refused, late];
-            let (fault, way) = (faults[rng.usize(..5)], [Way::Both, Way::There, Way::Back][rng.usize(..3)]);
-            Doing::Link { from: who, to: keepers, way, fault, for_ms, dropped: rng.bool() }
+            let (fault, way) = (
+                faults[rng.usize(..5)],
+                [Direction::Both, Direction::There, Direction::Back][rng.usize(..3)],
+            );
+            Action::Link { from: who, to: keepers, way, fault, for_ms, dropped: rng.bool() }
         }
     }
 }
@@ -133,19 +138,19 @@
     rehearsal.act = (0..count)
         .map(|_| {
             let (at_ms, spread_ms) = (rng.u64(BEGIN_MS), rng.u64(..1500));
-            let doing = if keepers && rng.bool() { on_the_fleet(&mut rng) } else { doing(&mut rng) };
-            Act { at_ms, spread_ms, doing }
+            let action = if keepers && rng.bool() { on_the_fleet(&mut rng) } else { action(&mut rng) };
+            ScheduledAction { at_ms, spread_ms, action }
         })
         .collect();
     rehearsal.checked()
 }
 
 /// The same act for half as long, where it lasts.
-fn shorter(act: &Act) -> Option<Act> {
+fn shorter(act: &ScheduledAction) -> Option<ScheduledAction> {
     let mut act = act.clone();
-    let lasts = match &mut act.doing {
-        Doing::Stop { for_ms, .. } | Doing::Link { for_ms, .. } | Doing::Server { for_ms, .. } => for_ms,
-        Doing::List { for_ms, .. } | Doing::Drain { for_ms, .. } | Doing::Burst { for_ms, .. } => for_ms,
+    let lasts = match &mut act.action {
+        Action::Stop { for_ms, .. } | Action::Link { for_ms, .. } | Action::Server { for_ms, .. } => for_ms,
+        Action::List { for_ms, .. } | Action::Drain { for_ms, .. } | Action::Burst { for_ms, .. } => for_ms,
         _ => return None,
     };
     *lasts /= 2;
@@ -153,7 +158,9 @@
 }
 
 /// Cuts acts out, then shortens those that are left, as long as what is left still breaks something.
-pub async fn cut_down(mut acts: Vec<Act>, mut breaks: impl AsyncFnMut(&[Act]) -> bool) -> Vec<Act> {
+pub async fn shrink(
+    mut acts: Vec<ScheduledAction>, mut breaks: impl AsyncFnMut(&[ScheduledAction]) -> bool,
+) -> Vec<ScheduledAction> {
     let mut at = 0;
     while at < acts.len() && acts.len() > 1 {
         let mut fewer = acts.clone();
@@ -194,7 +201,7 @@
             assert_eq!(Rehearsal::read(&text).expect("and read").act, rehearsal.act);
             for act in &rehearsal.act {
                 kinds.insert(
-                    format!("{:?}", act.doing).split([' ', '{']).next().unwrap_or_default().to_owned(),
+                    format!("{:?}", act.action).split([' ', '{']).next().unwrap_or_default().to_owned(),
                 );
             }
         }
@@ -204,22 +211,25 @@
 
     #[tokio::test]
     async fn what_is_not_needed_is_cut_out_and_what_is_left_is_shortened() {
-        let acts: Vec<Act> = (0..8).flat_map(|seed| draw(seed, false).expect("it").act).collect();
-        let who = Select { kind: Kind::Gatherers, from: 0.0, share: 0.5, zone: None };
-        let stop = Act { at_ms: 700, spread_ms: 0, doing: Doing::Stop { who: who.clone(), for_ms: 3200 } };
-        let kill = Act { at_ms: 900, spread_ms: 0, doing: Doing::Kill { who } };
+        let acts: Vec<ScheduledAction> = (0..8).flat_map(|seed| draw(seed, false).expect("it").act).collect();
+        let who = NodeSelector { kind: Kind::Gatherers, from: 0.0, share: 0.5, zone: None };
+        let stop = ScheduledAction {
+            at_ms: 700,
+            spread_ms: 0,
+            action: Action::Stop { who: who.clone(), for_ms: 3200 },
+        };
+        let kill = ScheduledAction { at_ms: 900, spread_ms: 0, action: Action::Kill { who } };
         let mut all = acts.clone();
         all.insert(3, stop);
         all.push(kill.clone());
         let mut tries = 0;
-        let least = cut_down(all, async |acts: &[Act]| {
+        let least = shrink(all, async |acts: &[ScheduledAction]| {
             tries += 1;
-            let stopped =
-                |a: &Act| matches!(a.doing, Doing::Stop { for_ms, .. } if for_ms >= 800 && a.at_ms == 700);
+            let stopped = |a: &ScheduledAction| matches!(a.action, Action::Stop { for_ms, .. } if for_ms >= 800 && a.at_ms == 700);
             acts.iter().any(stopped) && acts.contains(&kill)
         });
         let least = least.await;
         assert_eq!(least.len(), 2, "{least:?}");
-        assert!(matches!(least[0].doing, Doing::Stop { for_ms: 800, .. }) && least[1] == kill);
+        assert!(matches!(least[0].action, Action::Stop { for_ms: 800, .. }) && least[1] == kill);
     }
 }
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::history::{Recorder, What};
+use crate::history::{EventKind, Recorder};
 use crate::node::Node;
 
 /// Bytes that are passed on at once, and how many such pieces a direction holds: the rest waits in the sockets.
@@ -31,7 +31,7 @@
 /// Which direction is hit: from the one who dials, to it, or both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Way {
+pub enum Direction {
     #[default]
     Both,
     There,
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 struct Hit {
     number: usize,
-    way: Way,
+    way: Direction,
     fault: Fault,
 }
 
@@ -70,20 +70,20 @@
 }
 
 impl Rules {
-    fn find<T>(&self, way: Way, which: impl Fn(Fault) -> Option<T>) -> Option<T> {
-        let meets = |hit: &&Hit| way == Way::Both || hit.way == Way::Both || hit.way == way;
+    fn find<T>(&self, way: Direction, which: impl Fn(Fault) -> Option<T>) -> Option<T> {
+        let meets = |hit: &&Hit| way == Direction::Both || hit.way == Direction::Both || hit.way == way;
         self.hits.iter().filter(meets).find_map(|hit| which(hit.fault))
     }
 
-    fn silent(&self, way: Way) -> bool {
+    fn silent(&self, way: Direction) -> bool {
         self.find(way, |f| (f == Fault::Silent).then_some(())).is_some()
     }
 
     fn refuses(&self) -> bool {
-        self.find(Way::Both, |f| (f == Fault::Refused).then_some(())).is_some()
+        self.find(Direction::Both, |f| (f == Fault::Refused).then_some(())).is_some()
     }
 
-    fn late(&self, way: Way) -> Duration {
+    fn late(&self, way: Direction) -> Duration {
         let late = self.find(way, |f| match f {
             Fault::Late { ms, spread_ms } => Some((ms, spread_ms)),
             _ => None,
@@ -91,7 +91,7 @@
         late.map_or(Duration::ZERO, |(ms, spread)| Duration::from_millis(ms + fastrand::u64(..=spread)))
     }
 
-    fn takes(&self, way: Way, bytes: usize) -> Duration {
+    fn takes(&self, way: Direction, bytes: usize) -> Duration {
         let rate = self.find(way, |f| match f {
             Fault::Slow { bytes_a_second } => Some(bytes_a_second.max(1)),
             _ => None,
@@ -101,13 +101,13 @@
 }
 
 /// Connections for a stand-in of this process: who dialled, and the stream.
-pub type Dials = mpsc::UnboundedSender<(Node, DuplexStream)>;
+pub type ConnectionSender = mpsc::UnboundedSender<(Node, DuplexStream)>;
 
 /// Where a link leads.
 #[derive(Clone)]
-pub enum Far {
+pub enum Target {
     Process(Arc<Mutex<SocketAddr>>),
-    Within(Dials),
+    Within(ConnectionSender),
 }
 
 /// One node's way to another.
@@ -117,7 +117,7 @@
     /// Where `from` dials.
     pub address: SocketAddr,
     rules: watch::Sender<Rules>,
-    far: Far,
+    far: Target,
     recorder: Recorder,
     listener: Mutex<Option<TcpListener>>,
 }
@@ -144,7 +144,7 @@
 
 /// Passes on what comes one way, until it ends.
 async fn pump(
-    mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, way: Way,
+    mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, way: Direction,
     rules: watch::Receiver<Rules>, sent: &std::sync::atomic::AtomicU64,
 ) -> io::Result<()> {
     let (queue, mut held) = mpsc::channel::<(Instant, Bytes)>(PIECES_HELD);
@@ -183,21 +183,21 @@
 }
 
 /// Waits until a direction is not silent.
-async fn heard(rules: &mut watch::Receiver<Rules>, way: Way) {
+async fn heard(rules: &mut watch::Receiver<Rules>, way: Direction) {
     let _ = rules.wait_for(|rules| !rules.silent(way)).await;
 }
 
 impl Link {
     /// A way from one to another, on a port of `from`'s own address that is asked for.
-    pub fn new(from: Node, to: Node, far: Far, recorder: Recorder) -> io::Result<Link> {
+    pub fn new(from: Node, to: Node, far: Target, recorder: Recorder) -> io::Result<Link> {
         let listener = listen((from.address(), 0).into())?;
         let (address, rules) = (listener.local_addr()?, watch::Sender::new(Rules::default()));
         Ok(Link { from, to, address, rules, far, recorder, listener: Mutex::new(Some(listener)) })
     }
 
     /// A fault begins. `number` tells it from others that hold at the same time.
-    pub fn hit(&self, number: usize, way: Way, fault: Fault) {
-        self.recorder.note(What::Faulted { from: self.from, to: self.to });
+    pub fn hit(&self, number: usize, way: Direction, fault: Fault) {
+        self.recorder.record(EventKind::Faulted { from: self.from, to: self.to });
         self.rules.send_modify(|rules| match fault {
             Fault::Reset => rules.cuts += 1,
             _ => rules.hits.push(Hit { number, way, fault }),
@@ -210,7 +210,7 @@
             rules.hits.retain(|hit| hit.number != number);
             rules.cuts += u64::from(dropped);
         });
-        self.recorder.note(What::Mended { from: self.from, to: self.to });
+        self.recorder.record(EventKind::Mended { from: self.from, to: self.to });
     }
 
     /// Serves for good.
@@ -221,7 +221,7 @@
         loop {
             let (refuses, silent) = {
                 let rules = rules.borrow_and_update();
-                (rules.refuses(), rules.silent(Way::There))
+                (rules.refuses(), rules.silent(Direction::There))
             };
             if refuses {
                 (listener, fillers) = (None, Vec::new());
@@ -265,17 +265,17 @@
     }
 
     async fn carry(self: Arc<Self>, near: TcpStream) {
-        self.recorder.note(What::Dialled { from: self.from, to: self.to });
+        self.recorder.record(EventKind::Dialled { from: self.from, to: self.to });
         let sent = std::sync::atomic::AtomicU64::new(0);
         let _ = near.set_nodelay(true);
         match &self.far {
-            Far::Within(dials) => {
+            Target::Within(dials) => {
                 let (ours, theirs) = tokio::io::duplex(4 * PIECE);
                 if dials.send((self.from, theirs)).is_ok() {
                     self.join(near, ours, |_| {}, &sent).await;
                 }
             }
-            Far::Process(address) => {
+            Target::Process(address) => {
                 let address = *address.lock().unwrap_or_else(PoisonError::into_inner);
                 let far = async {
                     let socket = TcpSocket::new_v4()?;
@@ -294,7 +294,7 @@
             }
         }
         let bytes = sent.into_inner();
-        self.recorder.note(What::Hung { from: self.from, to: self.to, bytes });
+        self.recorder.record(EventKind::Hung { from: self.from, to: self.to, bytes });
     }
 
     /// Joins two streams until both directions have ended, one is broken or the rules cut them.
@@ -307,8 +307,8 @@
         let well = {
             let (near_read, near_write) = near.split();
             let (far_read, far_write) = tokio::io::split(&mut far);
-            let there = pump(near_read, far_write, Way::There, rules.clone(), sent);
-            let back = pump(far_read, near_write, Way::Back, rules.clone(), &back);
+            let there = pump(near_read, far_write, Direction::There, rules.clone(), sent);
+            let back = pump(far_read, near_write, Direction::Back, rules.clone(), &back);
             tokio::select! {
                 ended = async { tokio::try_join!(there, back) } => ended.is_ok(),
                 _ = rules.wait_for(|rules| rules.cuts > cuts) => false,
@@ -338,7 +338,8 @@
                 });
             }
         });
-        let link = Link::new(Node::Gatherer(number), Node::Server(0), Far::Within(dials), recorder.clone());
+        let link =
+            Link::new(Node::Gatherer(number), Node::Server(0), Target::Within(dials), recorder.clone());
         let link = Arc::new(link.expect("a port"));
         tokio::spawn(link.clone().run());
         (link, recorder)
@@ -363,7 +364,7 @@
             let (link, _) = link(number).await;
             let mut open = dial(&link).await.expect("up");
             assert!(echoes(&mut open).await);
-            link.hit(1, Way::Both, Fault::Silent);
+            link.hit(1, Direction::Both, Fault::Silent);
             assert!(!echoes(&mut open).await, "bytes are held");
             assert!(dial(&link).await.is_none(), "no connection comes up");
             link.mend(1, dropped);
@@ -382,22 +383,22 @@
     async fn one_way_reset_refused_late_and_slow() {
         let (link, _) = link(602).await;
         let mut open = dial(&link).await.expect("up");
-        link.hit(1, Way::Back, Fault::Silent);
+        link.hit(1, Direction::Back, Fault::Silent);
         assert!(!echoes(&mut open).await, "there, but not back");
         assert!(dial(&link).await.is_some(), "what is said there is heard");
         link.mend(1, false);
         let mut byte = [0];
         open.read_exact(&mut byte).await.expect("what was held");
-        link.hit(2, Way::There, Fault::Late { ms: 80, spread_ms: 10 });
+        link.hit(2, Direction::There, Fault::Late { ms: 80, spread_ms: 10 });
         let began = Instant::now();
         assert!(echoes(&mut open).await && began.elapsed() >= Duration::from_millis(80));
         link.mend(2, false);
-        link.hit(3, Way::There, Fault::Slow { bytes_a_second: 10 });
+        link.hit(3, Direction::There, Fault::Slow { bytes_a_second: 10 });
         let began = Instant::now();
         assert!(echoes(&mut open).await && echoes(&mut open).await);
         assert!(began.elapsed() >= Duration::from_millis(90));
         link.mend(3, false);
-        link.hit(4, Way::Both, Fault::Refused);
+        link.hit(4, Direction::Both, Fault::Refused);
         let refused = async {
             while TcpStream::connect(link.address).await.is_ok() {
                 sleep(Duration::from_millis(5)).await;
@@ -406,7 +407,7 @@
         timeout(Duration::from_secs(5), refused).await.expect("refused");
         assert!(echoes(&mut open).await, "what is open goes on");
         link.mend(4, false);
-        link.hit(5, Way::Both, Fault::Reset);
+        link.hit(5, Direction::Both, Fault::Reset);
         let reset = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("an end");
         assert_eq!(reset.expect_err("reset").kind(), io::ErrorKind::ConnectionReset);
     }
@@ -424,7 +425,7 @@
         assert_eq!(words, b"last words");
         // The far side ends first.
         let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
-        let second = Link::new(Node::Gatherer(604), Node::Server(1), Far::Within(dials), recorder.clone());
+        let second = Link::new(Node::Gatherer(604), Node::Server(1), Target::Within(dials), recorder.clone());
         let second = Arc::new(second.expect("a port"));
         tokio::spawn(second.clone().run());
         let mut near = dial(&second).await.expect("up");
@@ -435,8 +436,9 @@
         timeout(Duration::from_secs(5), near.read_to_end(&mut words)).await.expect("an end").expect("whole");
         assert_eq!(words, b"bye");
         drop(near);
-        let hung =
-            || recorder.clone().take().events.iter().filter(|e| matches!(e.what, What::Hung { .. })).count();
+        let hung = || {
+            recorder.clone().take().events.iter().filter(|e| matches!(e.kind, EventKind::Hung { .. })).count()
+        };
         let mut seen = 0;
         for _ in 0..500 {
             seen += hung();
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -12,7 +12,7 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 
-use crate::history::{Recorder, What};
+use crate::history::{EventKind, Recorder};
 use crate::node::Node;
 
 /// Last lines of a log that are told where a process ends unasked.
@@ -40,27 +40,27 @@
 
 /// What may happen to a process at a moment, apart from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ProcessAction {
     Term,
     Kill,
     Stop,
     Wake,
 }
 
-impl Act {
+impl ProcessAction {
     fn signal(self) -> (Signal, &'static str) {
         match self {
-            Act::Term => (Signal::TERM, "TERM"),
-            Act::Kill => (Signal::KILL, "KILL"),
-            Act::Stop => (Signal::STOP, "STOP"),
-            Act::Wake => (Signal::CONT, "CONT"),
+            ProcessAction::Term => (Signal::TERM, "TERM"),
+            ProcessAction::Kill => (Signal::KILL, "KILL"),
+            ProcessAction::Stop => (Signal::STOP, "STOP"),
+            ProcessAction::Wake => (Signal::CONT, "CONT"),
         }
     }
 }
 
 /// How one is started.
 #[derive(Clone)]
-pub struct How {
+pub struct LaunchSpec {
     /// A program that passes [`LAUNCH`] on to [`launch`].
     pub launcher: PathBuf,
     pub program: PathBuf,
@@ -78,7 +78,7 @@
     wanted: Arc<AtomicBool>,
     last: Arc<Mutex<VecDeque<String>>>,
     /// Told of an end that nobody asked for: the words for it.
-    unasked: tokio::sync::mpsc::UnboundedSender<String>,
+    unexpected_exits: tokio::sync::mpsc::UnboundedSender<String>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -87,7 +87,7 @@
 
 impl Process {
     pub fn new(
-        node: Node, recorder: Recorder, unasked: tokio::sync::mpsc::UnboundedSender<String>,
+        node: Node, recorder: Recorder, unexpected_exits: tokio::sync::mpsc::UnboundedSender<String>,
     ) -> Process {
         let running = watch::Sender::new(false);
         Process {
@@ -97,7 +97,7 @@
             running,
             wanted: Arc::default(),
             last: Arc::default(),
-            unasked,
+            unexpected_exits,
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Starts it. To be called on the thread that lasts as long as the rig: the child dies with that one.
-    pub fn start(&self, how: &How) -> Result<(), String> {
+    pub fn start(&self, how: &LaunchSpec) -> Result<(), String> {
         let mut command = Command::new(&how.launcher);
         command.arg(LAUNCH).arg(std::process::id().to_string()).arg(&how.program).args(&how.arguments);
         for name in ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_DISCOVERY"] {
@@ -118,7 +118,7 @@
         *locked(&self.pid) = child.id().and_then(|id| Pid::from_raw(id as i32));
         self.wanted.store(false, Ordering::SeqCst);
         self.running.send_replace(true);
-        self.recorder.note(What::Started { node: self.node });
+        self.recorder.record(EventKind::Started { node: self.node });
         let log = child.stderr.take();
         tokio::spawn(Self::read_log(log, self.node, self.recorder.clone(), self.last.clone()));
         tokio::spawn(self.watch(child));
@@ -137,7 +137,7 @@
             kept.truncate(LAST_LINES - 1);
             kept.push_front(line.clone());
             drop(kept);
-            recorder.note(said(node, &line).unwrap_or(What::Logged { node, line }));
+            recorder.record(said(node, &line).unwrap_or(EventKind::Logged { node, line }));
         }
     }
 
@@ -145,7 +145,8 @@
     fn watch(&self, mut child: Child) -> impl Future<Output = ()> + use<> {
         let (node, recorder, pid, running) =
             (self.node, self.recorder.clone(), self.pid.clone(), self.running.clone());
-        let (wanted, last, unasked) = (self.wanted.clone(), self.last.clone(), self.unasked.clone());
+        let (wanted, last, unexpected_exits) =
+            (self.wanted.clone(), self.last.clone(), self.unexpected_exits.clone());
         async move {
             let status = child.wait().await;
             *locked(&pid) = None;
@@ -153,12 +154,12 @@
                 Ok(status) => (status.success(), status.to_string()),
                 Err(e) => (false, e.to_string()),
             };
-            recorder.note(What::Exited { node, well, status: words.clone() });
+            recorder.record(EventKind::Exited { node, well, status: words.clone() });
             if !wanted.load(Ordering::SeqCst) {
                 // Its last lines may still be on their way through the pipe.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 let lines: Vec<String> = locked(&last).iter().rev().cloned().collect();
-                let _ = unasked
+                let _ = unexpected_exits
                     .send(format!("{node} ended by itself ({words}); its last lines:\n{}", lines.join("\n")));
             }
             running.send_replace(false);
@@ -166,12 +167,12 @@
     }
 
     /// Sends a signal, where it runs.
-    pub fn act(&self, act: Act) {
+    pub fn act(&self, act: ProcessAction) {
         let pid = locked(&self.pid);
         let Some(pid) = *pid else { return };
         let (signal, name) = act.signal();
-        self.recorder.note(What::Signalled { node: self.node, signal: name });
-        if matches!(act, Act::Term | Act::Kill) {
+        self.recorder.record(EventKind::Signalled { node: self.node, signal: name });
+        if matches!(act, ProcessAction::Term | ProcessAction::Kill) {
             self.wanted.store(true, Ordering::SeqCst);
         }
         let _ = kill_process(pid, signal);
@@ -181,36 +182,36 @@
     pub async fn ended(&self) {
         let mut running = self.running.subscribe();
         if tokio::time::timeout(END_MOST, running.wait_for(|r| !r)).await.is_err() {
-            self.act(Act::Kill);
+            self.act(ProcessAction::Kill);
             let _ = running.wait_for(|r| !r).await;
         }
     }
 
     /// Processor time that it has used since its start.
-    pub fn processor(&self) -> Option<Duration> {
-        processor(format!("/proc/{}/stat", locked(&self.pid).as_ref()?.as_raw_pid()))
+    pub fn cpu_time(&self) -> Option<Duration> {
+        cpu_time(format!("/proc/{}/stat", locked(&self.pid).as_ref()?.as_raw_pid()))
     }
 }
 
 /// What a line of a process's log says of duties, if it is about them.
-fn said(node: Node, line: &str) -> Option<What> {
+fn said(node: Node, line: &str) -> Option<EventKind> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let duty = || Some(line["duty"].as_str()?.to_owned());
     if let Some(place) = line["at"].as_u64() {
         let (epoch, wrote) = (line["holds"]["epoch"].as_u64()?, line["reply"]["written"]["version"].as_u64());
-        return Some(What::Agreed { node, place, duty: duty()?, epoch, wrote });
+        return Some(EventKind::Agreed { node, place, duty: duty()?, epoch, wrote });
     }
     match line["words"].as_str()? {
-        "owns" => Some(What::Owns { node, duty: duty()?, epoch: line["epoch"].as_u64()? }),
-        "gives up" => Some(What::GaveUp { node, duty: duty()? }),
-        "follows" => Some(What::Follows { node, duty: duty()?, epoch: line["epoch"].as_u64()? }),
-        "roster" => Some(What::Counts { node, alive: line["alive"].as_u64()? as u32 }),
+        "owns" => Some(EventKind::Owns { node, duty: duty()?, epoch: line["epoch"].as_u64()? }),
+        "gives up" => Some(EventKind::GaveUp { node, duty: duty()? }),
+        "follows" => Some(EventKind::Follows { node, duty: duty()?, epoch: line["epoch"].as_u64()? }),
+        "roster" => Some(EventKind::Counts { node, alive: line["alive"].as_u64()? as u32 }),
         _ => None,
     }
 }
 
 /// Processor time in a `stat` file, which counts in hundredths of a second.
-pub fn processor(path: impl AsRef<Path>) -> Option<Duration> {
+pub fn cpu_time(path: impl AsRef<Path>) -> Option<Duration> {
     let stat = std::fs::read_to_string(path).ok()?;
     let mut fields = stat.rsplit_once(") ")?.1.split(' ').skip(11);
     let ticks = fields.next()?.parse::<u64>().ok()? + fields.next()?.parse::<u64>().ok()?;
@@ -226,9 +227,9 @@
         let (g, k) = (Node::Gatherer(3), Node::Keeper(1));
         let owns =
             said(g, r#"{"at_ms":1,"name":"g3","level":"INFO","words":"owns","duty":"roster","epoch":4}"#);
-        assert_eq!(owns, Some(What::Owns { node: g, duty: "roster".into(), epoch: 4 }));
+        assert_eq!(owns, Some(EventKind::Owns { node: g, duty: "roster".into(), epoch: 4 }));
         let line = r#"{"at":9,"duty":"roster","holds":{"owner":"x","epoch":4,"beat":2},"reply":{"written":{"version":7}}}"#;
-        let agreed = What::Agreed { node: k, place: 9, duty: "roster".into(), epoch: 4, wrote: Some(7) };
+        let agreed = EventKind::Agreed { node: k, place: 9, duty: "roster".into(), epoch: 4, wrote: Some(7) };
         assert_eq!(said(k, line), Some(agreed));
         assert_eq!(said(g, r#"{"words":"goes on","phase":"Ready"}"#), None);
         assert_eq!(said(g, "not JSON"), None);
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -14,15 +14,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::checks::{self, Broken};
-use crate::clients::{self, Ask};
+use crate::checks::{self, Violation};
+use crate::clients::{self, ClientQuery};
 use crate::discovery::{Discovery, Member};
 use crate::figures::{self, Figures};
-use crate::history::{End, History, Recorder, What};
-use crate::links::{Far, Link};
+use crate::history::{End, EventKind, History, Recorder};
+use crate::links::{Link, Target};
 use crate::node::Node;
-use crate::process::{Act, How, Process, processor};
-use crate::script::{Plan, Planned, Rehearsal, Step, VERTICALS};
+use crate::process::{LaunchSpec, Process, ProcessAction, cpu_time};
+use crate::script::{Plan, PlannedQuery, Rehearsal, Step, VERTICALS};
 use crate::shards::{self, Server};
 
 /// Time for a warm fleet to be ready before its clock starts.
@@ -46,7 +46,7 @@
 const DESCRIPTORS: u64 = 200;
 const DESCRIPTORS_EACH: u64 = 10;
 /// Clients that were to ask at a moment and did so later than this, one in a hundred: the run is not measured.
-pub const LAG_MOST_MS: f64 = 100.0;
+pub const MAX_LAG_MS: f64 = 100.0;
 
 /// How a rehearsal is to be played.
 #[derive(Clone)]
@@ -74,9 +74,9 @@
     pub history: History,
     pub figures: Figures,
     pub bounds: Vec<Bound>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// What ended unasked, with its last lines.
-    pub unasked: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// Why the run does not count, where it does not.
     pub not_measured: Option<String>,
 }
@@ -155,7 +155,7 @@
 
 impl Rig {
     fn new(
-        rehearsal: Rehearsal, options: Options, unasked: mpsc::UnboundedSender<String>,
+        rehearsal: Rehearsal, options: Options, unexpected_exits: mpsc::UnboundedSender<String>,
     ) -> Result<Arc<Rig>, String> {
         let io = |e: std::io::Error| e.to_string();
         let recorder = Recorder::new(Instant::now());
@@ -174,11 +174,14 @@
         let mut keepers = Vec::new();
         for node in (0..rehearsal.keepers).map(Node::Keeper) {
             let listen = Arc::new(Mutex::new(free(node).map_err(io)?));
-            keepers.push(Keeper { process: Process::new(node, recorder.clone(), unasked.clone()), listen });
+            keepers.push(Keeper {
+                process: Process::new(node, recorder.clone(), unexpected_exits.clone()),
+                listen,
+            });
         }
         let to_keepers = |from: Node, links: &mut BTreeMap<(Node, Node), Arc<Link>>| {
             for keeper in keepers.iter().filter(|keeper| keeper.process.node != from) {
-                let (to, far) = (keeper.process.node, Far::Process(keeper.listen.clone()));
+                let (to, far) = (keeper.process.node, Target::Process(keeper.listen.clone()));
                 let link = Arc::new(Link::new(from, to, far, recorder.clone()).map_err(io)?);
                 links.insert((from, to), link.clone());
                 tokio::spawn(link.run());
@@ -190,20 +193,20 @@
         }
         for g in (0..rehearsal.gatherers).map(Node::Gatherer) {
             to_keepers(g, &mut links)?;
-            let mut link = |from: Node, to: Node, far: Far| {
+            let mut link = |from: Node, to: Node, far: Target| {
                 let link = Arc::new(Link::new(from, to, far, recorder.clone()).map_err(io)?);
                 links.insert((from, to), link.clone());
                 tokio::spawn(link.clone().run());
                 Ok::<_, String>(link)
             };
-            link(g, Node::List, Far::Within(list.clone()))?;
+            link(g, Node::List, Target::Within(list.clone()))?;
             for (i, dials) in (0..).zip(&dials) {
-                let address = link(g, Node::Server(i), Far::Within(dials.clone()))?.address;
+                let address = link(g, Node::Server(i), Target::Within(dials.clone()))?.address;
                 known.insert((g, i), address);
             }
             let listen = Arc::new(Mutex::new(free(g).map_err(io)?));
-            let link = link(Node::Clients, g, Far::Process(listen.clone()))?;
-            let process = Process::new(g, recorder.clone(), unasked.clone());
+            let link = link(Node::Clients, g, Target::Process(listen.clone()))?;
+            let process = Process::new(g, recorder.clone(), unexpected_exits.clone());
             let (taken_in, ready) = (AtomicBool::new(false), AtomicBool::new(false));
             gatherers.push(Gatherer { process, listen, link, taken_in, ready });
         }
@@ -218,7 +221,7 @@
             up_since_ms: 0,
         };
         let members: Vec<Member> = (0..rehearsal.servers).map(member).collect();
-        discovery.tell_typed(|list| *list = members);
+        discovery.update_members(|list| *list = members);
         let lag = Mutex::new(Histogram::new(3).map_err(|e| e.to_string())?);
         Ok(Arc::new(Rig {
             rehearsal,
@@ -263,7 +266,7 @@
                     "follow_up": [0, 0, 0], "parts_a_call": 8, "positions": r.cells, "ranges": r.shards,
                     "span": r.span, "overhead_us": (model.call_ms * 1e3) as u64},
                 "policy_limits": {"dial_timeout_us": 250_000, "keepalive_us": 15_000_000,
-                    "max_attempts": checks::CALLS_MOST, "max_retry_after_us": 500_000, "may_cancel": true,
+                    "max_attempts": checks::MAX_LEAF_CALLS, "max_retry_after_us": 500_000, "may_cancel": true,
                     "most_held": 20_000, "multiplex": 32, "retry_after": true, "second_copies": true},
                 "rules": {"cold_from": model.cold_from, "cold_us": model.cold_ms * 1000,
                     "drain_grace_us": 250_000, "fall_us": model.fall_ms * 1000,
@@ -330,7 +333,7 @@
             }
             _ => return Ok(()),
         };
-        let how = How { launcher: self.options.launcher.clone(), program, arguments, variables };
+        let how = LaunchSpec { launcher: self.options.launcher.clone(), program, arguments, variables };
         self.process(node).map_or(Ok(()), |process| process.start(&how))
     }
 
@@ -355,7 +358,7 @@
                 let body = http_body_util::BodyExt::collect(answer.into_body()).await;
                 let calls = body.ok().and_then(|body| serde_json::from_slice(&body.to_bytes()).ok());
                 let node = keeper.process.node;
-                calls.into_iter().for_each(|calls| self.recorder.note(What::Called { node, calls }));
+                calls.into_iter().for_each(|calls| self.recorder.record(EventKind::Called { node, calls }));
             }
         }
     }
@@ -383,7 +386,7 @@
                 well = Instant::now();
                 gatherer.taken_in.store(true, Ordering::SeqCst);
                 if !gatherer.ready.swap(true, Ordering::SeqCst) {
-                    self.recorder.note(What::Ready { node: Node::Gatherer(index) });
+                    self.recorder.record(EventKind::Ready { node: Node::Gatherer(index) });
                 }
             } else if taken_in && (status.is_some() || well.elapsed() >= notice) {
                 gatherer.taken_in.store(false, Ordering::SeqCst);
@@ -392,7 +395,9 @@
     }
 
     fn step(self: &Arc<Self>, step: Step, started: &mpsc::UnboundedSender<(Node, bool)>) {
-        let act = |node: Node, act: Act| self.process(node).into_iter().for_each(|process| process.act(act));
+        let act = |node: Node, act: ProcessAction| {
+            self.process(node).into_iter().for_each(|process| process.act(act))
+        };
         // Who owned the duty when the act began is who it ends for.
         let owner = |number: usize, node: Node, begins: bool| {
             let mut hit = self.hit_owners.lock().unwrap_or_else(PoisonError::into_inner);
@@ -406,7 +411,7 @@
         };
         let server = |i: u16| &self.servers[usize::from(i)];
         let phase = |i: u16, phase: Option<&'static str>| {
-            self.discovery.tell_typed(|list| match phase {
+            self.discovery.update_members(|list| match phase {
                 Some(phase) => list.iter_mut().filter(|m| m.node == i).for_each(|m| m.phase = phase),
                 None => list.retain(|m| m.node != i),
             });
@@ -417,10 +422,10 @@
                 let node = owner(number, node, false);
                 tokio::spawn(self.clone().start_again(node, kept, started.clone()));
             }
-            Step::Term { number, node } => act(owner(number, node, true), Act::Term),
-            Step::Kill { number, node } => act(owner(number, node, true), Act::Kill),
-            Step::Stop { number, node } => act(owner(number, node, true), Act::Stop),
-            Step::Wake { number, node } => act(owner(number, node, false), Act::Wake),
+            Step::Term { number, node } => act(owner(number, node, true), ProcessAction::Term),
+            Step::Kill { number, node } => act(owner(number, node, true), ProcessAction::Kill),
+            Step::Stop { number, node } => act(owner(number, node, true), ProcessAction::Stop),
+            Step::Wake { number, node } => act(owner(number, node, false), ProcessAction::Wake),
             Step::Hit { number, from, to, way, fault } => {
                 let from = owner(number, from, true);
                 link(from, to).into_iter().for_each(|link| link.hit(number, way, fault));
@@ -441,7 +446,7 @@
                 server(i).restart();
                 let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
                 let now = unix.unwrap_or_default().as_millis() as u64;
-                self.discovery.tell_typed(|list| {
+                self.discovery.update_members(|list| {
                     list.iter_mut().filter(|m| m.node == i).for_each(|m| m.up_since_ms = now);
                 });
             }
@@ -449,7 +454,7 @@
     }
 
     /// One client's query with its further tries.
-    async fn query(self: Arc<Self>, planned: Planned) {
+    async fn query(self: Arc<Self>, planned: PlannedQuery) {
         let mut rng = fastrand::Rng::with_seed(planned.lot);
         let vertical = usize::from(planned.vertical);
         for attempt in 0..=self.rehearsal.retries {
@@ -459,11 +464,12 @@
                 .collect();
             let chosen = (!alive.is_empty()).then(|| alive[rng.usize(..alive.len())]);
             let node = chosen.map_or(Node::Clients, |i| Node::Gatherer(i as u16));
-            let asked = What::Asked { query: number, node, vertical: planned.vertical, retry: attempt > 0 };
-            self.recorder.note(asked);
+            let asked =
+                EventKind::Asked { query: number, node, vertical: planned.vertical, retry: attempt > 0 };
+            self.recorder.record(asked);
             let got = match chosen {
                 Some(i) => {
-                    let ask = Ask {
+                    let ask = ClientQuery {
                         id: format!("q{number}"),
                         vertical: VERTICALS[vertical].0,
                         tenant: "acme",
@@ -477,7 +483,7 @@
                 }
                 None => End::Unreached.into(),
             };
-            self.recorder.note(What::Ended { query: number, end: got.end, shards: got.shards });
+            self.recorder.record(EventKind::Ended { query: number, end: got.end, shards: got.shards });
             if matches!(got.end, End::Whole | End::Partial) {
                 self.answered.fetch_add(1, Ordering::Relaxed);
                 return;
@@ -485,12 +491,12 @@
             if !matches!(got.end, End::Rejected | End::Closed | End::Unreached) {
                 return;
             }
-            sleep(got.back_after.unwrap_or(AGAIN) + Duration::from_secs_f64(AGAIN_SPREAD * rng.f64())).await;
+            sleep(got.retry_after.unwrap_or(AGAIN) + Duration::from_secs_f64(AGAIN_SPREAD * rng.f64())).await;
         }
     }
 
     /// All queries, each at its time; what the schedule lags behind is noted.
-    async fn ask_all(self: Arc<Self>, queries: Vec<Planned>, start: Instant) {
+    async fn ask_all(self: Arc<Self>, queries: Vec<PlannedQuery>, start: Instant) {
         let mut out = JoinSet::new();
         for planned in queries {
             let due = start + planned.at;
@@ -525,7 +531,7 @@
     /// Kills all that still run.
     async fn end(&self) {
         let all = || self.gatherers.iter().map(|g| &g.process).chain(self.keepers.iter().map(|k| &k.process));
-        all().for_each(|process| process.act(Act::Kill));
+        all().for_each(|process| process.act(ProcessAction::Kill));
         for process in all() {
             process.ended().await;
         }
@@ -534,7 +540,7 @@
     /// Processor time of gatherers over the time, the most and the mean, in cores.
     fn gatherer_cores(&self, before: &[Option<Duration>], over: Duration, figures: &mut Figures) {
         let used = |(g, before): (&Gatherer, &Option<Duration>)| {
-            Some(g.process.processor()?.saturating_sub(before.unwrap_or_default()).as_secs_f64())
+            Some(g.process.cpu_time()?.saturating_sub(before.unwrap_or_default()).as_secs_f64())
         };
         let used: Vec<f64> = self.gatherers.iter().zip(before).filter_map(used).collect();
         let over = over.as_secs_f64().max(0.001);
@@ -565,8 +571,8 @@
 pub async fn play(rehearsal: &Rehearsal, options: &Options) -> Result<Outcome, String> {
     descriptors(rehearsal)?;
     std::fs::create_dir_all(&options.folder).map_err(|e| format!("{}: {e}", options.folder.display()))?;
-    let (unasked, mut ended) = mpsc::unbounded_channel();
-    let rig = Rig::new(rehearsal.clone(), options.clone(), unasked)?;
+    let (unexpected_exits, mut ended) = mpsc::unbounded_channel();
+    let rig = Rig::new(rehearsal.clone(), options.clone(), unexpected_exits)?;
     let (started, mut to_start) = mpsc::unbounded_channel();
     let mut fronts = JoinSet::new();
     (0..rehearsal.gatherers).for_each(|i| drop(fronts.spawn(rig.clone().front(i))));
@@ -584,8 +590,8 @@
         rig.recorder.zero();
     }
     let start = Instant::now();
-    let cpu_before: Vec<_> = rig.gatherers.iter().map(|g| g.process.processor()).collect();
-    let own_before = processor("/proc/self/stat").unwrap_or_default();
+    let cpu_before: Vec<_> = rig.gatherers.iter().map(|g| g.process.cpu_time()).collect();
+    let own_before = cpu_time("/proc/self/stat").unwrap_or_default();
     let mut asking = tokio::spawn(rig.clone().ask_all(plan.queries, start));
     let mut steps = plan.steps.into_iter().take_while(|(at, _)| *at < rehearsal.length()).peekable();
     let (mut words, mut asked, mut next_look) = (Vec::new(), false, start);
@@ -597,7 +603,7 @@
                 None => asked = true,
             },
             Some((node, kept)) = to_start.recv() => rig.start(node, kept)?,
-            Some(unasked) = ended.recv() => words.push(unasked),
+            Some(unexpected_exits) = ended.recv() => words.push(unexpected_exits),
             _ = &mut asking, if asked => break,
             () = sleep_until(next_look), if options.progress.is_some() => {
                 next_look += Duration::from_secs(1);
@@ -610,24 +616,24 @@
     let took = start.elapsed();
     let mut own = Figures::new();
     rig.gatherer_cores(&cpu_before, took, &mut own);
-    let used = processor("/proc/self/stat").unwrap_or_default().saturating_sub(own_before);
+    let used = cpu_time("/proc/self/stat").unwrap_or_default().saturating_sub(own_before);
     own.insert("rig_cores", used.as_secs_f64() / took.as_secs_f64());
     let lag = rig.lag.lock().unwrap_or_else(PoisonError::into_inner).value_at_quantile(0.99) as f64;
     own.insert("lag_99_ms", lag);
     fronts.abort_all();
     rig.end().await;
-    while let Ok(unasked) = ended.try_recv() {
-        words.push(unasked);
+    while let Ok(unexpected_exits) = ended.try_recv() {
+        words.push(unexpected_exits);
     }
     let history = rig.recorder.take();
     let mut figures = figures::measure(&history, rehearsal.mark(), rehearsal.length());
     figures.append(&mut own);
-    let not_measured = match history.left_out {
-        0 if lag > LAG_MOST_MS => {
+    let not_measured = match history.dropped_count {
+        0 if lag > MAX_LAG_MS => {
             Some(format!("clients asked {lag} ms late, one in a hundred: the machine is too busy"))
         }
         0 => None,
-        left_out => Some(format!("{left_out} events found no room in the history")),
+        dropped_count => Some(format!("{dropped_count} events found no room in the history")),
     };
     let broken = checks::broken(&history);
     Ok(Outcome {
@@ -635,7 +641,7 @@
         history,
         figures,
         broken,
-        unasked: words,
+        unexpected_exits: words,
         not_measured,
     })
 }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -6,27 +6,27 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::discovery::Trouble;
-use crate::faults::Manner;
-use crate::links::{Fault, Way};
+use crate::discovery::ListFault;
+use crate::faults::Behaviour;
+use crate::links::{Direction, Fault};
 use crate::node::{Kind, Node};
 use crate::shards::Model;
 
 /// Queries of one rehearsal at the most.
-const QUERIES_MOST: usize = 1_000_000;
+const MAX_QUERIES: usize = 1_000_000;
 /// Gatherers and servers of one rehearsal at the most.
-pub const GATHERERS_MOST: u16 = 300;
-pub const SERVERS_MOST: u16 = 300;
+pub const MAX_GATHERERS: u16 = 300;
+pub const MAX_SERVERS: u16 = 300;
 /// The verticals of every rehearsal: name, effect, need and floor.
 pub const VERTICALS: [(&str, &str, f64, f64); 3] =
     [("history", "retryable", 0.75, 0.75), ("near", "retryable", 0.75, 0.25), ("book", "fragile", 1.0, 1.0)];
 /// The one whose parts must not run twice.
-pub const BOOK: u8 = 2;
+pub const BOOK_VERTICAL: u8 = 2;
 
 /// Some nodes of a kind: in an order drawn by the seed, a share of them from a place on, perhaps of one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Select {
+pub struct NodeSelector {
     pub kind: Kind,
     #[serde(default)]
     pub from: f64,
@@ -42,24 +42,24 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Doing {
+pub enum Action {
     Start {
-        who: Select,
+        who: NodeSelector,
     },
     Term {
-        who: Select,
+        who: NodeSelector,
     },
     Kill {
-        who: Select,
+        who: NodeSelector,
     },
     /// Stopped, and woken after so long.
     Stop {
-        who: Select,
+        who: NodeSelector,
         for_ms: u64,
     },
     /// Killed or told to end, and started again after so long: from nothing, or from the list as it is then.
     Restart {
-        who: Select,
+        who: NodeSelector,
         after_ms: u64,
         #[serde(default)]
         kept: bool,
@@ -67,10 +67,10 @@
         softly: bool,
     },
     Link {
-        from: Select,
-        to: Select,
+        from: NodeSelector,
+        to: NodeSelector,
         #[serde(default)]
-        way: Way,
+        way: Direction,
         fault: Fault,
         for_ms: u64,
         /// What is held when it ends is dropped with its connections.
@@ -78,26 +78,26 @@
         dropped: bool,
     },
     Server {
-        who: Select,
+        who: NodeSelector,
         #[serde(default)]
         vertical: Option<String>,
-        manner: Manner,
+        manner: Behaviour,
         for_ms: u64,
     },
     List {
         #[serde(default)]
-        who: Option<Select>,
-        trouble: Trouble,
+        who: Option<NodeSelector>,
+        trouble: ListFault,
         for_ms: u64,
     },
     /// Leaves the list as draining, and is gone from it after so long.
     Drain {
-        who: Select,
+        who: NodeSelector,
         for_ms: u64,
     },
     /// Servers restart, cold, at once.
     Cold {
-        who: Select,
+        who: NodeSelector,
     },
     /// So many times the load.
     Burst {
@@ -112,13 +112,13 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Act {
+pub struct ScheduledAction {
     pub at_ms: u64,
     /// Over how long the nodes are hit one after the other.
     #[serde(default)]
     pub spread_ms: u64,
     #[serde(rename = "do")]
-    pub doing: Doing,
+    pub action: Action,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -172,7 +172,7 @@
     #[serde(default)]
     pub least_each: BTreeMap<String, f64>,
     #[serde(default)]
-    pub act: Vec<Act>,
+    pub act: Vec<ScheduledAction>,
 }
 
 /// One thing that is done at a moment.
@@ -183,11 +183,11 @@
     Kill { number: usize, node: Node },
     Stop { number: usize, node: Node },
     Wake { number: usize, node: Node },
-    Hit { number: usize, from: Node, to: Node, way: Way, fault: Fault },
+    Hit { number: usize, from: Node, to: Node, way: Direction, fault: Fault },
     Mend { number: usize, from: Node, to: Node, dropped: bool },
-    Behave { number: usize, server: u16, vertical: Option<String>, manner: Manner },
+    Behave { number: usize, server: u16, vertical: Option<String>, manner: Behaviour },
     Recover { number: usize, server: u16 },
-    Trouble { number: usize, who: Vec<u16>, trouble: Trouble },
+    Trouble { number: usize, who: Vec<u16>, trouble: ListFault },
     Untrouble { number: usize },
     Drain(u16),
     Gone(u16),
@@ -196,7 +196,7 @@
 
 /// One query that a client is to ask.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedQuery {
     pub at: Duration,
     pub vertical: u8,
     pub shards: Vec<u32>,
@@ -207,7 +207,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub steps: Vec<(Duration, Step)>,
-    pub queries: Vec<Planned>,
+    pub queries: Vec<PlannedQuery>,
 }
 
 const fn ms(ms: u64) -> Duration {
@@ -229,12 +229,12 @@
     }
 
     pub fn checked(self) -> Result<Rehearsal, String> {
-        let within = |what: &str, n: f64, least: f64, most: f64| match (least..=most).contains(&n) {
+        let within = |name: &str, n: f64, least: f64, most: f64| match (least..=most).contains(&n) {
             true => Ok(()),
-            false => Err(format!("{what} is {n}, not from {least} to {most}")),
+            false => Err(format!("{name} is {n}, not from {least} to {most}")),
         };
-        within("gatherers", self.gatherers.into(), 1.0, GATHERERS_MOST.into())?;
-        within("servers", self.servers.into(), 1.0, SERVERS_MOST.into())?;
+        within("gatherers", self.gatherers.into(), 1.0, MAX_GATHERERS.into())?;
+        within("servers", self.servers.into(), 1.0, MAX_SERVERS.into())?;
         if ![0, 3, 5].contains(&self.keepers) {
             return Err(format!("keepers is {}, not 0, 3 or 5", self.keepers));
         }
@@ -246,8 +246,8 @@
         within("seconds", self.seconds, 0.1, 600.0)?;
         within("rate", self.rate, 0.0, 20_000.0)?;
         let queries = self.rate * self.seconds;
-        within("the number of queries", queries, 0.0, QUERIES_MOST as f64)?;
-        for select in self.act.iter().flat_map(|act| act.doing.selects()) {
+        within("the number of queries", queries, 0.0, MAX_QUERIES as f64)?;
+        for select in self.act.iter().flat_map(|act| act.action.selects()) {
             within("a share", select.share, 0.0, 1.0)?;
             within("a place", select.from, 0.0, 1.0)?;
         }
@@ -258,7 +258,7 @@
             }
         }
         for act in &self.act {
-            if let Doing::Server { vertical: Some(name), .. } = &act.doing
+            if let Action::Server { vertical: Some(name), .. } = &act.action
                 && !VERTICALS.iter().any(|v| v.0 == name)
             {
                 return Err(format!("there is no vertical {name:?}"));
@@ -291,7 +291,7 @@
     }
 
     /// The nodes that are meant. One seed has one order of each kind, so that shares of it do not overlap.
-    fn select(&self, select: &Select, seed: u64) -> Vec<Node> {
+    fn select(&self, select: &NodeSelector, seed: u64) -> Vec<Node> {
         let mut all = self.all(select.kind);
         fastrand::Rng::with_seed(seed ^ select.kind as u64).shuffle(&mut all);
         let index = |n: &Node| match n {
@@ -308,34 +308,38 @@
         let mut load: Vec<(Duration, Duration, f64)> = Vec::new();
         let mut rushes = Vec::new();
         for (number, act) in self.act.iter().enumerate() {
-            let (at, doing) = (ms(act.at_ms), &act.doing);
-            let whom = |select: &Select| {
+            let (at, action) = (ms(act.at_ms), &act.action);
+            let whom = |select: &NodeSelector| {
                 let nodes = self.select(select, seed);
                 let each = ms(act.spread_ms).div_f64(nodes.len().max(1) as f64);
                 nodes.into_iter().enumerate().map(move |(i, n)| (at + each.mul_f64(i as f64), n))
             };
-            let indices = |select: &Select| {
+            let indices = |select: &NodeSelector| {
                 whom(select).filter_map(|(at, node)| match node {
                     Node::Gatherer(i) | Node::Server(i) => Some((at, i)),
                     _ => None,
                 })
             };
             let mut step = |at: Duration, step: Step| plan.steps.push((at, step));
-            match doing {
-                Doing::Start { who } => {
+            match action {
+                Action::Start { who } => {
                     whom(who).for_each(|(at, node)| step(at, Step::Start { number, node, kept: self.kept }));
                 }
-                Doing::Term { who } => whom(who).for_each(|(at, node)| step(at, Step::Term { number, node })),
-                Doing::Kill { who } => whom(who).for_each(|(at, node)| step(at, Step::Kill { number, node })),
-                Doing::Stop { who, for_ms } => whom(who).for_each(|(at, node)| {
+                Action::Term { who } => {
+                    whom(who).for_each(|(at, node)| step(at, Step::Term { number, node }))
+                }
+                Action::Kill { who } => {
+                    whom(who).for_each(|(at, node)| step(at, Step::Kill { number, node }))
+                }
+                Action::Stop { who, for_ms } => whom(who).for_each(|(at, node)| {
                     step(at, Step::Stop { number, node });
                     step(at + ms(*for_ms), Step::Wake { number, node });
                 }),
-                Doing::Restart { who, after_ms, kept, softly } => whom(who).for_each(|(at, node)| {
+                Action::Restart { who, after_ms, kept, softly } => whom(who).for_each(|(at, node)| {
                     step(at, if *softly { Step::Term { number, node } } else { Step::Kill { number, node } });
                     step(at + ms(*after_ms), Step::Start { number, node, kept: *kept });
                 }),
-                Doing::Link { from, to, way, fault, for_ms, dropped } => {
+                Action::Link { from, to, way, fault, for_ms, dropped } => {
                     let far = self.select(to, seed);
                     for (at, from) in whom(from) {
                         for &to in &far {
@@ -345,23 +349,23 @@
                         }
                     }
                 }
-                Doing::Server { who, vertical, manner, for_ms } => indices(who).for_each(|(at, server)| {
+                Action::Server { who, vertical, manner, for_ms } => indices(who).for_each(|(at, server)| {
                     let vertical = vertical.clone();
                     step(at, Step::Behave { number, server, vertical, manner: *manner });
                     step(at + ms(*for_ms), Step::Recover { number, server });
                 }),
-                Doing::List { who, trouble, for_ms } => {
+                Action::List { who, trouble, for_ms } => {
                     let who = who.iter().flat_map(indices).map(|(_, i)| i).collect();
                     step(at, Step::Trouble { number, who, trouble: *trouble });
                     step(at + ms(*for_ms), Step::Untrouble { number });
                 }
-                Doing::Drain { who, for_ms } => indices(who).for_each(|(at, i)| {
+                Action::Drain { who, for_ms } => indices(who).for_each(|(at, i)| {
                     step(at, Step::Drain(i));
                     step(at + ms(*for_ms), Step::Gone(i));
                 }),
-                Doing::Cold { who } => indices(who).for_each(|(at, i)| step(at, Step::Cold(i))),
-                Doing::Burst { times, for_ms } => load.push((at, at + ms(*for_ms), *times)),
-                Doing::Rush { queries } => {
+                Action::Cold { who } => indices(who).for_each(|(at, i)| step(at, Step::Cold(i))),
+                Action::Burst { times, for_ms } => load.push((at, at + ms(*for_ms), *times)),
+                Action::Rush { queries } => {
                     rushes.extend((0..*queries * u32::from(self.gatherers)).map(|_| at));
                 }
             }
@@ -371,7 +375,7 @@
         let mut times = rushes;
         let mut at = Duration::ZERO;
         let rate = self.rate;
-        while rate > 0.0 && times.len() < QUERIES_MOST {
+        while rate > 0.0 && times.len() < MAX_QUERIES {
             let now: f64 = load.iter().filter(|l| (l.0..l.1).contains(&at)).map(|l| l.2).product();
             // Poisson arrivals.
             at += Duration::from_secs_f64((-(1.0 - rng.f64()).ln() / (rate * now.max(0.01))).min(60.0));
@@ -385,26 +389,26 @@
         plan
     }
 
-    fn query(&self, at: Duration, rng: &mut fastrand::Rng) -> Planned {
+    fn query(&self, at: Duration, rng: &mut fastrand::Rng) -> PlannedQuery {
         let parts = rng.u16(1..=self.parts.max(1));
         let first = rng.u16(..self.shards.max(1));
         let shards = (0..parts).map(|i| u32::from((first + i) % self.shards)).collect();
-        let vertical = [0, 0, 0, 0, 0, 1, 1, 1, BOOK, BOOK][rng.usize(..10)];
-        Planned { at, vertical, shards, lot: rng.u64(..) }
+        let vertical = [0, 0, 0, 0, 0, 1, 1, 1, BOOK_VERTICAL, BOOK_VERTICAL][rng.usize(..10)];
+        PlannedQuery { at, vertical, shards, lot: rng.u64(..) }
     }
 }
 
-impl Doing {
-    fn selects(&self) -> Vec<&Select> {
+impl Action {
+    fn selects(&self) -> Vec<&NodeSelector> {
         match self {
-            Doing::Start { who } | Doing::Term { who } | Doing::Kill { who } | Doing::Cold { who } => {
+            Action::Start { who } | Action::Term { who } | Action::Kill { who } | Action::Cold { who } => {
                 vec![who]
             }
-            Doing::Stop { who, .. } | Doing::Restart { who, .. } | Doing::Drain { who, .. } => vec![who],
-            Doing::Server { who, .. } => vec![who],
-            Doing::Link { from, to, .. } => vec![from, to],
-            Doing::List { who, .. } => who.iter().collect(),
-            Doing::Burst { .. } | Doing::Rush { .. } => Vec::new(),
+            Action::Stop { who, .. } | Action::Restart { who, .. } | Action::Drain { who, .. } => vec![who],
+            Action::Server { who, .. } => vec![who],
+            Action::Link { from, to, .. } => vec![from, to],
+            Action::List { who, .. } => who.iter().collect(),
+            Action::Burst { .. } | Action::Rush { .. } => Vec::new(),
         }
     }
 }
@@ -427,7 +431,7 @@
     fn shares_of_one_kind_do_not_overlap_and_zones_bind() {
         let text = crate::rehearsals::ALL[0].1;
         let rehearsal = Rehearsal { gatherers: 20, zones: 2, ..Rehearsal::read(text).expect("it") };
-        let some = |from, share, zone| Select { kind: Kind::Gatherers, from, share, zone };
+        let some = |from, share, zone| NodeSelector { kind: Kind::Gatherers, from, share, zone };
         let first = rehearsal.select(&some(0.0, 0.7, None), 3);
         let rest = rehearsal.select(&some(0.7, 0.3, None), 3);
         assert_eq!((first.len(), rest.len()), (14, 6));
--- a/crates/lab/src/shards.rs
+++ b/crates/lab/src/shards.rs
@@ -14,9 +14,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::faults::{Manner, Script};
-use crate::history::{Recorder, What};
-use crate::links::Dials;
+use crate::faults::{Behaviour, FaultSchedule};
+use crate::history::{EventKind, Recorder};
+use crate::links::ConnectionSender;
 use crate::node::Node;
 use crate::value_of;
 
@@ -88,7 +88,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Taken {
+enum Admission {
     /// Done then.
     Until(Instant),
     Full,
@@ -125,9 +125,9 @@
     }
 
     /// Work of so many milliseconds, at this server's speed when warm.
-    fn take(&mut self, now: Instant, work_ms: f64) -> Taken {
+    fn take(&mut self, now: Instant, work_ms: f64) -> Admission {
         if self.down(now) {
-            return Taken::Down { now: false };
+            return Admission::Down { now: false };
         }
         let (speed, work) = (self.speed(now), Duration::from_secs_f64(work_ms / 1e3));
         if now >= self.span.0 + SPAN {
@@ -137,13 +137,13 @@
         let can = SPAN.mul_f64(self.model.slots as f64 * speed);
         if self.span.1 > can.mul_f64(self.model.overload_factor) {
             self.fallen_until = Some(now + Duration::from_millis(self.model.fall_ms));
-            return Taken::Down { now: true };
+            return Admission::Down { now: true };
         }
         while self.waiting.peek().is_some_and(|Reverse(start)| *start <= now) {
             self.waiting.pop();
         }
         if self.waiting.len() >= (self.model.queue as f64 * speed).ceil() as usize {
-            return Taken::Full;
+            return Admission::Full;
         }
         let free = self.slots.pop().map_or(now, |Reverse(free)| free).max(now);
         let done = free + work.div_f64(speed);
@@ -151,7 +151,7 @@
         if free > now {
             self.waiting.push(Reverse(free));
         }
-        Taken::Until(done)
+        Admission::Until(done)
     }
 }
 
@@ -160,12 +160,12 @@
 struct Told {
     number: usize,
     vertical: Option<String>,
-    manner: Manner,
+    manner: Behaviour,
 }
 
 /// What a server goes by.
 enum Ways {
-    Script { script: Arc<Script>, start: Instant },
+    FaultSchedule { script: Arc<FaultSchedule>, start: Instant },
     Told(Mutex<Vec<Told>>),
 }
 
@@ -245,22 +245,22 @@
         Node::Server(self.number as u16)
     }
 
-    fn note(&self, what: What) {
-        self.recorder.iter().for_each(|recorder| recorder.note(what.clone()));
+    fn record(&self, kind: EventKind) {
+        self.recorder.iter().for_each(|recorder| recorder.record(kind.clone()));
     }
 
     /// It behaves so until told that this is over.
-    pub fn behave(&self, number: usize, vertical: Option<String>, manner: Manner) {
+    pub fn behave(&self, number: usize, vertical: Option<String>, manner: Behaviour) {
         if let Ways::Told(told) = &self.ways {
             locked(told).push(Told { number, vertical, manner });
-            self.note(What::Troubled { node: self.node(), on: true });
+            self.record(EventKind::Troubled { node: self.node(), on: true });
         }
     }
 
     pub fn recover(&self, number: usize) {
         if let Ways::Told(told) = &self.ways {
             locked(told).retain(|t| t.number != number);
-            self.note(What::Troubled { node: self.node(), on: false });
+            self.record(EventKind::Troubled { node: self.node(), on: false });
         }
     }
 
@@ -273,12 +273,12 @@
         self.breaks.send_modify(|breaks| *breaks += 1);
     }
 
-    fn manner(&self, vertical: &str) -> Manner {
+    fn manner(&self, vertical: &str) -> Behaviour {
         match &self.ways {
-            Ways::Script { script, start } => script.manner(self.number, start.elapsed()),
+            Ways::FaultSchedule { script, start } => script.manner(self.number, start.elapsed()),
             Ways::Told(told) => {
                 let hits = |t: &&Told| t.vertical.as_ref().is_none_or(|v| v == vertical);
-                locked(told).iter().rev().find(hits).map_or(Manner::Well, |t| t.manner)
+                locked(told).iter().rev().find(hits).map_or(Behaviour::Well, |t| t.manner)
             }
         }
     }
@@ -293,11 +293,11 @@
             (machine.take(now, work), machine.cold(now))
         };
         match taken {
-            Taken::Until(done) => Ok(Some(done)),
-            Taken::Full => Ok(None),
-            Taken::Down { now } => {
+            Admission::Until(done) => Ok(Some(done)),
+            Admission::Full => Ok(None),
+            Admission::Down { now } => {
                 if now {
-                    self.note(What::Fell { server: self.node(), cold });
+                    self.record(EventKind::Fell { server: self.node(), cold });
                     self.breaks.send_modify(|breaks| *breaks += 1);
                 }
                 Err(std::io::ErrorKind::ConnectionReset.into())
@@ -359,7 +359,7 @@
         let Some(recorder) = &self.recorder else { return };
         let vertical = self.verticals.iter().position(|v| *v == part.vertical).unwrap_or(0) as u8;
         if let Some((query, shard)) = query_of(&part.id) {
-            recorder.note(What::Ran { server: self.node(), from, query, shard, vertical });
+            recorder.record(EventKind::Ran { server: self.node(), from, query, shard, vertical });
         }
     }
 
@@ -370,32 +370,32 @@
         let count = parts.len();
         for (at, part) in parts.into_iter().enumerate() {
             let manner = self.manner(&part.vertical);
-            if manner == Manner::Cut {
+            if manner == Behaviour::Cut {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             let work = |model: &Model| model.part_ms + if at == 0 { model.call_ms } else { 0.0 };
-            let done = if manner == Manner::Full { None } else { self.work(work)? };
+            let done = if manner == Behaviour::Full { None } else { self.work(work)? };
             let Some(done) = done else {
-                self.note(What::Full { server: self.node(), from });
+                self.record(EventKind::Full { server: self.node(), from });
                 let _ = answers.send(frame(format!("R{} full 1 -\n", part.id).as_bytes()));
                 continue;
             };
             self.ran(&part, from);
-            if manner == Manner::Twice {
+            if manner == Behaviour::Twice {
                 self.ran(&part, from);
             }
             let value =
                 || frame(format!("R{} done 1 -\n{}", part.id, value_of(&part.id, part.length)).as_bytes());
             let (done, bytes) = match manner {
-                Manner::Slow(more) => (done + more, value()),
-                Manner::Failing => (done, frame(format!("R{} failed 1 -\n", part.id).as_bytes())),
-                Manner::Half => {
+                Behaviour::Slow(more) => (done + more, value()),
+                Behaviour::Failing => (done, frame(format!("R{} failed 1 -\n", part.id).as_bytes())),
+                Behaviour::Half => {
                     let whole = value();
                     (done, whole.slice(..whole.len() / 2))
                 }
-                Manner::Spoilt => (done, frame(format!("R{} done 1 -\nspoilt", part.id).as_bytes())),
-                Manner::Silent => continue,
-                Manner::HoldsLast if at + 1 == count => continue,
+                Behaviour::Spoilt => (done, frame(format!("R{} done 1 -\nspoilt", part.id).as_bytes())),
+                Behaviour::Silent => continue,
+                Behaviour::HoldsLast if at + 1 == count => continue,
                 _ => (done, value()),
             };
             let answers = answers.clone();
@@ -403,7 +403,7 @@
                 sleep_until(done).await;
                 let _ = answers.send(bytes);
             });
-            if manner == Manner::Half {
+            if manner == Behaviour::Half {
                 break;
             }
         }
@@ -420,7 +420,7 @@
 }
 
 /// A server and the way for relays to it.
-pub fn start(server: Server) -> (Arc<Server>, Dials) {
+pub fn start(server: Server) -> (Arc<Server>, ConnectionSender) {
     let (dials, dialled) = mpsc::unbounded_channel();
     let server = Arc::new(server);
     tokio::spawn(server.clone().run(dialled));
@@ -429,10 +429,10 @@
 
 impl Shard {
     /// Starts a shard server that goes by the script from `start` on.
-    pub async fn start(number: usize, script: Arc<Script>, start: Instant) -> std::io::Result<Shard> {
+    pub async fn start(number: usize, script: Arc<FaultSchedule>, start: Instant) -> std::io::Result<Shard> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let ways = Ways::Script { script, start };
+        let ways = Ways::FaultSchedule { script, start };
         let server = Server {
             number,
             ways,
@@ -468,18 +468,18 @@
         let now = Instant::now();
         let model = Model { slots: 1, queue: 2, part_ms: 10.0, overload_factor: 100.0, ..Model::default() };
         let mut warm = Machine::new(model, now, false);
-        let taken: Vec<Taken> = (0..4).map(|_| warm.take(now, 10.0)).collect();
-        let until = |at| Taken::Until(now + ms(at));
-        assert_eq!(taken, [until(10), until(20), until(30), Taken::Full]);
+        let taken: Vec<Admission> = (0..4).map(|_| warm.take(now, 10.0)).collect();
+        let until = |at| Admission::Until(now + ms(at));
+        assert_eq!(taken, [until(10), until(20), until(30), Admission::Full]);
         assert_eq!(warm.take(now + ms(15), 10.0), until(40), "room again");
         let mut cold = Machine::new(Model { cold_from: 0.25, ..model }, now, true);
         assert_eq!(cold.take(now, 10.0), until(40));
         assert!(cold.cold(now) && !cold.cold(now + ms(model.cold_ms)));
         let mut small = Machine::new(Model { overload_factor: 2.0, queue: 1000, ..model }, now, false);
-        let fell = (0..).find(|_| small.take(now, 10.0) == Taken::Down { now: true });
+        let fell = (0..).find(|_| small.take(now, 10.0) == Admission::Down { now: true });
         assert_eq!(fell, Some(100), "a second of work in half a second's span");
-        assert_eq!(small.take(now + ms(999), 1.0), Taken::Down { now: false });
-        assert!(matches!(small.take(now + ms(1001), 1.0), Taken::Until(_)));
+        assert_eq!(small.take(now + ms(999), 1.0), Admission::Down { now: false });
+        assert!(matches!(small.take(now + ms(1001), 1.0), Admission::Until(_)));
     }
 
     #[tokio::test]
@@ -488,7 +488,7 @@
         let model = Model { connections: 1, ..Model::default() };
         let server = Server::told(0, model, false, recorder, vec!["near".into(), "book".into()]);
         let (server, dials) = start(server);
-        server.behave(1, Some("book".into()), Manner::Failing);
+        server.behave(1, Some("book".into()), Behaviour::Failing);
         let (mut ours, theirs) = tokio::io::duplex(4096);
         dials.send((Node::Gatherer(1), theirs)).expect("taken");
         let mut ask = async |id: &str, text: &str| {
