--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -218,9 +218,9 @@
 async fn run(options: Options) -> Result<bool, String> {
     let io = |e: std::io::Error| e.to_string();
     let script = Arc::new(if options.calm {
-        FaultSchedule::calm()
+        FaultSchedule::without_faults()
     } else {
-        FaultSchedule::minute().lasting(options.cycle)
+        FaultSchedule::one_minute().scaled_to(options.cycle)
     });
     let start = Instant::now();
     let mut shards = Vec::new();
--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -1,5 +1,6 @@
-//! The rules, checked on a history: pure functions, each of which tells what broke it. Who was killed, stopped or
-//! cut off at the time is excused for just that.
+//! Checks a history against the rules of a rehearsal. All checks are pure functions.
+//!
+//! A process that was killed, stopped or partitioned is exempt from a rule for that period only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,15 +11,15 @@
 use crate::node::Node;
 use crate::script::BOOK_VERTICAL;
 
-/// Time after which a server that is told to drain may get nothing new: what the settings grant and the slack of
-/// a machine that is busy.
+/// Time after which a draining server may receive no new calls: the grace period of the settings (250 ms) plus
+/// slack for a busy machine.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(1250);
-/// Leaf calls that a part may have: what the settings of a rehearsal say.
+/// Maximum leaf calls for one part of a query; the rig puts the same value into the gatherers' settings.
 pub const MAX_LEAF_CALLS: u32 = 3;
-/// How much later than it happened the rig may note something.
-const NOTED_LATE: Duration = Duration::from_millis(100);
+/// Maximum delay between an event and its record in the history.
+const MAX_RECORD_DELAY: Duration = Duration::from_millis(100);
 
-/// A rule that was broken, how often, and the first time.
+/// A violated rule, with the number of violations and a description of the first one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
     pub rule: &'static str,
@@ -28,15 +29,15 @@
 
 type Span = (Duration, Duration);
 
-/// When things were as they should be.
-pub struct Calm {
-    /// When each process ran undisturbed.
+/// Periods in which processes ran undisturbed and links had faults.
+pub struct UndisturbedPeriods {
+    /// Periods in which each process was ready and neither stopped nor told to end.
     running: BTreeMap<Node, Vec<Span>>,
-    /// When a fault held between two.
+    /// Periods in which a fault was active on a link.
     faulted: BTreeMap<(Node, Node), Vec<Span>>,
 }
 
-fn end(spans: &mut [Span], at: Duration) {
+fn close_last(spans: &mut [Span], at: Duration) {
     if let Some(last) = spans.last_mut()
         && last.1 == Duration::MAX
     {
@@ -44,95 +45,98 @@
     }
 }
 
-impl Calm {
-    pub fn of(history: &History) -> Calm {
+impl UndisturbedPeriods {
+    pub fn from_history(history: &History) -> UndisturbedPeriods {
         let (mut running, mut faulted) = (BTreeMap::<_, Vec<Span>>::new(), BTreeMap::<_, Vec<Span>>::new());
-        // Faults of one link that hold at the same time.
-        let mut depth = BTreeMap::<_, u32>::new();
+        // Number of faults that are active on a link at the same time.
+        let mut active_faults = BTreeMap::<_, u32>::new();
         for Event { at, kind } in &history.events {
             match *kind {
-                // Between its start and its first sign of life nobody knows whether it listens yet.
+                // A process counts as running from its first readiness: before that it may not listen yet.
                 EventKind::Ready { node } | EventKind::Signalled { node, signal: "CONT" } => {
                     running.entry(node).or_default().push((*at, Duration::MAX));
                 }
                 EventKind::Signalled { node, .. } | EventKind::Exited { node, .. } => {
-                    end(running.entry(node).or_default(), *at);
+                    close_last(running.entry(node).or_default(), *at);
                 }
                 EventKind::Faulted { from, to } => {
-                    let deep = depth.entry((from, to)).or_default();
-                    *deep += 1;
-                    if *deep == 1 {
+                    let active_count = active_faults.entry((from, to)).or_default();
+                    *active_count += 1;
+                    if *active_count == 1 {
                         faulted.entry((from, to)).or_default().push((*at, Duration::MAX));
                     }
                 }
                 EventKind::Mended { from, to } => {
-                    let deep = depth.entry((from, to)).or_default();
-                    *deep = deep.saturating_sub(1);
-                    if *deep == 0 {
-                        end(faulted.entry((from, to)).or_default(), *at);
+                    let active_count = active_faults.entry((from, to)).or_default();
+                    *active_count = active_count.saturating_sub(1);
+                    if *active_count == 0 {
+                        close_last(faulted.entry((from, to)).or_default(), *at);
                     }
                 }
                 _ => {}
             }
         }
-        Calm { running, faulted }
+        UndisturbedPeriods { running, faulted }
     }
 
-    /// Whether a process ran undisturbed all the time.
-    pub fn ran(&self, node: Node, from: Duration, to: Duration) -> bool {
-        let holds = |span: &Span| span.0 <= from && to <= span.1;
-        self.running.get(&node).is_some_and(|spans| spans.iter().any(holds))
+    /// Whether a process ran undisturbed for the whole period.
+    pub fn was_running(&self, node: Node, from: Duration, to: Duration) -> bool {
+        let contains_period = |span: &Span| span.0 <= from && to <= span.1;
+        self.running.get(&node).is_some_and(|spans| spans.iter().any(contains_period))
     }
 
-    /// Whether no fault held between two at any time in between, nor just before.
-    pub fn linked(&self, from: Node, to: Node, since: Duration, until: Duration) -> bool {
-        let meets = |span: &Span| span.0 <= until && span.1.saturating_add(NOTED_LATE) >= since;
-        !self.faulted.get(&(from, to)).is_some_and(|spans| spans.iter().any(meets))
+    /// Whether no fault was active on a link during the period, nor within [`MAX_RECORD_DELAY`] before it.
+    pub fn was_connected(&self, from: Node, to: Node, since: Duration, until: Duration) -> bool {
+        let overlaps = |span: &Span| span.0 <= until && span.1.saturating_add(MAX_RECORD_DELAY) >= since;
+        !self.faulted.get(&(from, to)).is_some_and(|spans| spans.iter().any(overlaps))
     }
 }
 
 #[derive(Default)]
-struct Found(BTreeMap<&'static str, (usize, String)>);
+struct ViolationLog(BTreeMap<&'static str, (usize, String)>);
 
-impl Found {
-    fn record(&mut self, rule: &'static str, at: Duration, words: impl FnOnce() -> String) {
+impl ViolationLog {
+    fn record(&mut self, rule: &'static str, at: Duration, describe: impl FnOnce() -> String) {
         let (times, first) = self.0.entry(rule).or_default();
         *times += 1;
         if first.is_empty() {
-            *first = format!("{:.3} s: {}", at.as_secs_f64(), words());
+            *first = format!("{:.3} s: {}", at.as_secs_f64(), describe());
         }
     }
 }
 
-/// Every query has one final answer, and a process that lives loses none that it accepted.
-fn answers(history: &History, calm: &Calm, found: &mut Found) {
+/// Checks that every query has exactly one final answer and that a running process loses no accepted query.
+fn check_answers(history: &History, periods: &UndisturbedPeriods, violations: &mut ViolationLog) {
     let mut open = BTreeMap::new();
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::Asked { query, node, .. } => drop(open.insert(query, (*at, node))),
             EventKind::Ended { query, end, .. } => {
                 let Some((asked, node)) = open.remove(&query) else {
-                    found.record("one-final-answer", *at, || format!("q{query} ended again, {end:?}"));
+                    violations.record("one-final-answer", *at, || format!("q{query} ended again, {end:?}"));
                     continue;
                 };
-                let lost = matches!(end, End::Closed | End::Lost);
-                if lost && calm.ran(node, asked, *at) && calm.linked(Node::Clients, node, asked, *at) {
-                    found.record("lost-by-the-living", *at, || format!("q{query} at {node}: {end:?}"));
+                let connection_lost = matches!(end, End::Closed | End::Lost);
+                if connection_lost
+                    && periods.was_running(node, asked, *at)
+                    && periods.was_connected(Node::Clients, node, asked, *at)
+                {
+                    violations.record("lost-by-the-living", *at, || format!("q{query} at {node}: {end:?}"));
                 }
                 if end == End::False {
-                    found.record("false-answer", *at, || format!("q{query} at {node}"));
+                    violations.record("false-answer", *at, || format!("q{query} at {node}"));
                 }
             }
             _ => {}
         }
     }
     for (query, (at, node)) in open {
-        found.record("one-final-answer", at, || format!("q{query} at {node} never ended"));
+        violations.record("one-final-answer", at, || format!("q{query} at {node} never ended"));
     }
 }
 
-/// No part of a query runs more often than it may, and no answer has a value that no server gave.
-fn runs(history: &History, found: &mut Found) {
+/// Checks that no part runs more often than allowed and that every answered shard ran at some server.
+fn check_part_runs(history: &History, violations: &mut ViolationLog) {
     let mut ran = BTreeMap::<(u64, u16), u32>::new();
     for Event { at, kind } in &history.events {
         match kind {
@@ -140,16 +144,16 @@
                 let times = ran.entry((*query, *shard)).or_default();
                 *times += 1;
                 if *vertical == BOOK_VERTICAL && *times > 1 {
-                    found.record("effect-twice", *at, || format!("q{query}.{shard}, again at {server}"));
+                    violations.record("effect-twice", *at, || format!("q{query}.{shard}, again at {server}"));
                 }
                 if *times > MAX_LEAF_CALLS {
-                    found
+                    violations
                         .record("calls-over-budget", *at, || format!("q{query}.{shard}: {times} leaf calls"));
                 }
             }
             EventKind::Ended { query, shards, .. } => {
                 for shard in shards.iter().filter(|shard| !ran.contains_key(&(*query, **shard))) {
-                    found.record("false-answer", *at, || format!("q{query}.{shard} ran nowhere"));
+                    violations.record("false-answer", *at, || format!("q{query}.{shard} ran nowhere"));
                 }
             }
             _ => {}
@@ -157,24 +161,26 @@
     }
 }
 
-/// A server that drains gets nothing new from who was told so.
-fn drains(history: &History, calm: &Calm, found: &mut Found) {
-    let mut told = BTreeMap::new();
+/// Checks that a gatherer sends no new calls to a server that it knows to be draining.
+fn check_drains(history: &History, periods: &UndisturbedPeriods, violations: &mut ViolationLog) {
+    let mut announced = BTreeMap::new();
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::ToldDrain { to, server } => {
-                let heard = calm.linked(to, Node::List, *at, *at + NOTED_LATE);
-                if heard && calm.ran(to, *at, *at + NOTED_LATE) {
-                    told.entry((to, server)).or_insert(*at);
+                let was_received = periods.was_connected(to, Node::List, *at, *at + MAX_RECORD_DELAY);
+                if was_received && periods.was_running(to, *at, *at + MAX_RECORD_DELAY) {
+                    announced.entry((to, server)).or_insert(*at);
                 }
             }
-            // Who starts anew is told anew.
-            EventKind::Started { node } => told.retain(|(to, _), _| *to != node),
+            // A restarted gatherer receives the list again.
+            EventKind::Started { node } => announced.retain(|(to, _), _| *to != node),
             EventKind::Ran { server, from, query, shard, .. } => {
-                let Some(since) = told.get(&(from, server)).copied() else { continue };
-                let calmly = calm.linked(from, server, since, *at) && calm.ran(from, since, *at);
-                if *at > since + DRAIN_GRACE && calmly {
-                    found.record("drain-kept", *at, || format!("q{query}.{shard} from {from} to {server}"));
+                let Some(since) = announced.get(&(from, server)).copied() else { continue };
+                let was_reachable =
+                    periods.was_connected(from, server, since, *at) && periods.was_running(from, since, *at);
+                if *at > since + DRAIN_GRACE && was_reachable {
+                    violations
+                        .record("drain-kept", *at, || format!("q{query}.{shard} from {from} to {server}"));
                 }
             }
             _ => {}
@@ -182,24 +188,24 @@
     }
 }
 
-/// No process ends that was not told to.
-fn ends(history: &History, found: &mut Found) {
-    let mut told = BTreeSet::new();
+/// Checks that no process exits without having been signalled to.
+fn check_exits(history: &History, violations: &mut ViolationLog) {
+    let mut told_to_end = BTreeSet::new();
     for Event { at, kind } in &history.events {
         match kind {
-            EventKind::Started { node } => drop(told.remove(node)),
-            EventKind::Signalled { node, signal: "KILL" | "TERM" } => drop(told.insert(*node)),
-            EventKind::Exited { node, status, .. } if !told.contains(node) => {
-                found.record("crashed", *at, || format!("{node}: {status}"));
+            EventKind::Started { node } => drop(told_to_end.remove(node)),
+            EventKind::Signalled { node, signal: "KILL" | "TERM" } => drop(told_to_end.insert(*node)),
+            EventKind::Exited { node, status, .. } if !told_to_end.contains(node) => {
+                violations.record("crashed", *at, || format!("{node}: {status}"));
             }
             _ => {}
         }
     }
 }
 
-/// Each epoch has one owner; what owners write takes effect in the order of their epochs, the same at every keeper;
-/// and nobody follows an older epoch after a later one.
-fn owners(history: &History, found: &mut Found) {
+/// Checks that each epoch has one owner, that all keepers apply the same log with non-decreasing epochs and
+/// increasing versions, and that no process follows an older epoch after a newer one.
+fn check_ownership(history: &History, violations: &mut ViolationLog) {
     let mut owns = BTreeMap::<(&str, u64), Node>::new();
     let mut log = BTreeMap::<u64, (u64, Option<u64>)>::new();
     let mut follows = BTreeMap::<(Node, &str), u64>::new();
@@ -208,20 +214,21 @@
             EventKind::Owns { node, duty, epoch } => {
                 let first = *owns.entry((duty, *epoch)).or_insert(*node);
                 if first != *node {
-                    found.record("two-owners", *at, || format!("{first} and {node}, {duty} {epoch}"));
+                    violations.record("two-owners", *at, || format!("{first} and {node}, {duty} {epoch}"));
                 }
             }
             EventKind::Agreed { node, place, epoch, wrote, .. } => {
                 let first = *log.entry(*place).or_insert((*epoch, *wrote));
                 if first != (*epoch, *wrote) {
-                    found.record("keepers-disagree", *at, || format!("{node} at {place} of the log"));
+                    violations.record("keepers-disagree", *at, || format!("{node} at {place} of the log"));
                 }
             }
             EventKind::Started { node } => follows.retain(|(of, _), _| of != node),
             EventKind::Follows { node, duty, epoch } => {
                 let latest = follows.insert((*node, duty), *epoch).unwrap_or_default();
                 if latest > *epoch {
-                    found.record("old-owner-followed", *at, || format!("{node}: {epoch} after {latest}"));
+                    violations
+                        .record("old-owner-followed", *at, || format!("{node}: {epoch} after {latest}"));
                 }
             }
             _ => {}
@@ -231,7 +238,7 @@
     for (place, (epoch, wrote)) in &log {
         let Some(version) = wrote else { continue };
         if *epoch < latest.0 || *version <= latest.1 {
-            found.record("old-owner-acted", Duration::ZERO, || {
+            violations.record("old-owner-acted", Duration::ZERO, || {
                 format!("at {place} of the log, epoch {epoch}")
             });
         }
@@ -239,16 +246,16 @@
     }
 }
 
-/// All rules that a history breaks.
-pub fn broken(history: &History) -> Vec<Violation> {
-    let (calm, mut found) = (Calm::of(history), Found::default());
-    answers(history, &calm, &mut found);
-    runs(history, &mut found);
-    drains(history, &calm, &mut found);
-    ends(history, &mut found);
-    owners(history, &mut found);
-    let broken = |(rule, (times, first))| Violation { rule, times, first };
-    found.0.into_iter().map(broken).collect()
+/// Returns all rules that a history violates.
+pub fn violations(history: &History) -> Vec<Violation> {
+    let (periods, mut violations) = (UndisturbedPeriods::from_history(history), ViolationLog::default());
+    check_answers(history, &periods, &mut violations);
+    check_part_runs(history, &mut violations);
+    check_drains(history, &periods, &mut violations);
+    check_exits(history, &mut violations);
+    check_ownership(history, &mut violations);
+    let to_violation = |(rule, (times, first))| Violation { rule, times, first };
+    violations.0.into_iter().map(to_violation).collect()
 }
 
 #[cfg(test)]
@@ -264,7 +271,7 @@
     }
 
     fn rules(events: Vec<(u64, EventKind)>) -> Vec<&'static str> {
-        broken(&history(events)).into_iter().map(|b| b.rule).collect()
+        violations(&history(events)).into_iter().map(|b| b.rule).collect()
     }
 
     fn asked(query: u64) -> EventKind {
@@ -288,7 +295,7 @@
     }
 
     #[test]
-    fn a_good_history_breaks_nothing_and_each_bad_one_its_rule() {
+    fn a_valid_history_violates_no_rule_and_each_invalid_one_violates_its_rule() {
         let start = (0, EventKind::Ready { node: G });
         let good =
             [start.clone(), (10, asked(1)), (20, ran(1, BOOK_VERTICAL)), (30, ended(1, End::Whole, &[3]))];
@@ -314,18 +321,28 @@
     }
 
     #[test]
-    fn who_was_killed_stopped_or_cut_off_is_excused_for_that_time_only() {
+    fn a_killed_stopped_or_partitioned_process_is_exempt_for_that_time_only() {
         let start = (0, EventKind::Ready { node: G });
-        let lost = [(100, asked(1)), (200, ended(1, End::Closed, &[]))];
+        let connection_lost = [(100, asked(1)), (200, ended(1, End::Closed, &[]))];
         let with = |before: &[(u64, EventKind)], between: (u64, EventKind), after: &[(u64, EventKind)]| {
-            rules([std::slice::from_ref(&start), before, &lost[..1], &[between], &lost[1..], after].concat())
+            rules(
+                [
+                    std::slice::from_ref(&start),
+                    before,
+                    &connection_lost[..1],
+                    &[between],
+                    &connection_lost[1..],
+                    after,
+                ]
+                .concat(),
+            )
         };
         assert_eq!(with(&[], (150, signalled("KILL")), &[]), [""; 0]);
         let killed = [(50, signalled("KILL")), (60, EventKind::Started { node: G })];
         assert_eq!(
             with(&killed, (250, EventKind::Ready { node: G }), &[]),
             [""; 0],
-            "it does not listen yet"
+            "a gatherer that is not ready yet may lose queries"
         );
         assert_eq!(with(&[], (150, signalled("STOP")), &[]), [""; 0]);
         assert_eq!(
@@ -356,9 +373,9 @@
     }
 
     #[test]
-    fn a_drain_is_kept_from_when_it_was_told_unless_the_news_or_the_call_was_held() {
+    fn a_drain_is_enforced_from_its_announcement_unless_the_list_or_the_call_was_delayed() {
         let start = (0, EventKind::Ready { node: G });
-        let told = (100, EventKind::ToldDrain { to: G, server: S });
+        let announced = (100, EventKind::ToldDrain { to: G, server: S });
         let late = 101 + DRAIN_GRACE.as_millis() as u64;
         let good = [(late - 10, asked(1)), (late + 500, ended(1, End::Whole, &[3]))];
         let with = |before: &[(u64, EventKind)], at: u64| {
@@ -366,7 +383,7 @@
                 [
                     std::slice::from_ref(&start),
                     before,
-                    std::slice::from_ref(&told),
+                    std::slice::from_ref(&announced),
                     &good[..1],
                     &[(at, ran(1, 1))],
                     &good[1..],
@@ -383,7 +400,7 @@
     }
 
     #[test]
-    fn an_epoch_has_one_owner_and_nothing_of_an_older_one_counts_after_it() {
+    fn an_epoch_has_one_owner_and_older_epochs_take_no_effect_after_it() {
         let duty = || "roster".to_owned();
         let owns = |node, epoch| EventKind::Owns { node, duty: duty(), epoch };
         let agreed = |keeper, place, epoch, wrote| EventKind::Agreed {
@@ -405,7 +422,7 @@
         ];
         let with = |more: (u64, EventKind)| rules([&good[..], &[more]].concat());
         assert_eq!(rules(good.to_vec()), [""; 0]);
-        // A keeper that starts again applies its log anew.
+        // A restarted keeper applies its log again.
         assert_eq!(with((9, agreed(0, 5, 1, 1))), [""; 0]);
         assert_eq!(with((9, owns(Node::Gatherer(3), 2))), ["two-owners"]);
         assert_eq!(with((9, agreed(1, 7, 1, 2))), ["keepers-disagree"]);
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,36 +1,36 @@
-//! Troubles by a script in time: which shard server does what at each moment of a cycle that comes again.
+//! Fault schedule of shard servers: how each server behaves at each time of a repeating cycle.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a shard server does with parts.
+/// How a shard server handles parts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Behaviour {
-    /// Answers within some milliseconds.
+    /// Answers within a few milliseconds.
     Well,
-    /// Answers this much later.
+    /// Answers with this additional delay.
     Slow(#[serde(with = "in_ms")] Duration),
-    /// Takes parts and answers none.
+    /// Accepts parts and answers none.
     Silent,
-    /// Answers each with an error.
+    /// Answers each part with an error.
     Failing,
-    /// Turns each away.
+    /// Rejects each part as if the server were full.
     Full,
-    /// Breaks the connection once a frame is in.
+    /// Closes the connection when a frame has arrived.
     Cut,
     /// Answers all parts of a frame but the last.
     HoldsLast,
-    /// Sends half an answer and then nothing more.
+    /// Sends half an answer and then nothing for the rest of the call.
     Half,
-    /// Answers with a value that is not the part's.
+    /// Answers with a wrong value.
     Spoilt,
-    /// Runs each part twice: a fault of the stand-in, to see that checkers find it.
+    /// Runs each part twice: a deliberate fault of the stand-in, to test that the checks find it.
     Twice,
 }
 
-/// A time in whole milliseconds.
+/// Serializes a duration as whole milliseconds.
 mod in_ms {
     use std::time::Duration;
 
@@ -45,62 +45,65 @@
     }
 }
 
-/// One trouble: these servers, in this part of each cycle.
+/// A period of each cycle in which some servers behave in a given way.
 #[derive(Clone, Debug)]
 pub struct FaultPeriod {
     pub servers: std::ops::Range<usize>,
     pub from: Duration,
     pub to: Duration,
-    pub manner: Behaviour,
+    pub behaviour: Behaviour,
 }
 
-/// The troubles of a cycle. Where several meet at one server, the last one holds.
+/// The faults of a cycle. If several apply to a server at the same time, the last one wins.
 #[derive(Clone, Debug)]
 pub struct FaultSchedule {
     pub cycle: Duration,
-    pub troubles: Vec<FaultPeriod>,
+    pub faults: Vec<FaultPeriod>,
 }
 
 impl FaultSchedule {
-    pub fn manner(&self, server: usize, at: Duration) -> Behaviour {
+    /// Returns the behaviour of a server at a time since the start.
+    pub fn behaviour_at(&self, server: usize, at: Duration) -> Behaviour {
         let phase = Duration::from_nanos((at.as_nanos() % self.cycle.as_nanos()) as u64);
-        let holds = |t: &&FaultPeriod| t.servers.contains(&server) && (t.from..t.to).contains(&phase);
-        self.troubles.iter().rev().find(holds).map_or(Behaviour::Well, |t| t.manner)
+        let is_active = |t: &&FaultPeriod| t.servers.contains(&server) && (t.from..t.to).contains(&phase);
+        self.faults.iter().rev().find(is_active).map_or(Behaviour::Well, |t| t.behaviour)
     }
 
-    /// A minute with a fault in three quarters of it, several at once in some, on servers in three zones.
-    pub fn minute() -> FaultSchedule {
+    /// Returns a cycle of one minute with faults in three quarters of it, some at the same time, on six servers.
+    pub fn one_minute() -> FaultSchedule {
         let s = Duration::from_secs;
-        let trouble = |servers, from, to, manner| FaultPeriod { servers, from: s(from), to: s(to), manner };
+        let fault =
+            |servers, from, to, behaviour| FaultPeriod { servers, from: s(from), to: s(to), behaviour };
         FaultSchedule {
             cycle: s(60),
-            troubles: vec![
-                trouble(0..1, 2, 8, Behaviour::Slow(Duration::from_millis(150))),
-                trouble(1..2, 10, 14, Behaviour::Silent),
-                trouble(2..4, 16, 20, Behaviour::Failing),
-                trouble(4..5, 18, 24, Behaviour::Full),
-                trouble(5..6, 26, 30, Behaviour::Cut),
-                trouble(0..2, 32, 36, Behaviour::HoldsLast),
-                trouble(3..4, 34, 38, Behaviour::Half),
-                trouble(0..6, 40, 42, Behaviour::Slow(Duration::from_millis(400))),
-                trouble(2..3, 44, 48, Behaviour::Silent),
-                trouble(3..4, 44, 48, Behaviour::Silent),
+            faults: vec![
+                fault(0..1, 2, 8, Behaviour::Slow(Duration::from_millis(150))),
+                fault(1..2, 10, 14, Behaviour::Silent),
+                fault(2..4, 16, 20, Behaviour::Failing),
+                fault(4..5, 18, 24, Behaviour::Full),
+                fault(5..6, 26, 30, Behaviour::Cut),
+                fault(0..2, 32, 36, Behaviour::HoldsLast),
+                fault(3..4, 34, 38, Behaviour::Half),
+                fault(0..6, 40, 42, Behaviour::Slow(Duration::from_millis(400))),
+                fault(2..3, 44, 48, Behaviour::Silent),
+                fault(3..4, 44, 48, Behaviour::Silent),
             ],
         }
     }
 
-    /// The same troubles in a cycle of another length.
-    pub fn lasting(mut self, cycle: Duration) -> FaultSchedule {
+    /// Scales the schedule to a cycle of another length.
+    pub fn scaled_to(mut self, cycle: Duration) -> FaultSchedule {
         let scaled = |at: Duration| at.mul_f64(cycle.as_secs_f64() / self.cycle.as_secs_f64());
-        for t in &mut self.troubles {
+        for t in &mut self.faults {
             (t.from, t.to) = (scaled(t.from), scaled(t.to));
         }
         self.cycle = cycle;
         self
     }
 
-    pub fn calm() -> FaultSchedule {
-        FaultSchedule { cycle: Duration::from_secs(60), troubles: Vec::new() }
+    /// Returns a schedule without faults.
+    pub fn without_faults() -> FaultSchedule {
+        FaultSchedule { cycle: Duration::from_secs(60), faults: Vec::new() }
     }
 }
 
@@ -109,16 +112,16 @@
     use super::*;
 
     #[test]
-    fn a_cycle_comes_again_and_the_last_trouble_holds() {
-        let script = FaultSchedule::minute();
+    fn a_cycle_repeats_and_the_last_of_several_faults_wins() {
+        let script = FaultSchedule::one_minute();
         for cycle in [0, 60, 6000] {
             let at = |s: u64| Duration::from_secs(cycle + s);
-            assert_eq!(script.manner(1, at(11)), Behaviour::Silent);
-            assert_eq!(script.manner(0, at(11)), Behaviour::Well);
-            assert_eq!(script.manner(3, at(41)), Behaviour::Slow(Duration::from_millis(400)));
-            assert_eq!(script.manner(1, at(59)), Behaviour::Well);
+            assert_eq!(script.behaviour_at(1, at(11)), Behaviour::Silent);
+            assert_eq!(script.behaviour_at(0, at(11)), Behaviour::Well);
+            assert_eq!(script.behaviour_at(3, at(41)), Behaviour::Slow(Duration::from_millis(400)));
+            assert_eq!(script.behaviour_at(1, at(59)), Behaviour::Well);
         }
-        let short = script.lasting(Duration::from_secs(6));
-        assert_eq!(short.manner(1, Duration::from_millis(61_100)), Behaviour::Silent);
+        let short = script.scaled_to(Duration::from_secs(6));
+        assert_eq!(short.behaviour_at(1, Duration::from_millis(61_100)), Behaviour::Silent);
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,16 +1,17 @@
-//! Stand-ins, faults and load for rehearsals on one machine.
+//! Test doubles, fault injection and load generation for failure rehearsals on one machine.
 //!
-//! Job: shard servers and discovery that a gatherer takes for real ones, troubles among them by a script in
-//! time, clients of several manners that check every answer, and the levels of what a gatherer reports over a
-//! long run; many processes of the program with faults between them, and the rules checked on the history of
-//! what they did. May know: the public protocols, and how the program is started. Must not know: its code.
+//! Provides stand-ins for shard servers and the discovery service, scheduled faults, clients that verify every
+//! answer, and checks that the metrics of a gatherer stay level over a long run. A rehearsal runs many processes
+//! of the program, injects faults between them and checks the recorded history against a set of rules.
+//!
+//! This crate may depend on the public protocols and on how the program is started, not on the program's code.
 
 #![expect(
     missing_docs,
     clippy::missing_errors_doc,
     clippy::missing_panics_doc,
     clippy::too_many_lines,
-    reason = "not done yet: The rest reads as well"
+    reason = "not every public item is documented yet, and some functions are long"
 )]
 
 pub mod checks;
@@ -29,12 +30,12 @@
 pub mod script;
 pub mod shards;
 
-/// The value that a stand-in gives a part: as long as asked for, and no other part's.
+/// Returns the value that a stand-in shard server answers for a part: `length` bytes, different for each part.
 pub fn value_of(part: &str, length: usize) -> String {
     let mut value = format!("{part}:");
     while value.len() < length {
-        let more = (length - value.len()).min(part.len());
-        value.push_str(&part[..more]);
+        let chunk_length = (length - value.len()).min(part.len());
+        value.push_str(&part[..chunk_length]);
     }
     value
 }
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -1,5 +1,6 @@
-//! Relays: whatever goes between two nodes of a rehearsal passes one, which knows both ends and breaks what goes
-//! through it by rule. Loopback sockets only; a stand-in of this process is joined without a socket.
+//! Relays that inject network faults. All traffic between two nodes of a rehearsal passes through a relay, which
+//! knows both ends and applies the faults of its link. Relays use loopback sockets only; a stand-in of this process
+//! is connected by an in-memory stream.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,19 +17,20 @@
 use crate::history::{EventKind, Recorder};
 use crate::node::Node;
 
-/// Bytes that are passed on at once, and how many such pieces a direction holds: the rest waits in the sockets.
-const PIECE: usize = 8 << 10;
-const PIECES_HELD: usize = 16;
-/// Connections that may wait to be accepted.
+/// Bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 8 << 10;
+/// Maximum chunks buffered in one direction; further data waits in the sockets.
+const MAX_CHUNKS_BUFFERED: usize = 16;
+/// Maximum connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Time in which a connection to a listener that has room is up: it is a matter of microseconds.
-const FILLS_IN: Duration = Duration::from_millis(20);
-/// Most connections needed to fill a listener that lets one wait.
-const FILLERS_MOST: usize = 4;
-/// Pause before a listener's own port is asked for again.
-const PORT_PAUSE: Duration = Duration::from_millis(20);
-
-/// Which direction is hit: from the one who dials, to it, or both.
+/// Time-out for connecting to a listener with room in its backlog, which normally takes microseconds.
+const FILL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum connections needed to fill a listener whose backlog is one.
+const MAX_FILLERS: usize = 4;
+/// Pause between attempts to bind the listener's port again.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Direction of a fault: from the side that opens the connection (`There`), towards it (`Back`), or both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Direction {
@@ -38,61 +40,64 @@
     Back,
 }
 
-/// What a link does.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Fault {
-    /// Bytes are held, nothing is reset; new connections never come up where what is said there is held.
+    /// Bytes are held back and nothing is reset. If the direction `There` is affected, new connections are not
+    /// established.
     Silent,
-    /// Open connections are reset; new ones are served.
+    /// Open connections are reset; new ones are accepted.
     Reset,
-    /// New connections are refused; open ones go on.
+    /// New connections are refused; open ones continue.
     Refused,
-    /// Bytes come so much later, and up to `spread_ms` more.
+    /// Bytes are delayed by `ms` plus a random time of up to `spread_ms`.
     Late { ms: u64, spread_ms: u64 },
-    /// So many bytes a second at the most.
+    /// Throughput is limited.
     Slow { bytes_a_second: u64 },
 }
 
 #[derive(Clone, Debug)]
-struct Hit {
+struct ActiveFault {
     number: usize,
-    way: Direction,
+    direction: Direction,
     fault: Fault,
 }
 
-/// What holds on a link for the moment.
+/// Faults that are active on a link.
 #[derive(Clone, Debug, Default)]
-struct Rules {
-    hits: Vec<Hit>,
-    /// How often its connections have been reset.
-    cuts: u64,
+struct LinkState {
+    active: Vec<ActiveFault>,
+    /// Number of times that all connections of the link have been reset.
+    resets: u64,
 }
 
-impl Rules {
-    fn find<T>(&self, way: Direction, which: impl Fn(Fault) -> Option<T>) -> Option<T> {
-        let meets = |hit: &&Hit| way == Direction::Both || hit.way == Direction::Both || hit.way == way;
-        self.hits.iter().filter(meets).find_map(|hit| which(hit.fault))
+impl LinkState {
+    fn find<T>(&self, direction: Direction, select: impl Fn(Fault) -> Option<T>) -> Option<T> {
+        let applies = |fault: &&ActiveFault| {
+            direction == Direction::Both || fault.direction == Direction::Both || fault.direction == direction
+        };
+        self.active.iter().filter(applies).find_map(|fault| select(fault.fault))
     }
 
-    fn silent(&self, way: Direction) -> bool {
-        self.find(way, |f| (f == Fault::Silent).then_some(())).is_some()
+    fn is_silent(&self, direction: Direction) -> bool {
+        self.find(direction, |f| (f == Fault::Silent).then_some(())).is_some()
     }
 
-    fn refuses(&self) -> bool {
+    fn is_refusing(&self) -> bool {
         self.find(Direction::Both, |f| (f == Fault::Refused).then_some(())).is_some()
     }
 
-    fn late(&self, way: Direction) -> Duration {
-        let late = self.find(way, |f| match f {
+    fn delay(&self, direction: Direction) -> Duration {
+        let delay = self.find(direction, |f| match f {
             Fault::Late { ms, spread_ms } => Some((ms, spread_ms)),
             _ => None,
         });
-        late.map_or(Duration::ZERO, |(ms, spread)| Duration::from_millis(ms + fastrand::u64(..=spread)))
+        delay.map_or(Duration::ZERO, |(ms, spread)| Duration::from_millis(ms + fastrand::u64(..=spread)))
     }
 
-    fn takes(&self, way: Direction, bytes: usize) -> Duration {
-        let rate = self.find(way, |f| match f {
+    fn transmission_time(&self, direction: Direction, bytes: usize) -> Duration {
+        let rate = self.find(direction, |f| match f {
             Fault::Slow { bytes_a_second } => Some(bytes_a_second.max(1)),
             _ => None,
         });
@@ -100,23 +105,23 @@
     }
 }
 
-/// Connections for a stand-in of this process: who dialled, and the stream.
+/// Sends new connections to a stand-in of this process, each with the node that opened it.
 pub type ConnectionSender = mpsc::UnboundedSender<(Node, DuplexStream)>;
 
-/// Where a link leads.
+/// Destination of a link: the listen address of a process, or a stand-in within this process.
 #[derive(Clone)]
 pub enum Target {
     Process(Arc<Mutex<SocketAddr>>),
-    Within(ConnectionSender),
+    InProcess(ConnectionSender),
 }
 
-/// One node's way to another.
+/// A relay from one node to another.
 pub struct Link {
     pub from: Node,
     pub to: Node,
-    /// Where `from` dials.
+    /// Address to which `from` connects.
     pub address: SocketAddr,
-    rules: watch::Sender<Rules>,
+    state: watch::Sender<LinkState>,
     far: Target,
     recorder: Recorder,
     listener: Mutex<Option<TcpListener>>,
@@ -129,12 +134,12 @@
     socket.listen(BACKLOG as u32)
 }
 
-/// Fills a listener with connections of its own, so that the machine lets no further one come up.
-async fn starve(listener: &TcpListener) -> io::Result<Vec<(SocketAddr, TcpStream)>> {
+/// Fills the backlog of a listener with own connections, so that the kernel establishes no further ones.
+async fn fill_backlog(listener: &TcpListener) -> io::Result<Vec<(SocketAddr, TcpStream)>> {
     rustix::net::listen(listener, 0)?;
     let mut fillers = Vec::new();
-    while fillers.len() < FILLERS_MOST {
-        match timeout(FILLS_IN, TcpStream::connect(listener.local_addr()?)).await {
+    while fillers.len() < MAX_FILLERS {
+        match timeout(FILL_TIMEOUT, TcpStream::connect(listener.local_addr()?)).await {
             Ok(Ok(stream)) => fillers.push((stream.local_addr()?, stream)),
             _ => break,
         }
@@ -142,114 +147,115 @@
     Ok(fillers)
 }
 
-/// Passes on what comes one way, until it ends.
-async fn pump(
-    mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, way: Direction,
-    rules: watch::Receiver<Rules>, sent: &std::sync::atomic::AtomicU64,
+/// Forwards bytes in one direction until the stream ends, applying the faults of the link.
+async fn forward(
+    mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, direction: Direction,
+    state: watch::Receiver<LinkState>, sent: &std::sync::atomic::AtomicU64,
 ) -> io::Result<()> {
-    let (queue, mut held) = mpsc::channel::<(Instant, Bytes)>(PIECES_HELD);
-    let now_rules = rules.clone();
+    let (queue, mut chunks) = mpsc::channel::<(Instant, Bytes)>(MAX_CHUNKS_BUFFERED);
+    let delay_state = state.clone();
     let reading = async move {
         loop {
-            let mut piece = BytesMut::with_capacity(PIECE);
-            if from.read_buf(&mut piece).await? == 0 {
+            let mut chunk = BytesMut::with_capacity(CHUNK_BYTES);
+            if from.read_buf(&mut chunk).await? == 0 {
                 return Ok(());
             }
-            let due = Instant::now() + now_rules.borrow().late(way);
-            if queue.send((due, piece.freeze())).await.is_err() {
+            let due = Instant::now() + delay_state.borrow().delay(direction);
+            if queue.send((due, chunk.freeze())).await.is_err() {
                 return Ok(());
             }
         }
     };
-    let mut rules = rules;
+    let mut state = state;
     let writing = async move {
-        while let Some((due, piece)) = held.recv().await {
+        while let Some((due, chunk)) = chunks.recv().await {
             if due > Instant::now() {
                 sleep_until(due).await;
             }
-            heard(&mut rules, way).await;
-            to.write_all(&piece).await?;
+            wait_while_silent(&mut state, direction).await;
+            to.write_all(&chunk).await?;
             to.flush().await?;
-            sent.fetch_add(piece.len() as u64, std::sync::atomic::Ordering::Relaxed);
-            let takes = rules.borrow().takes(way, piece.len());
-            if !takes.is_zero() {
-                sleep(takes).await;
+            sent.fetch_add(chunk.len() as u64, std::sync::atomic::Ordering::Relaxed);
+            let transmission_time = state.borrow().transmission_time(direction, chunk.len());
+            if !transmission_time.is_zero() {
+                sleep(transmission_time).await;
             }
         }
-        heard(&mut rules, way).await;
+        wait_while_silent(&mut state, direction).await;
         to.shutdown().await
     };
     tokio::try_join!(reading, writing).map(|_: ((), ())| ())
 }
 
-/// Waits until a direction is not silent.
-async fn heard(rules: &mut watch::Receiver<Rules>, way: Direction) {
-    let _ = rules.wait_for(|rules| !rules.silent(way)).await;
+/// Waits until the fault `Silent` is not active in a direction.
+async fn wait_while_silent(state: &mut watch::Receiver<LinkState>, direction: Direction) {
+    let _ = state.wait_for(|state| !state.is_silent(direction)).await;
 }
 
 impl Link {
-    /// A way from one to another, on a port of `from`'s own address that is asked for.
+    /// Creates the relay with a listener on a free port of `from`'s address.
     pub fn new(from: Node, to: Node, far: Target, recorder: Recorder) -> io::Result<Link> {
         let listener = listen((from.address(), 0).into())?;
-        let (address, rules) = (listener.local_addr()?, watch::Sender::new(Rules::default()));
-        Ok(Link { from, to, address, rules, far, recorder, listener: Mutex::new(Some(listener)) })
+        let (address, state) = (listener.local_addr()?, watch::Sender::new(LinkState::default()));
+        Ok(Link { from, to, address, state, far, recorder, listener: Mutex::new(Some(listener)) })
     }
 
-    /// A fault begins. `number` tells it from others that hold at the same time.
-    pub fn hit(&self, number: usize, way: Direction, fault: Fault) {
+    /// Starts a fault. `number` identifies it among the faults that are active at the same time.
+    pub fn inject(&self, number: usize, direction: Direction, fault: Fault) {
         self.recorder.record(EventKind::Faulted { from: self.from, to: self.to });
-        self.rules.send_modify(|rules| match fault {
-            Fault::Reset => rules.cuts += 1,
-            _ => rules.hits.push(Hit { number, way, fault }),
+        self.state.send_modify(|state| match fault {
+            Fault::Reset => state.resets += 1,
+            _ => state.active.push(ActiveFault { number, direction, fault }),
         });
     }
 
-    /// It ends; with `dropped`, what was held goes with its connections.
-    pub fn mend(&self, number: usize, dropped: bool) {
-        self.rules.send_modify(|rules| {
-            rules.hits.retain(|hit| hit.number != number);
-            rules.cuts += u64::from(dropped);
+    /// Ends a fault. With `dropped`, the connections are reset and the bytes held back are lost.
+    pub fn clear(&self, number: usize, dropped: bool) {
+        self.state.send_modify(|state| {
+            state.active.retain(|fault| fault.number != number);
+            state.resets += u64::from(dropped);
         });
         self.recorder.record(EventKind::Mended { from: self.from, to: self.to });
     }
 
-    /// Serves for good.
+    /// Accepts and forwards connections for ever.
     pub async fn run(self: Arc<Self>) {
-        let mut rules = self.rules.subscribe();
+        let mut state = self.state.subscribe();
         let mut listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
         let mut fillers = Vec::new();
         loop {
             let (refuses, silent) = {
-                let rules = rules.borrow_and_update();
-                (rules.refuses(), rules.silent(Direction::There))
+                let state = state.borrow_and_update();
+                (state.is_refusing(), state.is_silent(Direction::There))
             };
             if refuses {
                 (listener, fillers) = (None, Vec::new());
             }
             let Some(open) = &listener else {
                 if refuses {
-                    let _ = rules.changed().await;
+                    let _ = state.changed().await;
                 } else {
                     listener = listen(self.address).ok();
                     if listener.is_none() {
-                        sleep(PORT_PAUSE).await;
+                        sleep(REBIND_INTERVAL).await;
                     }
                 }
                 continue;
             };
             if silent && fillers.is_empty() {
-                fillers = starve(open).await.unwrap_or_default();
+                fillers = fill_backlog(open).await.unwrap_or_default();
             }
             if silent {
-                let _ = rules.changed().await;
+                let _ = state.changed().await;
                 continue;
             }
             if !fillers.is_empty() {
                 let _ = rustix::net::listen(open, BACKLOG);
-                let ours: Vec<SocketAddr> = std::mem::take(&mut fillers).iter().map(|(a, _)| *a).collect();
-                for _ in &ours {
-                    if let Ok(Ok((stream, peer))) = timeout(FILLS_IN, open.accept()).await
-                        && !ours.contains(&peer)
+                let own_addresses: Vec<SocketAddr> =
+                    std::mem::take(&mut fillers).iter().map(|(a, _)| *a).collect();
+                for _ in &own_addresses {
+                    if let Ok(Ok((stream, peer))) = timeout(FILL_TIMEOUT, open.accept()).await
+                        && !own_addresses.contains(&peer)
                     {
                         tokio::spawn(self.clone().carry(stream));
                     }
@@ -259,7 +265,7 @@
                 taken = open.accept() => if let Ok((stream, _)) = taken {
                     tokio::spawn(self.clone().carry(stream));
                 },
-                _ = rules.changed() => {}
+                _ = state.changed() => {}
             }
         }
     }
@@ -269,10 +275,10 @@
         let sent = std::sync::atomic::AtomicU64::new(0);
         let _ = near.set_nodelay(true);
         match &self.far {
-            Target::Within(dials) => {
-                let (ours, theirs) = tokio::io::duplex(4 * PIECE);
-                if dials.send((self.from, theirs)).is_ok() {
-                    self.join(near, ours, |_| {}, &sent).await;
+            Target::InProcess(dials) => {
+                let (near_end, far_end) = tokio::io::duplex(4 * CHUNK_BYTES);
+                if dials.send((self.from, far_end)).is_ok() {
+                    self.join(near, near_end, |_| {}, &sent).await;
                 }
             }
             Target::Process(address) => {
@@ -288,7 +294,7 @@
                         let reset = |far: &TcpStream| drop(far.set_zero_linger());
                         self.join(near, far, reset, &sent).await;
                     }
-                    // Nobody listens there: the one who dials finds it out at once.
+                    // The target does not listen: reset the connection so that the opening side notices at once.
                     Err(_) => drop(near.set_zero_linger()),
                 }
             }
@@ -297,21 +303,21 @@
         self.recorder.record(EventKind::Hung { from: self.from, to: self.to, bytes });
     }
 
-    /// Joins two streams until both directions have ended, one is broken or the rules cut them.
+    /// Forwards between two streams until both directions have ended, one has failed or the link is reset.
     async fn join<F: AsyncRead + AsyncWrite + Unpin>(
         &self, mut near: TcpStream, mut far: F, reset: impl Fn(&F), sent: &std::sync::atomic::AtomicU64,
     ) {
-        let mut rules = self.rules.subscribe();
-        let cuts = rules.borrow().cuts;
+        let mut state = self.state.subscribe();
+        let resets = state.borrow().resets;
         let back = std::sync::atomic::AtomicU64::new(0);
         let well = {
             let (near_read, near_write) = near.split();
             let (far_read, far_write) = tokio::io::split(&mut far);
-            let there = pump(near_read, far_write, Direction::There, rules.clone(), sent);
-            let back = pump(far_read, near_write, Direction::Back, rules.clone(), &back);
+            let there = forward(near_read, far_write, Direction::There, state.clone(), sent);
+            let back = forward(far_read, near_write, Direction::Back, state.clone(), &back);
             tokio::select! {
                 ended = async { tokio::try_join!(there, back) } => ended.is_ok(),
-                _ = rules.wait_for(|rules| rules.cuts > cuts) => false,
+                _ = state.wait_for(|state| state.resets > resets) => false,
             }
         };
         if !well {
@@ -325,7 +331,7 @@
 mod tests {
     use super::*;
 
-    /// A link to an echo of this process.
+    /// Starts a link to an echo server within this process.
     async fn link(number: u16) -> (Arc<Link>, Recorder) {
         let recorder = Recorder::new(Instant::now());
         let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
@@ -339,7 +345,7 @@
             }
         });
         let link =
-            Link::new(Node::Gatherer(number), Node::Server(0), Target::Within(dials), recorder.clone());
+            Link::new(Node::Gatherer(number), Node::Server(0), Target::InProcess(dials), recorder.clone());
         let link = Arc::new(link.expect("a port"));
         tokio::spawn(link.clone().run());
         (link, recorder)
@@ -359,64 +365,68 @@
     }
 
     #[tokio::test]
-    async fn silence_holds_bytes_and_dials_and_then_lets_them_through_or_drops_them() {
+    async fn a_silent_link_holds_back_bytes_and_connections_and_then_delivers_or_drops_them() {
         for (number, dropped) in [(600, false), (601, true)] {
             let (link, _) = link(number).await;
             let mut open = dial(&link).await.expect("up");
             assert!(echoes(&mut open).await);
-            link.hit(1, Direction::Both, Fault::Silent);
-            assert!(!echoes(&mut open).await, "bytes are held");
-            assert!(dial(&link).await.is_none(), "no connection comes up");
-            link.mend(1, dropped);
+            link.inject(1, Direction::Both, Fault::Silent);
+            assert!(!echoes(&mut open).await, "bytes are held back while the link is silent");
+            assert!(dial(&link).await.is_none(), "no connection is established while the link is silent");
+            link.clear(1, dropped);
             let mut byte = [0];
             let held = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("an end");
-            assert_eq!(held.is_ok(), !dropped, "what was held comes, or its connection is reset");
+            assert_eq!(held.is_ok(), !dropped, "bytes held back arrive, or their connection is reset");
             let mut again = None;
             for _ in 0..20 {
                 again = again.or(dial(&link).await);
             }
-            assert!(echoes(&mut again.expect("it comes up again")).await);
+            assert!(echoes(&mut again.expect("connections are established again")).await);
         }
     }
 
     #[tokio::test]
-    async fn one_way_reset_refused_late_and_slow() {
+    async fn one_directional_silence_delay_throughput_refusal_and_reset() {
         let (link, _) = link(602).await;
         let mut open = dial(&link).await.expect("up");
-        link.hit(1, Direction::Back, Fault::Silent);
-        assert!(!echoes(&mut open).await, "there, but not back");
-        assert!(dial(&link).await.is_some(), "what is said there is heard");
-        link.mend(1, false);
+        link.inject(1, Direction::Back, Fault::Silent);
+        assert!(!echoes(&mut open).await, "the echo does not come back");
+        assert!(
+            dial(&link).await.is_some(),
+            "a connection is established if only the direction back is silent"
+        );
+        link.clear(1, false);
         let mut byte = [0];
-        open.read_exact(&mut byte).await.expect("what was held");
-        link.hit(2, Direction::There, Fault::Late { ms: 80, spread_ms: 10 });
+        open.read_exact(&mut byte).await.expect("the byte held back arrives");
+        link.inject(2, Direction::There, Fault::Late { ms: 80, spread_ms: 10 });
         let began = Instant::now();
         assert!(echoes(&mut open).await && began.elapsed() >= Duration::from_millis(80));
-        link.mend(2, false);
-        link.hit(3, Direction::There, Fault::Slow { bytes_a_second: 10 });
+        link.clear(2, false);
+        link.inject(3, Direction::There, Fault::Slow { bytes_a_second: 10 });
         let began = Instant::now();
         assert!(echoes(&mut open).await && echoes(&mut open).await);
         assert!(began.elapsed() >= Duration::from_millis(90));
-        link.mend(3, false);
-        link.hit(4, Direction::Both, Fault::Refused);
+        link.clear(3, false);
+        link.inject(4, Direction::Both, Fault::Refused);
         let refused = async {
             while TcpStream::connect(link.address).await.is_ok() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
         timeout(Duration::from_secs(5), refused).await.expect("refused");
-        assert!(echoes(&mut open).await, "what is open goes on");
-        link.mend(4, false);
-        link.hit(5, Direction::Both, Fault::Reset);
+        assert!(echoes(&mut open).await, "open connections continue");
+        link.clear(4, false);
+        link.inject(5, Direction::Both, Fault::Reset);
         let reset = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("an end");
         assert_eq!(reset.expect_err("reset").kind(), io::ErrorKind::ConnectionReset);
     }
 
-    /// Guards against a side that waits for ever for the other, and against bytes lost by who closes first.
+    /// Guards against one side waiting for ever for the other to close, and against bytes lost when one side closes
+    /// first.
     #[tokio::test]
-    async fn its_two_sides_may_close_in_either_order() {
+    async fn either_side_of_a_connection_may_close_first() {
         let (link, recorder) = link(603).await;
-        // The near side stops sending first: what it sent still comes back, then the end.
+        // The near side stops sending first: its bytes still come back, then the end of the stream.
         let mut near = dial(&link).await.expect("up");
         near.write_all(b"last words").await.expect("sent");
         near.shutdown().await.expect("half closed");
@@ -425,7 +435,8 @@
         assert_eq!(words, b"last words");
         // The far side ends first.
         let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
-        let second = Link::new(Node::Gatherer(604), Node::Server(1), Target::Within(dials), recorder.clone());
+        let second =
+            Link::new(Node::Gatherer(604), Node::Server(1), Target::InProcess(dials), recorder.clone());
         let second = Arc::new(second.expect("a port"));
         tokio::spawn(second.clone().run());
         let mut near = dial(&second).await.expect("up");
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,15 +1,16 @@
-//! Who takes part in a rehearsal, and the loopback address that each has there.
+//! Nodes of a rehearsal and their loopback addresses.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
 use serde::{Deserialize, Serialize};
 
-/// Addresses in one octet of a node's address: none ends in 0 or 255.
-const IN_OCTET: u16 = 250;
-/// Third octets that each kind of node has: enough for a thousand of a kind.
-const OCTETS: u16 = 4;
+/// Node addresses with the same third octet; none ends in 0 or 255.
+const ADDRESSES_PER_OCTET: u16 = 250;
+/// Third octets reserved for each kind of node: enough for a thousand nodes.
+const OCTETS_PER_KIND: u16 = 4;
 
+/// A participant of a rehearsal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(into = "String")]
 pub enum Node {
@@ -18,10 +19,11 @@
     Gatherer(u16),
     Server(u16),
     Keeper(u16),
-    /// The gatherer that owns the roster at the moment of an act: only a plan names it so.
+    /// The gatherer that owns the roster when an action takes place. Used in plans only.
     Owner,
 }
 
+/// Kind of nodes that an action selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -30,7 +32,7 @@
     Gatherers,
     Servers,
     Keepers,
-    /// The gatherer that owns the roster when the act comes.
+    /// The gatherer that owns the roster when the action takes place.
     Owner,
 }
 
@@ -54,17 +56,23 @@
 }
 
 impl Node {
-    /// Its loopback address in the rig of this process: two rigs at once have others.
+    /// Returns the loopback address of the node. The second octet depends on the process id, so that rigs running
+    /// at the same time normally have different addresses.
     pub fn address(self) -> Ipv4Addr {
         let (kind, index) = match self {
             Node::Clients | Node::Owner => (0, 0),
             Node::List => (0, 1),
-            Node::Keeper(i) => (0, 2 + i % (IN_OCTET - 2)),
+            Node::Keeper(i) => (0, 2 + i % (ADDRESSES_PER_OCTET - 2)),
             Node::Gatherer(i) => (1, i),
-            Node::Server(i) => (1 + OCTETS, i),
+            Node::Server(i) => (1 + OCTETS_PER_KIND, i),
         };
         let rig = 128 + (std::process::id() % 120) as u8;
-        Ipv4Addr::new(127, rig, (kind + index / IN_OCTET) as u8, 1 + (index % IN_OCTET) as u8)
+        Ipv4Addr::new(
+            127,
+            rig,
+            (kind + index / ADDRESSES_PER_OCTET) as u8,
+            1 + (index % ADDRESSES_PER_OCTET) as u8,
+        )
     }
 }
 
@@ -73,7 +81,7 @@
     use super::*;
 
     #[test]
-    fn no_two_nodes_have_one_address() {
+    fn node_addresses_are_distinct() {
         let both = (0..1000).flat_map(|i| [Node::Gatherer(i), Node::Server(i)]);
         let all = [Node::Clients, Node::List].into_iter().chain((0..5).map(Node::Keeper)).chain(both);
         let addresses: std::collections::BTreeSet<Ipv4Addr> = all.map(Node::address).collect();
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes of the real program, each with its own configuration, log and end. They die with the rig.
+//! Child processes that run the real program, each with its own configuration and log. They are killed when the
+//! rig exits.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -15,70 +16,71 @@
 use crate::history::{EventKind, Recorder};
 use crate::node::Node;
 
-/// Last lines of a log that are told where a process ends unasked.
-const LAST_LINES: usize = 8;
-/// Time for a process to end after SIGTERM before it is killed to be started anew.
-const END_MOST: Duration = Duration::from_secs(8);
-/// Its own word for the launcher, which the rig's program has to pass on to [`launch`].
+/// Number of last log lines that are reported when a process exits unexpectedly.
+const KEPT_LOG_LINES: usize = 8;
+/// Time that a process has to exit after SIGTERM before it is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(8);
+/// First argument that makes the rig's program call [`launch`].
 pub const LAUNCH: &str = "launch";
 
-/// Runs a program in the place of this process, so that it is killed when its parent dies: `PARENT PROGRAM ARGS`.
-/// Returns only with what went wrong.
+/// Replaces this process by a program that is killed when its parent dies. The arguments are `PARENT PROGRAM ARGS`,
+/// with the parent's process id. Returns only on failure, with the error.
 pub fn launch(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> String {
     use std::os::unix::process::CommandExt as _;
     let parent = arguments.next().and_then(|p| p.to_str()?.parse::<i32>().ok());
-    let Some(program) = arguments.next() else { return "no program to launch".into() };
+    let Some(program) = arguments.next() else { return "launcher: no program given".into() };
     if let Err(e) = rustix::process::set_parent_process_death_signal(Some(Signal::KILL)) {
-        return format!("cannot be tied to its parent: {e}");
+        return format!("launcher: cannot set the parent death signal: {e}");
     }
-    // The parent may have died before that.
+    // The parent may have died before the death signal was set.
     if rustix::process::getppid().map(Pid::as_raw_pid) != parent {
-        return "its parent is gone".into();
+        return "launcher: the parent process has already exited".into();
     }
     format!("{}: {}", program.to_string_lossy(), std::process::Command::new(&program).args(arguments).exec())
 }
 
-/// What may happen to a process at a moment, apart from its start.
+/// Signal that a rehearsal may send to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProcessAction {
+pub enum ProcessSignal {
     Term,
     Kill,
     Stop,
-    Wake,
+    Continue,
 }
 
-impl ProcessAction {
-    fn signal(self) -> (Signal, &'static str) {
+impl ProcessSignal {
+    fn number_and_name(self) -> (Signal, &'static str) {
         match self {
-            ProcessAction::Term => (Signal::TERM, "TERM"),
-            ProcessAction::Kill => (Signal::KILL, "KILL"),
-            ProcessAction::Stop => (Signal::STOP, "STOP"),
-            ProcessAction::Wake => (Signal::CONT, "CONT"),
+            ProcessSignal::Term => (Signal::TERM, "TERM"),
+            ProcessSignal::Kill => (Signal::KILL, "KILL"),
+            ProcessSignal::Stop => (Signal::STOP, "STOP"),
+            ProcessSignal::Continue => (Signal::CONT, "CONT"),
         }
     }
 }
 
-/// How one is started.
+/// Command line and environment of a process.
 #[derive(Clone)]
 pub struct LaunchSpec {
-    /// A program that passes [`LAUNCH`] on to [`launch`].
+    /// Program that calls [`launch`] when its first argument is [`LAUNCH`].
     pub launcher: PathBuf,
     pub program: PathBuf,
     pub arguments: Vec<String>,
     pub variables: Vec<(String, String)>,
 }
 
+/// A node of the rehearsal that runs as a child process and may be restarted.
 pub struct Process {
     pub node: Node,
     recorder: Recorder,
-    /// While it runs.
+    /// Process id; none while the process is not running.
     pid: Arc<Mutex<Option<Pid>>>,
     running: watch::Sender<bool>,
-    /// Whether its end is wanted.
-    wanted: Arc<AtomicBool>,
-    last: Arc<Mutex<VecDeque<String>>>,
-    /// Told of an end that nobody asked for: the words for it.
-    unexpected_exits: tokio::sync::mpsc::UnboundedSender<String>,
+    /// Whether the process was told to end, so that its exit is expected.
+    exit_expected: Arc<AtomicBool>,
+    last_lines: Arc<Mutex<VecDeque<String>>>,
+    /// Receives a description of each unexpected exit.
+    exit_reports: tokio::sync::mpsc::UnboundedSender<String>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -87,7 +89,7 @@
 
 impl Process {
     pub fn new(
-        node: Node, recorder: Recorder, unexpected_exits: tokio::sync::mpsc::UnboundedSender<String>,
+        node: Node, recorder: Recorder, exit_reports: tokio::sync::mpsc::UnboundedSender<String>,
     ) -> Process {
         let running = watch::Sender::new(false);
         Process {
@@ -95,106 +97,109 @@
             recorder,
             pid: Arc::default(),
             running,
-            wanted: Arc::default(),
-            last: Arc::default(),
-            unexpected_exits,
+            exit_expected: Arc::default(),
+            last_lines: Arc::default(),
+            exit_reports,
         }
     }
 
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         *self.running.borrow()
     }
 
-    /// Starts it. To be called on the thread that lasts as long as the rig: the child dies with that one.
-    pub fn start(&self, how: &LaunchSpec) -> Result<(), String> {
-        let mut command = Command::new(&how.launcher);
-        command.arg(LAUNCH).arg(std::process::id().to_string()).arg(&how.program).args(&how.arguments);
+    /// Starts the process. Must be called on a thread that lives as long as the rig, because the parent death
+    /// signal is sent when the spawning thread exits.
+    pub fn start(&self, spec: &LaunchSpec) -> Result<(), String> {
+        let mut command = Command::new(&spec.launcher);
+        command.arg(LAUNCH).arg(std::process::id().to_string()).arg(&spec.program).args(&spec.arguments);
         for name in ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_DISCOVERY"] {
             command.env_remove(name);
         }
-        command.envs(how.variables.iter().cloned()).stdin(Stdio::null()).stdout(Stdio::null());
+        command.envs(spec.variables.iter().cloned()).stdin(Stdio::null()).stdout(Stdio::null());
         let spawned = command.stderr(Stdio::piped()).kill_on_drop(true).spawn();
-        let mut child = spawned.map_err(|e| format!("{} does not start: {e}", self.node))?;
+        let mut child = spawned.map_err(|e| format!("cannot start {}: {e}", self.node))?;
         *locked(&self.pid) = child.id().and_then(|id| Pid::from_raw(id as i32));
-        self.wanted.store(false, Ordering::SeqCst);
+        self.exit_expected.store(false, Ordering::SeqCst);
         self.running.send_replace(true);
         self.recorder.record(EventKind::Started { node: self.node });
         let log = child.stderr.take();
-        tokio::spawn(Self::read_log(log, self.node, self.recorder.clone(), self.last.clone()));
+        tokio::spawn(Self::read_log(log, self.node, self.recorder.clone(), self.last_lines.clone()));
         tokio::spawn(self.watch(child));
         Ok(())
     }
 
-    /// Each process has a pipe of its own: one that is stopped holds up nobody else's lines.
+    /// Records the log lines of a process. Each process has its own pipe, so a stopped one does not block the others.
     async fn read_log(
         log: Option<tokio::process::ChildStderr>, node: Node, recorder: Recorder,
-        last: Arc<Mutex<VecDeque<String>>>,
+        last_lines: Arc<Mutex<VecDeque<String>>>,
     ) {
         let Some(log) = log else { return };
         let mut lines = BufReader::new(log).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            let mut kept = locked(&last);
-            kept.truncate(LAST_LINES - 1);
-            kept.push_front(line.clone());
-            drop(kept);
-            recorder.record(said(node, &line).unwrap_or(EventKind::Logged { node, line }));
+            let mut lines_kept = locked(&last_lines);
+            lines_kept.truncate(KEPT_LOG_LINES - 1);
+            lines_kept.push_front(line.clone());
+            drop(lines_kept);
+            recorder.record(parse_log_line(node, &line).unwrap_or(EventKind::Logged { node, line }));
         }
     }
 
-    /// Sees it end.
+    /// Waits for the process to exit, and records and reports the exit.
     fn watch(&self, mut child: Child) -> impl Future<Output = ()> + use<> {
         let (node, recorder, pid, running) =
             (self.node, self.recorder.clone(), self.pid.clone(), self.running.clone());
-        let (wanted, last, unexpected_exits) =
-            (self.wanted.clone(), self.last.clone(), self.unexpected_exits.clone());
+        let (exit_expected, last_lines, exit_reports) =
+            (self.exit_expected.clone(), self.last_lines.clone(), self.exit_reports.clone());
         async move {
             let status = child.wait().await;
             *locked(&pid) = None;
-            let (well, words) = match status {
+            let (well, description) = match status {
                 Ok(status) => (status.success(), status.to_string()),
                 Err(e) => (false, e.to_string()),
             };
-            recorder.record(EventKind::Exited { node, well, status: words.clone() });
-            if !wanted.load(Ordering::SeqCst) {
-                // Its last lines may still be on their way through the pipe.
+            recorder.record(EventKind::Exited { node, well, status: description.clone() });
+            if !exit_expected.load(Ordering::SeqCst) {
+                // The last log lines may still be in the pipe.
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                let lines: Vec<String> = locked(&last).iter().rev().cloned().collect();
-                let _ = unexpected_exits
-                    .send(format!("{node} ended by itself ({words}); its last lines:\n{}", lines.join("\n")));
+                let lines: Vec<String> = locked(&last_lines).iter().rev().cloned().collect();
+                let _ = exit_reports.send(format!(
+                    "{node} ended by itself ({description}); its last lines:\n{}",
+                    lines.join("\n")
+                ));
             }
             running.send_replace(false);
         }
     }
 
-    /// Sends a signal, where it runs.
-    pub fn act(&self, act: ProcessAction) {
+    /// Sends a signal if the process is running.
+    pub fn send_signal(&self, signal_kind: ProcessSignal) {
         let pid = locked(&self.pid);
         let Some(pid) = *pid else { return };
-        let (signal, name) = act.signal();
+        let (signal, name) = signal_kind.number_and_name();
         self.recorder.record(EventKind::Signalled { node: self.node, signal: name });
-        if matches!(act, ProcessAction::Term | ProcessAction::Kill) {
-            self.wanted.store(true, Ordering::SeqCst);
+        if matches!(signal_kind, ProcessSignal::Term | ProcessSignal::Kill) {
+            self.exit_expected.store(true, Ordering::SeqCst);
         }
         let _ = kill_process(pid, signal);
     }
 
-    /// Waits until it has ended; kills it if it does not.
-    pub async fn ended(&self) {
+    /// Waits until the process has exited; kills it after [`EXIT_TIMEOUT`].
+    pub async fn wait_for_exit(&self) {
         let mut running = self.running.subscribe();
-        if tokio::time::timeout(END_MOST, running.wait_for(|r| !r)).await.is_err() {
-            self.act(ProcessAction::Kill);
+        if tokio::time::timeout(EXIT_TIMEOUT, running.wait_for(|r| !r)).await.is_err() {
+            self.send_signal(ProcessSignal::Kill);
             let _ = running.wait_for(|r| !r).await;
         }
     }
 
-    /// Processor time that it has used since its start.
+    /// Returns the CPU time that the process has used since its start.
     pub fn cpu_time(&self) -> Option<Duration> {
         cpu_time(format!("/proc/{}/stat", locked(&self.pid).as_ref()?.as_raw_pid()))
     }
 }
 
-/// What a line of a process's log says of duties, if it is about them.
-fn said(node: Node, line: &str) -> Option<EventKind> {
+/// Parses a log line about duties into its event; returns `None` for any other line.
+fn parse_log_line(node: Node, line: &str) -> Option<EventKind> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let duty = || Some(line["duty"].as_str()?.to_owned());
     if let Some(place) = line["at"].as_u64() {
@@ -210,7 +215,7 @@
     }
 }
 
-/// Processor time in a `stat` file, which counts in hundredths of a second.
+/// Reads the CPU time from a `/proc/PID/stat` file, which counts in hundredths of a second.
 pub fn cpu_time(path: impl AsRef<Path>) -> Option<Duration> {
     let stat = std::fs::read_to_string(path).ok()?;
     let mut fields = stat.rsplit_once(") ")?.1.split(' ').skip(11);
@@ -223,15 +228,17 @@
     use super::*;
 
     #[test]
-    fn what_is_said_of_duties_is_read_from_the_log_lines_and_nothing_else() {
+    fn only_log_lines_about_duties_are_parsed_into_events() {
         let (g, k) = (Node::Gatherer(3), Node::Keeper(1));
-        let owns =
-            said(g, r#"{"at_ms":1,"name":"g3","level":"INFO","words":"owns","duty":"roster","epoch":4}"#);
+        let owns = parse_log_line(
+            g,
+            r#"{"at_ms":1,"name":"g3","level":"INFO","words":"owns","duty":"roster","epoch":4}"#,
+        );
         assert_eq!(owns, Some(EventKind::Owns { node: g, duty: "roster".into(), epoch: 4 }));
         let line = r#"{"at":9,"duty":"roster","holds":{"owner":"x","epoch":4,"beat":2},"reply":{"written":{"version":7}}}"#;
         let agreed = EventKind::Agreed { node: k, place: 9, duty: "roster".into(), epoch: 4, wrote: Some(7) };
-        assert_eq!(said(k, line), Some(agreed));
-        assert_eq!(said(g, r#"{"words":"goes on","phase":"Ready"}"#), None);
-        assert_eq!(said(g, "not JSON"), None);
+        assert_eq!(parse_log_line(k, line), Some(agreed));
+        assert_eq!(parse_log_line(g, r#"{"words":"goes on","phase":"Ready"}"#), None);
+        assert_eq!(parse_log_line(g, "not JSON"), None);
     }
 }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -21,7 +21,7 @@
 use crate::history::{End, EventKind, History, Recorder};
 use crate::links::{Link, Target};
 use crate::node::Node;
-use crate::process::{LaunchSpec, Process, ProcessAction, cpu_time};
+use crate::process::{LaunchSpec, Process, ProcessSignal, cpu_time};
 use crate::script::{Plan, PlannedQuery, Rehearsal, Step, VERTICALS};
 use crate::shards::{self, Server};
 
@@ -199,9 +199,9 @@
                 tokio::spawn(link.clone().run());
                 Ok::<_, String>(link)
             };
-            link(g, Node::List, Target::Within(list.clone()))?;
+            link(g, Node::List, Target::InProcess(list.clone()))?;
             for (i, dials) in (0..).zip(&dials) {
-                let address = link(g, Node::Server(i), Target::Within(dials.clone()))?.address;
+                let address = link(g, Node::Server(i), Target::InProcess(dials.clone()))?.address;
                 known.insert((g, i), address);
             }
             let listen = Arc::new(Mutex::new(free(g).map_err(io)?));
@@ -294,7 +294,7 @@
         match node {
             Node::Gatherer(i) => self.gatherers.get(usize::from(i)).map(|g| &g.process),
             Node::Keeper(i) => self.keepers.get(usize::from(i)).map(|k| &k.process),
-            Node::Owner => self.recorder.owner().and_then(|owner| self.process(owner)),
+            Node::Owner => self.recorder.last_owner().and_then(|owner| self.process(owner)),
             _ => None,
         }
     }
@@ -342,7 +342,7 @@
         self: Arc<Self>, node: Node, kept: bool, started: mpsc::UnboundedSender<(Node, bool)>,
     ) {
         if let Some(process) = self.process(node) {
-            process.ended().await;
+            process.wait_for_exit().await;
         }
         let _ = started.send((node, kept));
     }
@@ -377,7 +377,7 @@
             let (taken_in, ready) =
                 (gatherer.taken_in.load(Ordering::SeqCst), gatherer.ready.load(Ordering::SeqCst));
             sleep(if taken_in && ready { FRONT_LOOK } else { FRONT_LOOK_OUT }).await;
-            if !taken_in && !gatherer.process.runs() {
+            if !taken_in && !gatherer.process.is_running() {
                 continue;
             }
             let look = timeout(FRONT_WAIT, self.pool.get(uri.clone())).await;
@@ -395,15 +395,15 @@
     }
 
     fn step(self: &Arc<Self>, step: Step, started: &mpsc::UnboundedSender<(Node, bool)>) {
-        let act = |node: Node, act: ProcessAction| {
-            self.process(node).into_iter().for_each(|process| process.act(act))
+        let act = |node: Node, act: ProcessSignal| {
+            self.process(node).into_iter().for_each(|process| process.send_signal(act))
         };
         // Who owned the duty when the act began is who it ends for.
         let owner = |number: usize, node: Node, begins: bool| {
             let mut hit = self.hit_owners.lock().unwrap_or_else(PoisonError::into_inner);
             match (node, begins) {
                 (Node::Owner, true) => {
-                    *hit.entry(number).or_insert_with(|| self.recorder.owner().unwrap_or(Node::Owner))
+                    *hit.entry(number).or_insert_with(|| self.recorder.last_owner().unwrap_or(Node::Owner))
                 }
                 (Node::Owner, false) => hit.get(&number).copied().unwrap_or(node),
                 _ => node,
@@ -422,17 +422,17 @@
                 let node = owner(number, node, false);
                 tokio::spawn(self.clone().start_again(node, kept, started.clone()));
             }
-            Step::Term { number, node } => act(owner(number, node, true), ProcessAction::Term),
-            Step::Kill { number, node } => act(owner(number, node, true), ProcessAction::Kill),
-            Step::Stop { number, node } => act(owner(number, node, true), ProcessAction::Stop),
-            Step::Wake { number, node } => act(owner(number, node, false), ProcessAction::Wake),
+            Step::Term { number, node } => act(owner(number, node, true), ProcessSignal::Term),
+            Step::Kill { number, node } => act(owner(number, node, true), ProcessSignal::Kill),
+            Step::Stop { number, node } => act(owner(number, node, true), ProcessSignal::Stop),
+            Step::Wake { number, node } => act(owner(number, node, false), ProcessSignal::Continue),
             Step::Hit { number, from, to, way, fault } => {
                 let from = owner(number, from, true);
-                link(from, to).into_iter().for_each(|link| link.hit(number, way, fault));
+                link(from, to).into_iter().for_each(|link| link.inject(number, way, fault));
             }
             Step::Mend { number, from, to, dropped } => {
                 let from = owner(number, from, false);
-                link(from, to).into_iter().for_each(|link| link.mend(number, dropped));
+                link(from, to).into_iter().for_each(|link| link.clear(number, dropped));
             }
             Step::Behave { number, server: i, vertical, manner } => {
                 server(i).behave(number, vertical, manner)
@@ -518,7 +518,7 @@
         loop {
             let late: Vec<String> =
                 self.gatherers.iter().filter(waits).map(|g| g.process.node.to_string()).collect();
-            if late.is_empty() && (self.keepers.is_empty() || self.recorder.owner().is_some()) {
+            if late.is_empty() && (self.keepers.is_empty() || self.recorder.last_owner().is_some()) {
                 return Ok(());
             }
             if Instant::now() > end {
@@ -531,9 +531,9 @@
     /// Kills all that still run.
     async fn end(&self) {
         let all = || self.gatherers.iter().map(|g| &g.process).chain(self.keepers.iter().map(|k| &k.process));
-        all().for_each(|process| process.act(ProcessAction::Kill));
+        all().for_each(|process| process.send_signal(ProcessSignal::Kill));
         for process in all() {
-            process.ended().await;
+            process.wait_for_exit().await;
         }
     }
 
@@ -587,7 +587,7 @@
             warm = rig.warm() => warm?,
             Some(words) = ended.recv() => return Err(words),
         }
-        rig.recorder.zero();
+        rig.recorder.restart_clock();
     }
     let start = Instant::now();
     let cpu_before: Vec<_> = rig.gatherers.iter().map(|g| g.process.cpu_time()).collect();
@@ -635,7 +635,7 @@
         0 => None,
         dropped_count => Some(format!("{dropped_count} events found no room in the history")),
     };
-    let broken = checks::broken(&history);
+    let broken = checks::violations(&history);
     Ok(Outcome {
         bounds: bounds(rehearsal, &figures),
         history,
--- a/crates/lab/src/shards.rs
+++ b/crates/lab/src/shards.rs
@@ -275,7 +275,7 @@
 
     fn manner(&self, vertical: &str) -> Behaviour {
         match &self.ways {
-            Ways::FaultSchedule { script, start } => script.manner(self.number, start.elapsed()),
+            Ways::FaultSchedule { script, start } => script.behaviour_at(self.number, start.elapsed()),
             Ways::Told(told) => {
                 let hits = |t: &&Told| t.vertical.as_ref().is_none_or(|v| v == vertical);
                 locked(told).iter().rev().find(hits).map_or(Behaviour::Well, |t| t.manner)
