--- a/crates/lab/src/bin/ashvane-rehearse.rs
+++ b/crates/lab/src/bin/ashvane-rehearse.rs
@@ -7,7 +7,7 @@
 use ashvane_lab::hunt;
 use ashvane_lab::process::{LAUNCH, launch};
 use ashvane_lab::rehearsals::ALL;
-use ashvane_lab::rig::{Bound, Options, Outcome, play};
+use ashvane_lab::rig::{Bound, Options, Outcome, run_rehearsal};
 use ashvane_lab::script::Rehearsal;
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
@@ -80,10 +80,10 @@
         }
         None => return Err(format!("there is no rehearsal {:?}; see ashvane-rehearse list", asked.name)),
     };
-    let mut rehearsal = Rehearsal::read(&text).map_err(|e| format!("{}: {e}", asked.name))?;
+    let mut rehearsal = Rehearsal::parse(&text).map_err(|e| format!("{}: {e}", asked.name))?;
     rehearsal.gatherers = asked.gatherers.unwrap_or(rehearsal.gatherers);
     rehearsal.seconds = asked.seconds.unwrap_or(rehearsal.seconds);
-    rehearsal.checked()
+    rehearsal.validated()
 }
 
 fn options(asked: &Asked, seed: u64) -> Result<Options, String> {
@@ -155,7 +155,7 @@
     let seeds = seeds.and_then(|(a, b)| Some(a.parse::<u64>().ok()?..b.parse::<u64>().ok()?));
     let seeds = seeds.ok_or("--seeds is not A..B")?;
     let breaks = async |rehearsal: &Rehearsal, seed| -> Result<Option<String>, String> {
-        let outcome = play(rehearsal, &options(asked, seed)?).await?;
+        let outcome = run_rehearsal(rehearsal, &options(asked, seed)?).await?;
         if let Some(why) = &outcome.not_measured {
             eprintln!("seed {seed}: not measured: {why}");
             return Ok(None);
@@ -168,7 +168,7 @@
         played += 1;
         let Some(broken) = breaks(&rehearsal, seed).await? else { continue };
         eprintln!("seed {seed}: {broken}");
-        let acts = hunt::shrink(rehearsal.act.clone(), async |acts| {
+        let acts = hunt::cut_down(rehearsal.act.clone(), async |acts| {
             let fewer = Rehearsal { act: acts.to_vec(), ..rehearsal.clone() };
             matches!(breaks(&fewer, seed).await, Ok(Some(_)))
         });
@@ -207,7 +207,7 @@
     let rehearsal = rehearsal(asked).map_err(usage)?;
     let seed = asked.seed.unwrap_or(1);
     let options = options(asked, seed).map_err(usage)?;
-    let outcome = play(&rehearsal, &options).await.map_err(|words| (BROKEN, words))?;
+    let outcome = run_rehearsal(&rehearsal, &options).await.map_err(|words| (BROKEN, words))?;
     if options.progress.is_some() {
         eprint!("\r\x1b[K");
     }
@@ -234,7 +234,7 @@
     let asked = match asked() {
         Ok(Some(asked)) if asked.name == "list" => {
             for (name, text) in ALL {
-                let about = Rehearsal::read(text).map(|r| r.about).unwrap_or_else(|e| e);
+                let about = Rehearsal::parse(text).map(|r| r.about).unwrap_or_else(|e| e);
                 println!("{name:14} {about}");
             }
             return ExitCode::SUCCESS;
--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ashvane_lab::clients::{self, ClientQuery, Counts};
+use ashvane_lab::clients::{self, ClientQuery, QueryCounts};
 use ashvane_lab::discovery::{Discovery, member};
 use ashvane_lab::faults::FaultSchedule;
 use ashvane_lab::levels::Levels;
@@ -160,13 +160,13 @@
     let Ok(table) = serde_json::from_slice::<Value>(&body) else { return false };
     for row in table["purposes"].as_array().into_iter().flatten() {
         let (name, now) = (row["purpose"].as_str().unwrap_or("?"), row["now"].as_f64().unwrap_or(-1.0));
-        levels.record(name, now);
+        levels.note(name, now);
     }
     for name in ["live", "unattributed"] {
-        levels.record(name, table[name].as_f64().unwrap_or(-1.0));
+        levels.note(name, table[name].as_f64().unwrap_or(-1.0));
     }
     if let Some((now, _)) = resident(child) {
-        levels.record("resident", now);
+        levels.note("resident", now);
     }
     true
 }
@@ -228,7 +228,7 @@
         shards.push(Shard::start(number, script.clone(), start).await.map_err(io)?);
     }
     let discovery = Discovery::start().await.map_err(io)?;
-    discovery.tell(members(&shards, None));
+    discovery.publish(members(&shards, None));
     let (listen, admin) = (free().await.map_err(io)?, free().await.map_err(io)?);
     let folder = std::env::temp_dir().join(format!("ashvane-soak-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(io)?;
@@ -252,8 +252,11 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    let (loud, quiet, odd) =
-        (Arc::new(Counts::default()), Arc::new(Counts::default()), Arc::new(Counts::default()));
+    let (loud, quiet, odd) = (
+        Arc::new(QueryCounts::default()),
+        Arc::new(QueryCounts::default()),
+        Arc::new(QueryCounts::default()),
+    );
     for number in 0..options.stalled {
         let odd = odd.clone();
         tokio::spawn(async move {
@@ -269,7 +272,7 @@
                     deadline: Duration::from_millis(1500),
                     retry: false,
                 };
-                clients::trickle(listen, ask, Duration::from_secs(20), &odd).await;
+                clients::send_and_read_slowly(listen, ask, Duration::from_secs(20), &odd).await;
                 sleep(Duration::from_millis(200)).await;
             }
         });
@@ -283,11 +286,11 @@
         let asked = if options.plain { plain(number) } else { query(number, &mut rng) };
         if !options.plain && rng.u32(..50) == 0 {
             let (odd, after) = (odd.clone(), Duration::from_millis(rng.u64(..30)));
-            tokio::spawn(async move { clients::leave(listen, asked, after, &odd).await });
+            tokio::spawn(async move { clients::send_and_disconnect(listen, asked, after, &odd).await });
         } else {
             let counts = if asked.tenant == "loud" { loud.clone() } else { quiet.clone() };
             let pool = pool.clone();
-            tokio::spawn(async move { clients::ask(&pool, listen, asked, &counts).await });
+            tokio::spawn(async move { clients::send_counted(&pool, listen, asked, &counts).await });
         }
         if Instant::now() >= next_note && !options.plain {
             next_note += Duration::from_secs(1);
@@ -298,7 +301,7 @@
         let now = (0.8..0.97).contains(&cycles.fract()).then_some(cycles as usize % SERVERS);
         if now != drained && !options.calm {
             drained = now;
-            discovery.tell(members(&shards, drained));
+            discovery.publish(members(&shards, drained));
         }
     }
     sleep(Duration::from_secs(6)).await;
@@ -308,7 +311,7 @@
         println!("{:.1} us of processor time a query", used.as_secs_f64() * 1e6 / options.queries as f64);
     }
     let peak = resident(&child).map_or(f64::NAN, |(_, peak)| peak);
-    let of = |counts: &Counts, name: &str| {
+    let of = |counts: &QueryCounts, name: &str| {
         let n = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
         let latency = counts.latency.lock().ok().and_then(|l| l.clone());
         let at = |q| latency.as_ref().map_or(0, |l| l.value_at_quantile(q) / 1000);
@@ -319,7 +322,7 @@
             n(&counts.whole),
             n(&counts.partial),
             n(&counts.rejected),
-            n(&counts.bare),
+            n(&counts.rejected_without_retry_after),
             n(&counts.aborted),
             n(&counts.closed),
             n(&counts.lost),
@@ -331,9 +334,9 @@
     };
     let honest =
         [of(&loud, "loud"), of(&quiet, "quiet"), of(&odd, "stalled and leaving")].iter().all(|good| *good);
-    let trends = levels.trends(PARTS, options.share as f64 / 100.0, options.slack_kb as f64 * 1024.0);
+    let courses = levels.courses(PARTS, options.share as f64 / 100.0, options.slack_kb as f64 * 1024.0);
     println!("\nKB, mean of each sixth{:18} peak  furthest from the first", "");
-    for c in &trends {
+    for c in &courses {
         let means: Vec<String> = c.means.iter().map(|m| format!("{:7.0}", m / 1024.0)).collect();
         let steady = if c.steady { "" } else { "  NOT STEADY" };
         println!(
@@ -345,7 +348,7 @@
         );
     }
     let within = peak <= (options.memory_mb << 20) as f64;
-    let steady = trends.iter().all(|c| c.steady);
+    let steady = courses.iter().all(|c| c.steady);
     println!(
         "\n{} queries in {:.0} s; resident at most {:.1} of {} MB; alive {alive}; readings that failed {silent}",
         options.queries,
@@ -354,7 +357,7 @@
         options.memory_mb
     );
     if let Some(path) = &options.json {
-        let rows = trends
+        let rows = courses
             .iter()
             .map(|c| json!({"name": c.name, "means": c.means, "peak": c.peak, "steady": c.steady}));
         let report = json!({"queries": options.queries, "seconds": took.as_secs_f64(), "resident_peak": peak,
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of several manners. Each answer is checked against what the stand-ins give.
+//! Clients of several kinds: regular ones, slow readers and ones that disconnect early. The answers of regular
+//! clients are checked against the values of the stand-in shard servers.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -21,30 +22,31 @@
 use crate::history::End;
 use crate::value_of;
 
-/// Time beyond its deadline for which a client looks for its answer, so that one that is lost shows.
-const LOST_AFTER: Duration = Duration::from_secs(3);
+/// Time that a client waits beyond its deadline before it counts the answer as lost.
+const LOST_ANSWER_GRACE: Duration = Duration::from_secs(3);
 
-/// Bytes that a client's machine holds for one that does not read.
-const NARROW: u32 = 4096;
+/// Receive buffer of a client that reads slowly.
+const SLOW_RECV_BUFFER_BYTES: u32 = 4096;
 
-/// One query of a client.
+/// A query of a client.
 #[derive(Clone, Debug)]
 pub struct ClientQuery {
+    /// Request id.
     pub id: String,
     pub vertical: &'static str,
     pub tenant: &'static str,
-    /// The shards that it has parts for.
+    /// Shards for which the query has parts.
     pub shards: Vec<u32>,
-    /// The share of its parts that a whole answer has.
+    /// Minimum share of the parts in a whole answer.
     pub need: f64,
-    /// How long each part's value is to be.
+    /// Requested length of each part's value, in bytes.
     pub length: usize,
     pub deadline: Duration,
-    /// A client's further try.
+    /// Whether this is a retry.
     pub retry: bool,
 }
 
-/// What a client got: how it ended, the shards whose values are in, and when to come back.
+/// Result of a query: how it ended, the shards in the answer, and the `Retry-After` time.
 #[derive(Debug)]
 pub struct QueryOutcome {
     pub end: End,
@@ -70,24 +72,25 @@
     value: String,
 }
 
-/// What came of the queries of one kind.
+/// Results of the queries of one kind of client.
 #[derive(Default)]
-pub struct Counts {
+pub struct QueryCounts {
     pub asked: AtomicU64,
     pub whole: AtomicU64,
     pub partial: AtomicU64,
     pub rejected: AtomicU64,
-    /// Rejected without a time to come back.
-    pub bare: AtomicU64,
+    /// Rejections without `Retry-After`.
+    pub rejected_without_retry_after: AtomicU64,
     pub aborted: AtomicU64,
     pub closed: AtomicU64,
-    /// No answer long after the deadline.
+    /// Queries without an answer long after the deadline.
     pub lost: AtomicU64,
-    /// An answer that no stand-in's values make.
+    /// Answers with values that no stand-in sent, and malformed answers.
     pub false_answers: AtomicU64,
     pub latency: Mutex<Option<Histogram<u64>>>,
 }
 
+/// Increments a counter.
 pub fn count(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
@@ -99,16 +102,21 @@
         json!({"targets": targets, "query": format!("{} length={}", self.vertical, self.length)}).to_string()
     }
 
-    fn is_true(&self, answer: &Answer) -> bool {
-        let good = |v: &Value| v.value == value_of(&format!("{}.{}", self.id, v.partition), self.length);
+    fn is_correct(&self, answer: &Answer) -> bool {
+        let value_matches =
+            |v: &Value| v.value == value_of(&format!("{}.{}", self.id, v.partition), self.length);
         let shards: std::collections::BTreeSet<u32> = answer.results.iter().map(|v| v.partition).collect();
-        let whole = !answer.whole || shards.len() as f64 >= self.shards.len() as f64 * self.need - 1e-9;
-        let asked = shards.iter().all(|shard| self.shards.contains(shard));
-        whole && asked && shards.len() == answer.results.len() && answer.results.iter().all(good)
+        let share_sufficient =
+            !answer.whole || shards.len() as f64 >= self.shards.len() as f64 * self.need - 1e-9;
+        let only_requested = shards.iter().all(|shard| self.shards.contains(shard));
+        share_sufficient
+            && only_requested
+            && shards.len() == answer.results.len()
+            && answer.results.iter().all(value_matches)
     }
 
-    /// The request as bytes, for clients that read it in ways of their own.
-    fn bytes(&self) -> String {
+    /// Returns the HTTP request as text, for clients that use a plain socket.
+    fn http_request(&self) -> String {
         let (body, ms) = (self.body(), self.deadline.as_millis());
         format!(
             "POST /{}/{} HTTP/1.1\r\nHost: lab\r\nReq-Id: {}\r\nReq-Owner: {}\r\nReq-Deadline: {ms}m\r\n\
@@ -122,37 +130,39 @@
     }
 }
 
+/// HTTP client with a connection pool.
 pub type Pool = Client<HttpConnector, Full<Bytes>>;
 
+/// Creates a [`Pool`].
 pub fn pool() -> Pool {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-/// A client that asks, reads and checks.
-pub async fn get(pool: &Pool, at: SocketAddr, ask: &ClientQuery) -> QueryOutcome {
-    let request = Request::post(format!("http://{at}/{}/{}", ask.vertical, ask.id))
-        .header("Req-Id", &ask.id)
-        .header("Req-Owner", ask.tenant)
-        .header("Req-Deadline", format!("{}m", ask.deadline.as_millis()));
-    let request = if ask.retry { request.header("Req-Retry", "1") } else { request };
-    let Ok(request) = request.body(Full::new(Bytes::from(ask.body()))) else { return End::False.into() };
-    let asking = async {
+/// Sends a query, reads the answer and checks it.
+pub async fn send_query(pool: &Pool, at: SocketAddr, query: &ClientQuery) -> QueryOutcome {
+    let request = Request::post(format!("http://{at}/{}/{}", query.vertical, query.id))
+        .header("Req-Id", &query.id)
+        .header("Req-Owner", query.tenant)
+        .header("Req-Deadline", format!("{}m", query.deadline.as_millis()));
+    let request = if query.retry { request.header("Req-Retry", "1") } else { request };
+    let Ok(request) = request.body(Full::new(Bytes::from(query.body()))) else { return End::False.into() };
+    let exchange = async {
         let answer = pool.request(request).await.map_err(|e| e.is_connect())?;
         let (head, body) = answer.into_parts();
         Ok((head, body.collect().await.map_err(|_| false)?.to_bytes()))
     };
-    let (head, body) = match timeout(ask.deadline + LOST_AFTER, asking).await {
+    let (head, body) = match timeout(query.deadline + LOST_ANSWER_GRACE, exchange).await {
         Err(_) => return End::Lost.into(),
-        Ok(Err(unreached)) => return if unreached { End::Unreached } else { End::Closed }.into(),
+        Ok(Err(connect_failed)) => return if connect_failed { End::Unreached } else { End::Closed }.into(),
         Ok(Ok(answer)) => answer,
     };
     let retry_after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
     let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
     match head.status.as_u16() {
         200 => match serde_json::from_slice::<Answer>(&body) {
-            Ok(answer) if ask.is_true(&answer) => {
+            Ok(answer) if query.is_correct(&answer) => {
                 let shards = answer.results.iter().map(|v| v.partition as u16).collect();
                 QueryOutcome {
                     end: if answer.whole { End::Whole } else { End::Partial },
@@ -168,12 +178,12 @@
     }
 }
 
-/// The same, counted.
-pub async fn ask(pool: &Pool, at: SocketAddr, ask: ClientQuery, counts: &Counts) {
+/// Sends a query like [`send_query`] and counts the result.
+pub async fn send_counted(pool: &Pool, at: SocketAddr, query: ClientQuery, counts: &QueryCounts) {
     count(&counts.asked);
-    let began = Instant::now();
-    let got = get(pool, at, &ask).await;
-    let counter = match got.end {
+    let start = Instant::now();
+    let outcome = send_query(pool, at, &query).await;
+    let counter = match outcome.end {
         End::Whole => &counts.whole,
         End::Partial => &counts.partial,
         End::Rejected => &counts.rejected,
@@ -183,30 +193,30 @@
         End::False => &counts.false_answers,
     };
     count(counter);
-    if got.end == End::Rejected && got.retry_after.is_none() {
-        count(&counts.bare);
+    if outcome.end == End::Rejected && outcome.retry_after.is_none() {
+        count(&counts.rejected_without_retry_after);
     }
-    if !matches!(got.end, End::Unreached | End::Closed | End::Lost)
+    if !matches!(outcome.end, End::Unreached | End::Closed | End::Lost)
         && let Ok(mut latency) = counts.latency.lock()
     {
-        let fresh = || Histogram::new(3).expect("three digits");
-        latency.get_or_insert_with(fresh).record(began.elapsed().as_micros() as u64).ok();
+        let new_histogram = || Histogram::new(3).expect("three significant digits are allowed");
+        latency.get_or_insert_with(new_histogram).record(start.elapsed().as_micros() as u64).ok();
     }
 }
 
-/// A connection whose machine takes in little that is not read.
-async fn connect_narrow(at: SocketAddr) -> std::io::Result<TcpStream> {
+/// Opens a connection with a small receive buffer, so that little is accepted that is not read.
+async fn connect_with_small_buffer(at: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = tokio::net::TcpSocket::new_v4()?;
-    socket.set_recv_buffer_size(NARROW)?;
+    socket.set_recv_buffer_size(SLOW_RECV_BUFFER_BYTES)?;
     socket.connect(at).await
 }
 
-/// A client that asks and then reads one byte a second, until it is closed or so long has passed.
-pub async fn trickle(at: SocketAddr, ask: ClientQuery, lasts: Duration, counts: &Counts) {
+/// Sends a query and reads one byte per second until the connection is closed or `lasts` has passed.
+pub async fn send_and_read_slowly(at: SocketAddr, query: ClientQuery, lasts: Duration, counts: &QueryCounts) {
     let end = Instant::now() + lasts;
-    let Ok(mut stream) = connect_narrow(at).await else { return count(&counts.closed) };
+    let Ok(mut stream) = connect_with_small_buffer(at).await else { return count(&counts.closed) };
     count(&counts.asked);
-    if stream.write_all(ask.bytes().as_bytes()).await.is_err() {
+    if stream.write_all(query.http_request().as_bytes()).await.is_err() {
         return count(&counts.closed);
     }
     let mut byte = [0];
@@ -218,11 +228,11 @@
     }
 }
 
-/// A client that leaves after so long, whatever has come by then.
-pub async fn leave(at: SocketAddr, ask: ClientQuery, after: Duration, counts: &Counts) {
+/// Sends a query and disconnects after `after`, or earlier when bytes arrive.
+pub async fn send_and_disconnect(at: SocketAddr, query: ClientQuery, after: Duration, counts: &QueryCounts) {
     let Ok(mut stream) = TcpStream::connect(at).await else { return count(&counts.closed) };
     count(&counts.asked);
-    let _ = stream.write_all(ask.bytes().as_bytes()).await;
+    let _ = stream.write_all(query.http_request().as_bytes()).await;
     let mut some = [0; 4096];
     let _ = timeout(after, stream.read(&mut some)).await;
 }
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: a list that changes, told to whoever watches it, by a service that can do so much.
+//! Stand-in for the discovery service: a changing list of servers, served to watching clients at a limited rate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,34 +21,35 @@
 use crate::links::ConnectionSender;
 use crate::node::Node;
 
-/// The longest that a watch waits.
-const WAIT_MOST: Duration = Duration::from_secs(60);
-/// A call that would wait longer for its turn gets 503, and one twice as long behind nothing at all.
-const TURN_MOST: Duration = Duration::from_secs(2);
-/// What a 503 costs the service, as a share of an answer.
-const SORRY_COST: f64 = 0.1;
+/// Maximum wait of a long poll.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// Calls that would queue for longer than this are answered with 503; those that would queue for more than twice
+/// this long are not answered at all.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
+/// Cost of a 503 relative to a full answer.
+const UNAVAILABLE_COST_RATIO: f64 = 0.1;
 
-/// What the service does wrong, to all or to some.
+/// Fault of the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ListFault {
-    /// Takes calls and never answers.
+    /// Accepts calls and never answers.
     Hangs,
     /// Answers 503.
     Sorry,
-    /// Answers so much later.
+    /// Delays answers by `ms`.
     Late { ms: u64 },
-    /// Tells nothing that is newer than what it had when this began.
+    /// Serves no list newer than the one at the start of the fault.
     Old,
-    /// Leaves out every second server, and says that the list is whole.
+    /// Omits every second server, but reports the list as complete.
     Halved,
-    /// Its revisions are this much lower, as from a backup.
+    /// Reports revisions lowered by `by`, like a service restored from a backup.
     Back { by: u64 },
-    /// Answers half of a list and closes the connection.
+    /// Sends half of the list and closes the connection.
     Torn,
 }
 
-/// One server as the list has it, apart from its address, which differs from one gatherer to the next.
+/// A server of the list, without its address, which differs between gatherers.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub node: u16,
@@ -65,32 +66,34 @@
 struct List {
     revision: u64,
     members: Arc<Vec<Value>>,
-    /// The same for a rehearsal, whose callers each have their own addresses.
-    typed: Arc<Vec<Member>>,
+    /// Members in a rehearsal, where each gatherer has its own addresses for them.
+    rehearsal_members: Arc<Vec<Member>>,
 }
 
-struct Hit {
+struct ActiveFault {
     number: usize,
-    /// The gatherers hit; all of them where this is empty.
+    /// Affected gatherers; all if empty.
     who: Vec<u16>,
-    trouble: ListFault,
-    /// What is told while it is old.
-    then: List,
+    fault: ListFault,
+    /// List at the start of the fault, served while the fault is [`ListFault::Old`].
+    list_at_start: List,
 }
 
+/// The stand-in service. Clones share their state.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it is asked, where it has a socket of its own.
+    /// Listen address, if the service has its own socket.
     pub address: SocketAddr,
     list: watch::Sender<List>,
-    hits: Arc<Mutex<Vec<Hit>>>,
-    /// Calls a second, and when the next one has its turn.
+    active_faults: Arc<Mutex<Vec<ActiveFault>>>,
+    /// Maximum calls per second; unlimited if absent.
     rate: Option<f64>,
-    turn: Arc<Mutex<Instant>>,
+    /// Earliest time at which the next call is served.
+    next_slot: Arc<Mutex<Instant>>,
     address_of: AddressOf,
     recorder: Option<Recorder>,
-    /// Servers not ready of which each gatherer has been told.
-    told: Arc<Mutex<BTreeMap<Node, u64>>>,
+    /// Last list revision for which each gatherer's drain notices were recorded.
+    notified_revisions: Arc<Mutex<BTreeMap<Node, u64>>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -104,45 +107,46 @@
         Discovery {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             list: watch::Sender::new(List::default()),
-            hits: Arc::default(),
+            active_faults: Arc::default(),
             rate,
-            turn: Arc::new(Mutex::new(Instant::now())),
+            next_slot: Arc::new(Mutex::new(Instant::now())),
             address_of,
             recorder,
-            told: Arc::default(),
+            notified_revisions: Arc::default(),
         }
     }
 
-    /// One on a socket of its own.
+    /// Starts a service on its own socket.
     pub async fn start() -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let mut discovery = Discovery::new(None, Arc::new(|_, _| None), None);
         discovery.address = listener.local_addr()?;
-        let serving = discovery.clone();
+        let service_handle = discovery.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
-                let serving = serving.clone();
-                tokio::spawn(async move { serving.serve(stream, Node::Gatherer(0)).await });
+                let service_handle = service_handle.clone();
+                tokio::spawn(async move { service_handle.serve(stream, Node::Gatherer(0)).await });
             }
         });
         Ok(discovery)
     }
 
-    /// One of a rehearsal, that answers so many calls a second; relays bring it who asks.
-    pub fn within(
+    /// Starts a service for a rehearsal, which answers `rate` calls per second. Relays connect to it by the returned
+    /// sender.
+    pub fn in_process(
         rate: Option<f64>, address_of: AddressOf, recorder: Recorder,
     ) -> (Discovery, ConnectionSender) {
         let discovery = Discovery::new(rate, address_of, Some(recorder));
         let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, tokio::io::DuplexStream)>();
-        let serving = discovery.clone();
+        let service_handle = discovery.clone();
         tokio::spawn(async move {
             while let Some((from, stream)) = dialled.recv().await {
-                let serving = serving.clone();
-                tokio::spawn(async move { serving.serve(stream, from).await });
+                let service_handle = service_handle.clone();
+                tokio::spawn(async move { service_handle.serve(stream, from).await });
             }
         });
         (discovery, dials)
@@ -155,40 +159,46 @@
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    fn trouble(&self, from: Node) -> Option<(ListFault, List)> {
-        let meets =
-            |hit: &&Hit| hit.who.is_empty() || matches!(from, Node::Gatherer(g) if hit.who.contains(&g));
-        locked(&self.hits).iter().rev().find(meets).map(|hit| (hit.trouble, hit.then.clone()))
+    fn active_fault(&self, from: Node) -> Option<(ListFault, List)> {
+        let applies = |active: &&ActiveFault| {
+            active.who.is_empty() || matches!(from, Node::Gatherer(g) if active.who.contains(&g))
+        };
+        locked(&self.active_faults)
+            .iter()
+            .rev()
+            .find(applies)
+            .map(|active| (active.fault, active.list_at_start.clone()))
     }
 
-    /// Waits for a turn; the status of a call that can't have one.
-    async fn turn(&self) -> Result<(), u16> {
+    /// Waits until the rate limit admits the call. If it does not, returns the status (0: no answer).
+    async fn wait_for_admission(&self) -> Result<(), u16> {
         let Some(rate) = self.rate else { return Ok(()) };
-        let mine = {
-            let (mut turn, now) = (locked(&self.turn), Instant::now());
-            let mine = (*turn).max(now);
-            if mine > now + 2 * TURN_MOST {
+        let own_slot = {
+            let (mut next_slot, now) = (locked(&self.next_slot), Instant::now());
+            let own_slot = (*next_slot).max(now);
+            if own_slot > now + 2 * MAX_QUEUE_WAIT {
                 return Err(0);
             }
-            let sorry = mine > now + TURN_MOST;
-            *turn = mine + Duration::from_secs_f64(if sorry { SORRY_COST } else { 1.0 } / rate);
-            if sorry {
+            let unavailable = own_slot > now + MAX_QUEUE_WAIT;
+            *next_slot = own_slot
+                + Duration::from_secs_f64(if unavailable { UNAVAILABLE_COST_RATIO } else { 1.0 } / rate);
+            if unavailable {
                 return Err(503);
             }
-            mine
+            own_slot
         };
-        sleep_until(mine).await;
+        sleep_until(own_slot).await;
         Ok(())
     }
 
     async fn answer(&self, request: &Request<Incoming>, from: Node) -> Result<Answer, std::io::Error> {
-        let trouble = self.trouble(from);
-        let turn = match trouble {
+        let fault = self.active_fault(from);
+        let admission = match fault {
             Some((ListFault::Hangs, _)) => Err(0),
             Some((ListFault::Sorry, _)) => Err(503),
-            _ => self.turn().await,
+            _ => self.wait_for_admission().await,
         };
-        if let Err(status) = turn {
+        if let Err(status) = admission {
             self.record(EventKind::Listed { from, status, revision: 0 });
             if status == 0 {
                 std::future::pending::<()>().await;
@@ -197,39 +207,39 @@
             *answer.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE;
             return Ok(answer);
         }
-        if let Some((ListFault::Late { ms }, _)) = trouble {
+        if let Some((ListFault::Late { ms }, _)) = fault {
             sleep(Duration::from_millis(ms)).await;
         }
-        let asked = |name: &str| -> Option<u64> {
+        let query_parameter = |name: &str| -> Option<u64> {
             let query = request.uri().query()?;
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
-        let wait = Duration::from_millis(asked("wait_ms").unwrap_or(0)).min(WAIT_MOST);
-        let by = match trouble {
+        let wait = Duration::from_millis(query_parameter("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
+        let revision_offset = match fault {
             Some((ListFault::Back { by }, _)) => by,
             _ => 0,
         };
-        let after = asked("after").map(|after| after + by);
-        let mut watched = self.list.subscribe();
-        // What is asked for is known to be told once the answer is written.
-        let newer = match trouble {
-            Some((ListFault::Old, ref then)) => {
-                let newer = after.is_none_or(|after| then.revision > after);
-                if !newer {
+        let after = query_parameter("after").map(|after| after + revision_offset);
+        let mut list_watch = self.list.subscribe();
+        // A list counts as received by the gatherer once the answer with it is written.
+        let has_newer = match fault {
+            Some((ListFault::Old, ref list_at_start)) => {
+                let has_newer = after.is_none_or(|after| list_at_start.revision > after);
+                if !has_newer {
                     sleep(wait).await;
                 }
-                newer
+                has_newer
             }
-            _ => timeout(wait, watched.wait_for(|l| after.is_none_or(|a| l.revision > a))).await.is_ok(),
+            _ => timeout(wait, list_watch.wait_for(|l| after.is_none_or(|a| l.revision > a))).await.is_ok(),
         };
-        let list = match &trouble {
-            Some((ListFault::Old, then)) => then.clone(),
-            _ => watched.borrow().clone(),
+        let list = match &fault {
+            Some((ListFault::Old, list_at_start)) => list_at_start.clone(),
+            _ => list_watch.borrow().clone(),
         };
-        let complete = newer || after.is_none();
-        let (status, revision) = (200, list.revision.saturating_sub(by));
+        let complete = has_newer || after.is_none();
+        let (status, revision) = (200, list.revision.saturating_sub(revision_offset));
         let mut members = if complete { self.members(&list, from) } else { Vec::new() };
-        if trouble.as_ref().is_some_and(|(t, _)| *t == ListFault::Halved) {
+        if fault.as_ref().is_some_and(|(t, _)| *t == ListFault::Halved) {
             let mut number = 0;
             members.retain(|_| {
                 number += 1;
@@ -238,78 +248,81 @@
         }
         self.record(EventKind::Listed { from, status, revision });
         let text = json!({"revision": revision, "complete": complete, "members": members}).to_string();
-        if trouble.is_some_and(|(t, _)| t == ListFault::Torn) {
-            // The length is the whole one's; the connection ends in the middle.
+        if fault.is_some_and(|(t, _)| t == ListFault::Torn) {
+            // Half of the JSON text, after which the connection is closed.
             let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
             let mut answer = Answer::new(Full::new(half));
             answer.headers_mut().insert("connection", hyper::header::HeaderValue::from_static("close"));
             return Ok(answer);
         }
         if complete {
-            self.tell_drains(&list, from);
+            self.record_drain_notices(&list, from);
         }
         Ok(Answer::new(Full::new(Bytes::from(text))))
     }
 
     fn members(&self, list: &List, from: Node) -> Vec<Value> {
-        let one = |m: &Member| {
+        let to_json = |m: &Member| {
             let address = (self.address_of)(from, m.node)?;
             Some(json!({"id": m.id, "host_port": address.to_string(), "locality": m.zone, "flavor": "m",
                         "cell": m.cell, "phase": m.phase, "size": 1.0, "up_since_ms": m.up_since_ms}))
         };
-        list.members.iter().cloned().chain(list.typed.iter().filter_map(one)).collect()
+        list.members.iter().cloned().chain(list.rehearsal_members.iter().filter_map(to_json)).collect()
     }
 
     fn record(&self, kind: EventKind) {
         self.recorder.iter().for_each(|recorder| recorder.record(kind.clone()));
     }
 
-    /// Notes which servers a gatherer now knows not to be ready.
-    fn tell_drains(&self, list: &List, to: Node) {
-        let known = locked(&self.told).insert(to, list.revision);
-        if known == Some(list.revision) {
+    /// Records which servers a gatherer has been told are not ready.
+    fn record_drain_notices(&self, list: &List, to: Node) {
+        let previous = locked(&self.notified_revisions).insert(to, list.revision);
+        if previous == Some(list.revision) {
             return;
         }
-        for m in list.typed.iter().filter(|m| m.phase != "ready") {
+        for m in list.rehearsal_members.iter().filter(|m| m.phase != "ready") {
             self.record(EventKind::ToldDrain { to, server: Node::Server(m.node) });
         }
     }
 
-    /// Tells a new list.
-    pub fn tell(&self, members: Vec<Value>) {
+    /// Publishes a new list.
+    pub fn publish(&self, members: Vec<Value>) {
         self.list.send_modify(|list| {
             *list = List { revision: list.revision + 1, members: Arc::new(members), ..List::default() };
         });
     }
 
-    /// The same to a rehearsal's callers.
+    /// Changes the members of a rehearsal and publishes the new list.
     pub fn update_members(&self, change: impl FnOnce(&mut Vec<Member>)) {
         self.list.send_modify(|list| {
-            let mut members = list.typed.to_vec();
+            let mut members = list.rehearsal_members.to_vec();
             change(&mut members);
-            *list = List { revision: list.revision + 1, typed: Arc::new(members), ..List::default() };
+            *list =
+                List { revision: list.revision + 1, rehearsal_members: Arc::new(members), ..List::default() };
         });
     }
 
-    /// The list as a gatherer would be told it now.
-    pub fn known(&self, to: Node) -> Value {
+    /// Returns the current list as a gatherer would receive it.
+    pub fn snapshot_for(&self, to: Node) -> Value {
         let list = self.list.borrow().clone();
         json!({"revision": list.revision, "complete": true, "members": self.members(&list, to)})
     }
 
-    pub fn hit(&self, number: usize, who: Vec<u16>, trouble: ListFault) {
-        let then = self.list.borrow().clone();
-        locked(&self.hits).push(Hit { number, who, trouble, then });
+    /// Starts a fault for some gatherers, or for all if `who` is empty.
+    pub fn inject(&self, number: usize, who: Vec<u16>, fault: ListFault) {
+        let list_at_start = self.list.borrow().clone();
+        locked(&self.active_faults).push(ActiveFault { number, who, fault, list_at_start });
         self.record(EventKind::Troubled { node: Node::List, on: true });
     }
 
-    pub fn mend(&self, number: usize) {
-        locked(&self.hits).retain(|hit| hit.number != number);
+    /// Ends the fault with this number.
+    pub fn clear(&self, number: usize) {
+        locked(&self.active_faults).retain(|active| active.number != number);
         self.record(EventKind::Troubled { node: Node::List, on: false });
     }
 }
 
-/// A shard server as the list has it.
+/// Returns the list entry of a shard server.
 pub fn member(id: &str, address: SocketAddr, cell: usize, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": cell,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -133,7 +133,7 @@
 pub fn draw(seed: u64, keepers: bool) -> Result<Rehearsal, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let ground = if keepers { format!("{GROUND}{KEEPERS}") } else { GROUND.to_owned() };
-    let mut rehearsal = Rehearsal::read(&ground)?;
+    let mut rehearsal = Rehearsal::parse(&ground)?;
     let count = rng.usize(1..=ACTS_MOST);
     rehearsal.act = (0..count)
         .map(|_| {
@@ -142,7 +142,7 @@
             ScheduledAction { at_ms, spread_ms, action }
         })
         .collect();
-    rehearsal.checked()
+    rehearsal.validated()
 }
 
 /// The same act for half as long, where it lasts.
@@ -158,7 +158,7 @@
 }
 
 /// Cuts acts out, then shortens those that are left, as long as what is left still breaks something.
-pub async fn shrink(
+pub async fn cut_down(
     mut acts: Vec<ScheduledAction>, mut breaks: impl AsyncFnMut(&[ScheduledAction]) -> bool,
 ) -> Vec<ScheduledAction> {
     let mut at = 0;
@@ -198,7 +198,7 @@
             let rehearsal = draw(seed, keepers).expect("it can be played");
             assert_eq!(rehearsal.act, draw(seed, keepers).expect("it").act);
             let text = toml::to_string(&rehearsal).expect("it can be written down");
-            assert_eq!(Rehearsal::read(&text).expect("and read").act, rehearsal.act);
+            assert_eq!(Rehearsal::parse(&text).expect("and read").act, rehearsal.act);
             for act in &rehearsal.act {
                 kinds.insert(
                     format!("{:?}", act.action).split([' ', '{']).next().unwrap_or_default().to_owned(),
@@ -223,7 +223,7 @@
         all.insert(3, stop);
         all.push(kill.clone());
         let mut tries = 0;
-        let least = shrink(all, async |acts: &[ScheduledAction]| {
+        let least = cut_down(all, async |acts: &[ScheduledAction]| {
             tries += 1;
             let stopped = |a: &ScheduledAction| matches!(a.action, Action::Stop { for_ms, .. } if for_ms >= 800 && a.at_ms == 700);
             acts.iter().any(stopped) && acts.contains(&kill)
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -12,7 +12,7 @@
 
 /// A level over the parts of a run: the mean of each part.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LevelTrend {
+pub struct Course {
     pub name: String,
     pub means: Vec<f64>,
     pub peak: f64,
@@ -22,13 +22,13 @@
 }
 
 impl Levels {
-    pub fn record(&mut self, name: &str, value: f64) {
+    pub fn note(&mut self, name: &str, value: f64) {
         self.0.entry(name.to_owned()).or_default().0.push(value);
     }
 
     /// Each level over so many equal parts. Steady is what stays within a share of its first part, or within
     /// `slack` of it, which bears levels so low that one query moves them.
-    pub fn trends(&self, parts: usize, share: f64, slack: f64) -> Vec<LevelTrend> {
+    pub fn courses(&self, parts: usize, share: f64, slack: f64) -> Vec<Course> {
         let course = |(name, series): (&String, &Series)| {
             let each = (series.0.len() / parts.max(1)).max(1);
             let mean = |part: &[f64]| part.iter().sum::<f64>() / part.len() as f64;
@@ -39,7 +39,7 @@
             let furthest = if first > 0.0 { most / first } else { most };
             let peak = series.0.iter().copied().fold(0.0, f64::max);
             let steady = most <= slack || furthest <= share;
-            LevelTrend { name: name.clone(), means, peak, furthest, steady }
+            Course { name: name.clone(), means, peak, furthest, steady }
         };
         self.0.iter().map(course).collect()
     }
@@ -53,13 +53,13 @@
     fn a_level_that_creeps_is_not_steady_and_one_that_swings_within_parts_is() {
         let mut levels = Levels::default();
         for i in 0..600 {
-            levels.record("creeps", 1000.0 + f64::from(i));
-            levels.record("swings", if i % 2 == 0 { 0.0 } else { 2000.0 });
-            levels.record("low", f64::from(i) / 100.0);
+            levels.note("creeps", 1000.0 + f64::from(i));
+            levels.note("swings", if i % 2 == 0 { 0.0 } else { 2000.0 });
+            levels.note("low", f64::from(i) / 100.0);
         }
-        let trends = levels.trends(6, 0.05, 10.0);
-        let steady: Vec<(&str, bool)> = trends.iter().map(|c| (c.name.as_str(), c.steady)).collect();
+        let courses = levels.courses(6, 0.05, 10.0);
+        let steady: Vec<(&str, bool)> = courses.iter().map(|c| (c.name.as_str(), c.steady)).collect();
         assert_eq!(steady, [("creeps", false), ("low", true), ("swings", true)]);
-        assert_eq!(trends[2].means, [1000.0; 6]);
+        assert_eq!(courses[2].means, [1000.0; 6]);
     }
 }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,4 +1,5 @@
-//! The rig: starts gatherers, stand-ins and the relays between them, plays a plan, and measures what came of it.
+//! Rig of a rehearsal: starts keepers, gatherers, stand-ins and the relays between them, carries out a plan, and
+//! evaluates the recorded history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,42 +26,47 @@
 use crate::script::{Plan, PlannedQuery, Rehearsal, Step, VERTICALS};
 use crate::shards::{self, Server};
 
-/// Time for a warm fleet to be ready before its clock starts.
-const WARM_MOST: Duration = Duration::from_secs(30);
-/// How often the front looks at a gatherer that it has taken in, and at one that it has not.
-const FRONT_LOOK: Duration = Duration::from_millis(250);
-const FRONT_LOOK_OUT: Duration = Duration::from_millis(25);
-/// Time in which a look must be answered.
-const FRONT_WAIT: Duration = Duration::from_secs(1);
-/// How long a client waits for an answer, and how late it still has its full worth.
-const DEADLINE: Duration = Duration::from_millis(1500);
-const AIM_US: u64 = 500_000;
-/// Pause before a client comes again that was told no time, and how much longer it may be.
-const AGAIN: Duration = Duration::from_millis(100);
-const AGAIN_SPREAD: f64 = 0.1;
-/// How far a clock's rate may be off, as keepers are told; gatherers have the same unless told otherwise.
-const DRIFT: f64 = 0.01;
-/// Bytes of a value.
-const VALUE: usize = 32;
-/// Descriptors that the rig itself needs, and each gatherer beside its links.
-const DESCRIPTORS: u64 = 200;
-const DESCRIPTORS_EACH: u64 = 10;
-/// Clients that were to ask at a moment and did so later than this, one in a hundred: the run is not measured.
+/// Time that a warm fleet has to become ready before the clock of the rehearsal starts.
+const WARM_UP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Health check interval for a gatherer that is in rotation.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Health check interval for a gatherer that is out of rotation.
+const READMISSION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Time-out of a health check and of a call to a keeper's counter.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Deadline of a query.
+const QUERY_DEADLINE: Duration = Duration::from_millis(1500);
+/// Latency target: answers up to this age have their full value.
+const LATENCY_TARGET_US: u64 = 500_000;
+/// Backoff of a client that received no `Retry-After`.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum jitter added to each backoff, in seconds.
+const RETRY_JITTER_S: f64 = 0.1;
+/// Maximum clock drift configured at the keepers; it is also the default of the gatherers.
+const CLOCK_DRIFT_RATIO: f64 = 0.01;
+/// Length of each part's value.
+const VALUE_BYTES: usize = 32;
+/// File descriptors that the rig needs for itself.
+const RIG_DESCRIPTORS: u64 = 200;
+/// File descriptors that each gatherer needs in addition to its links.
+const DESCRIPTORS_PER_GATHERER: u64 = 10;
+/// Maximum 99th percentile of the delay with which clients send planned queries. A run above it counts as not
+/// measured, because the machine is too busy.
 pub const MAX_LAG_MS: f64 = 100.0;
 
-/// How a rehearsal is to be played.
+/// Options of a run.
 #[derive(Clone)]
 pub struct Options {
     pub program: PathBuf,
     pub launcher: PathBuf,
     pub seed: u64,
-    /// Where configurations stand while it is played.
+    /// Folder for the configuration files and keeper data of the run.
     pub folder: PathBuf,
-    /// Told each second how far it is.
+    /// Called every second with a line about the progress.
     pub progress: Option<fn(&str)>,
 }
 
-/// One bound and what was measured.
+/// A bound on a figure, with the measured value (-1 if the figure was not measured).
 #[derive(Clone, Debug, Serialize)]
 pub struct Bound {
     pub name: String,
@@ -70,14 +76,15 @@
     pub holds: bool,
 }
 
+/// Result of a run.
 pub struct Outcome {
     pub history: History,
     pub figures: Figures,
     pub bounds: Vec<Bound>,
     pub broken: Vec<Violation>,
-    /// What ended unasked, with its last lines.
+    /// Processes that exited unexpectedly, with their last log lines.
     pub unexpected_exits: Vec<String>,
-    /// Why the run does not count, where it does not.
+    /// Reason why the run counts as not measured, if it does.
     pub not_measured: Option<String>,
 }
 
@@ -89,13 +96,13 @@
 
 struct Gatherer {
     process: Process,
-    /// Where it listens, as the relay to it knows.
+    /// Listen address, shared with the relay to it.
     listen: Arc<Mutex<SocketAddr>>,
-    /// Where clients reach it.
+    /// Relay from the clients.
     link: Arc<Link>,
-    /// Whether the front deals out queries to it.
-    taken_in: AtomicBool,
-    /// Whether it has said that it is ready since its last start.
+    /// Whether the front sends queries to it.
+    in_rotation: AtomicBool,
+    /// Whether it has reported readiness since its last start.
     ready: AtomicBool,
 }
 
@@ -112,8 +119,8 @@
     servers: Vec<Arc<Server>>,
     gatherers: Vec<Gatherer>,
     keepers: Vec<Keeper>,
-    /// Who the owner was when an act hit it, by the act's number.
-    hit_owners: Mutex<BTreeMap<usize, Node>>,
+    /// Owner that each action on [`Node::Owner`] affected, by the number of the action.
+    affected_owners: Mutex<BTreeMap<usize, Node>>,
     links: BTreeMap<(Node, Node), Arc<Link>>,
     pool: clients::Pool,
     next_query: AtomicU64,
@@ -121,16 +128,16 @@
     lag: Mutex<Histogram<u64>>,
 }
 
-/// A port of an address that is free now.
-fn free(node: Node) -> std::io::Result<SocketAddr> {
+/// Returns the node's address with a port that is free at the moment.
+fn free_address(node: Node) -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind((node.address(), 0))?.local_addr()
 }
 
-/// The address that a process is to listen at: what it had, or another port where that one is taken by now.
-fn usable(listen: &Mutex<SocketAddr>, node: Node) -> std::io::Result<SocketAddr> {
+/// Returns the listen address for a process, and chooses another port if its previous one is in use by now.
+fn usable_address(listen: &Mutex<SocketAddr>, node: Node) -> std::io::Result<SocketAddr> {
     let mut listen = listen.lock().unwrap_or_else(PoisonError::into_inner);
     if std::net::TcpListener::bind(*listen).is_err() {
-        *listen = free(node)?;
+        *listen = free_address(node)?;
     }
     Ok(*listen)
 }
@@ -139,45 +146,43 @@
     format!("z{zone}")
 }
 
-/// Tells who cannot be played on this machine.
-fn descriptors(rehearsal: &Rehearsal) -> Result<(), String> {
+/// Checks that the limit of open files allows the rehearsal.
+fn check_descriptor_limit(rehearsal: &Rehearsal) -> Result<(), String> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
     let (gatherers, servers) = (u64::from(rehearsal.gatherers), u64::from(rehearsal.servers));
-    // A listener and a connection for each pair, two where both ends are processes.
-    let each = DESCRIPTORS_EACH + 2 * servers + 3 * u64::from(rehearsal.keepers);
-    let wanted = DESCRIPTORS + gatherers * each;
-    if wanted > limit {
-        let words = "fewer gatherers or servers, or a higher limit (ulimit -n)";
-        return Err(format!("{wanted} descriptors are needed and {limit} may be open: {words}"));
+    // A listener and a connection for each link to a stand-in; one more connection for each link to a keeper.
+    let per_gatherer = DESCRIPTORS_PER_GATHERER + 2 * servers + 3 * u64::from(rehearsal.keepers);
+    let needed = RIG_DESCRIPTORS + gatherers * per_gatherer;
+    if needed > limit {
+        let hint = "fewer gatherers or servers, or a higher limit (ulimit -n)";
+        return Err(format!("{needed} descriptors are needed and {limit} may be open: {hint}"));
     }
     Ok(())
 }
 
 impl Rig {
     fn new(
-        rehearsal: Rehearsal, options: Options, unexpected_exits: mpsc::UnboundedSender<String>,
+        rehearsal: Rehearsal, options: Options, exit_sender: mpsc::UnboundedSender<String>,
     ) -> Result<Arc<Rig>, String> {
         let io = |e: std::io::Error| e.to_string();
         let recorder = Recorder::new(Instant::now());
         let verticals: Vec<String> = VERTICALS.iter().map(|v| v.0.to_owned()).collect();
         let server = |i| {
             let model = rehearsal.server;
-            shards::start(Server::told(i, model, false, recorder.clone(), verticals.clone()))
+            shards::start(Server::for_rehearsal(i, model, false, recorder.clone(), verticals.clone()))
         };
         let (servers, dials): (Vec<_>, Vec<_>) = (0..usize::from(rehearsal.servers)).map(server).unzip();
         let addresses = Arc::new(OnceLock::<BTreeMap<(Node, u16), SocketAddr>>::new());
         let known = addresses.clone();
         let address_of = move |from, server| known.get()?.get(&(from, server)).copied();
         let (discovery, list) =
-            Discovery::within(rehearsal.list_rate, Arc::new(address_of), recorder.clone());
+            Discovery::in_process(rehearsal.list_rate, Arc::new(address_of), recorder.clone());
         let (mut links, mut gatherers, mut known) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
         let mut keepers = Vec::new();
         for node in (0..rehearsal.keepers).map(Node::Keeper) {
-            let listen = Arc::new(Mutex::new(free(node).map_err(io)?));
-            keepers.push(Keeper {
-                process: Process::new(node, recorder.clone(), unexpected_exits.clone()),
-                listen,
-            });
+            let listen = Arc::new(Mutex::new(free_address(node).map_err(io)?));
+            keepers
+                .push(Keeper { process: Process::new(node, recorder.clone(), exit_sender.clone()), listen });
         }
         let to_keepers = |from: Node, links: &mut BTreeMap<(Node, Node), Arc<Link>>| {
             for keeper in keepers.iter().filter(|keeper| keeper.process.node != from) {
@@ -204,18 +209,18 @@
                 let address = link(g, Node::Server(i), Target::InProcess(dials.clone()))?.address;
                 known.insert((g, i), address);
             }
-            let listen = Arc::new(Mutex::new(free(g).map_err(io)?));
+            let listen = Arc::new(Mutex::new(free_address(g).map_err(io)?));
             let link = link(Node::Clients, g, Target::Process(listen.clone()))?;
-            let process = Process::new(g, recorder.clone(), unexpected_exits.clone());
-            let (taken_in, ready) = (AtomicBool::new(false), AtomicBool::new(false));
-            gatherers.push(Gatherer { process, listen, link, taken_in, ready });
+            let process = Process::new(g, recorder.clone(), exit_sender.clone());
+            let (in_rotation, ready) = (AtomicBool::new(false), AtomicBool::new(false));
+            gatherers.push(Gatherer { process, listen, link, in_rotation, ready });
         }
         let _ = addresses.set(known);
         let member = |node: u16| Member {
             node,
             id: format!("s-{node}"),
             zone: zone_name(rehearsal.zone_of(node)),
-            // Neighbours in number share a zone's turn, so cells go by what is left.
+            // Zones are assigned by `node % zones`; dividing first spreads each zone over all cells.
             cell: u32::from((node / rehearsal.zones) % rehearsal.cells),
             phase: "ready",
             up_since_ms: 0,
@@ -231,7 +236,7 @@
             servers,
             gatherers,
             keepers,
-            hit_owners: Mutex::default(),
+            affected_owners: Mutex::default(),
             links,
             pool: clients::pool(),
             next_query: AtomicU64::new(1),
@@ -240,13 +245,13 @@
         }))
     }
 
-    /// What a gatherer is told at its start.
+    /// Returns the configuration with which a gatherer starts; `kept` includes the current list.
     fn config(&self, index: u16, listen: SocketAddr, kept: bool) -> Value {
         let r = &self.rehearsal;
         let node = Node::Gatherer(index);
-        let nothing = json!({"revision": 0, "complete": true, "members": []});
+        let empty_list = json!({"revision": 0, "complete": true, "members": []});
         let vertical = |v: &(&str, &str, f64, f64)| {
-            json!({"name": v.0, "effect": v.1, "aim_us": AIM_US, "hard_limit_us": DEADLINE.as_micros() as u64,
+            json!({"name": v.0, "effect": v.1, "aim_us": LATENCY_TARGET_US, "hard_limit_us": QUERY_DEADLINE.as_micros() as u64,
                    "late_share": 0.1, "gain": 1.0, "streamed": false, "window_us": 5_000_000})
         };
         let zones: Vec<String> = (0..r.zones).map(zone_name).collect();
@@ -256,7 +261,7 @@
             "discovery": self.links[&(node, Node::List)].address.to_string(),
             "seed": format!("{:016x}", fastrand::Rng::with_seed(self.options.seed ^ u64::from(index) << 32).u64(..)),
             "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 512},
-            "known": if kept { self.discovery.known(node) } else { nothing },
+            "known": if kept { self.discovery.snapshot_for(node) } else { empty_list },
             "settings": {
                 "balancers": r.gatherers, "zone": r.zone_of(index), "zones": zones, "quantum_us": 5000,
                 "membership_mode": "pushed",
@@ -274,7 +279,7 @@
         })
     }
 
-    /// Where each keeper is for a node, by their numbers, as their settings have it.
+    /// Returns the number and address of each keeper as a node reaches it.
     fn keepers_of(&self, node: Node) -> Vec<(usize, SocketAddr)> {
         let of = |(i, keeper): (usize, &Keeper)| {
             let link = self.links.get(&(node, keeper.process.node)).map(|link| link.address);
@@ -300,14 +305,14 @@
     }
 
     fn start(&self, node: Node, kept: bool) -> Result<(), String> {
-        let no_port = |e| format!("{node} has no port: {e}");
+        let no_port = |e| format!("no free port for {node}: {e}");
         let lease = self.rehearsal.lease_ms;
         let mut arguments: Vec<String> =
             ["serve", "--log", "info", "--log-form", "json"].map(str::to_owned).into();
         let (program, variables) = match node {
             Node::Gatherer(index) => {
                 let gatherer = &self.gatherers[usize::from(index)];
-                let listen = usable(&gatherer.listen, node).map_err(no_port)?;
+                let listen = usable_address(&gatherer.listen, node).map_err(no_port)?;
                 let config = self.config(index, listen, kept).to_string();
                 let file = self.write(format!("{node}.json"), &config)?;
                 if !self.keepers.is_empty() {
@@ -320,25 +325,26 @@
                 (self.options.program.clone(), vec![("GW_CONFIG".to_owned(), file)])
             }
             Node::Keeper(index) => {
-                let listen = usable(&self.keepers[usize::from(index)].listen, node).map_err(no_port)?;
+                let listen =
+                    usable_address(&self.keepers[usize::from(index)].listen, node).map_err(no_port)?;
                 let keepers = self.keepers_of(node).into_iter().map(|(n, a)| format!("{n}={a}"));
                 let keepers = keepers.collect::<Vec<_>>().join(",");
                 let data = self.options.folder.join(node.to_string()).display().to_string();
                 let (id, listen) = (format!("{}", index + 1), listen.to_string());
-                let (lease, drift) = (lease.to_string(), DRIFT.to_string());
-                let words = ["serve", "--trace", "--id", &id, "--listen", &listen, "--data", &data];
-                let more = ["--keepers", &keepers, "--lease-ms", &lease, "--drift", &drift];
-                arguments = words.iter().chain(&more).map(|word| (*word).to_owned()).collect();
+                let (lease, drift) = (lease.to_string(), CLOCK_DRIFT_RATIO.to_string());
+                let required = ["serve", "--trace", "--id", &id, "--listen", &listen, "--data", &data];
+                let options = ["--keepers", &keepers, "--lease-ms", &lease, "--drift", &drift];
+                arguments = required.iter().chain(&options).map(|word| (*word).to_owned()).collect();
                 (self.options.program.with_file_name("ashvane-keeper"), Vec::new())
             }
             _ => return Ok(()),
         };
-        let how = LaunchSpec { launcher: self.options.launcher.clone(), program, arguments, variables };
-        self.process(node).map_or(Ok(()), |process| process.start(&how))
+        let spec = LaunchSpec { launcher: self.options.launcher.clone(), program, arguments, variables };
+        self.process(node).map_or(Ok(()), |process| process.start(&spec))
     }
 
-    /// Starts again once it has ended.
-    async fn start_again(
+    /// Requests a new start of a process once it has exited.
+    async fn restart_after_exit(
         self: Arc<Self>, node: Node, kept: bool, started: mpsc::UnboundedSender<(Node, bool)>,
     ) {
         if let Some(process) = self.process(node) {
@@ -347,15 +353,17 @@
         let _ = started.send((node, kept));
     }
 
-    /// How often each keeper was called, second by second.
-    async fn count_calls(self: Arc<Self>) {
+    /// Records the call counter of each keeper every second.
+    async fn poll_keeper_calls(self: Arc<Self>) {
         loop {
             sleep(Duration::from_secs(1)).await;
             for keeper in &self.keepers {
                 let address = *keeper.listen.lock().unwrap_or_else(PoisonError::into_inner);
                 let Ok(uri) = format!("http://{address}/v1/calls").parse() else { continue };
-                let Ok(Ok(answer)) = timeout(FRONT_WAIT, self.pool.get(uri)).await else { continue };
-                let body = http_body_util::BodyExt::collect(answer.into_body()).await;
+                let Ok(Ok(response)) = timeout(HEALTH_CHECK_TIMEOUT, self.pool.get(uri)).await else {
+                    continue;
+                };
+                let body = http_body_util::BodyExt::collect(response.into_body()).await;
                 let calls = body.ok().and_then(|body| serde_json::from_slice(&body.to_bytes()).ok());
                 let node = keeper.process.node;
                 calls.into_iter().for_each(|calls| self.recorder.record(EventKind::Called { node, calls }));
@@ -363,49 +371,50 @@
         }
     }
 
-    /// Looks at one gatherer as the front does: takes it in when it says that it is ready, and notices late that
-    /// it is not any more.
-    async fn front(self: Arc<Self>, index: u16) {
+    /// Checks the health of a gatherer like a load balancer: takes it into rotation when it is ready, and out of
+    /// rotation when it answers otherwise or has not answered for `notice_ms`.
+    async fn check_health(self: Arc<Self>, index: u16) {
         let gatherer = &self.gatherers[usize::from(index)];
-        let notice = Duration::from_millis(self.rehearsal.notice_ms);
+        let removal_delay = Duration::from_millis(self.rehearsal.notice_ms);
         let uri: hyper::Uri = match format!("http://{}/healthz", gatherer.link.address).parse() {
             Ok(uri) => uri,
             Err(_) => return,
         };
-        let mut well = Instant::now();
+        let mut last_healthy = Instant::now();
         loop {
-            let (taken_in, ready) =
-                (gatherer.taken_in.load(Ordering::SeqCst), gatherer.ready.load(Ordering::SeqCst));
-            sleep(if taken_in && ready { FRONT_LOOK } else { FRONT_LOOK_OUT }).await;
-            if !taken_in && !gatherer.process.is_running() {
+            let (in_rotation, ready) =
+                (gatherer.in_rotation.load(Ordering::SeqCst), gatherer.ready.load(Ordering::SeqCst));
+            sleep(if in_rotation && ready { HEALTH_CHECK_INTERVAL } else { READMISSION_CHECK_INTERVAL })
+                .await;
+            if !in_rotation && !gatherer.process.is_running() {
                 continue;
             }
-            let look = timeout(FRONT_WAIT, self.pool.get(uri.clone())).await;
-            let status = look.ok().and_then(Result::ok).map(|answer| answer.status().as_u16());
+            let response = timeout(HEALTH_CHECK_TIMEOUT, self.pool.get(uri.clone())).await;
+            let status = response.ok().and_then(Result::ok).map(|response| response.status().as_u16());
             if status == Some(200) {
-                well = Instant::now();
-                gatherer.taken_in.store(true, Ordering::SeqCst);
+                last_healthy = Instant::now();
+                gatherer.in_rotation.store(true, Ordering::SeqCst);
                 if !gatherer.ready.swap(true, Ordering::SeqCst) {
                     self.recorder.record(EventKind::Ready { node: Node::Gatherer(index) });
                 }
-            } else if taken_in && (status.is_some() || well.elapsed() >= notice) {
-                gatherer.taken_in.store(false, Ordering::SeqCst);
+            } else if in_rotation && (status.is_some() || last_healthy.elapsed() >= removal_delay) {
+                gatherer.in_rotation.store(false, Ordering::SeqCst);
             }
         }
     }
 
-    fn step(self: &Arc<Self>, step: Step, started: &mpsc::UnboundedSender<(Node, bool)>) {
+    fn apply(self: &Arc<Self>, step: Step, started: &mpsc::UnboundedSender<(Node, bool)>) {
         let act = |node: Node, act: ProcessSignal| {
             self.process(node).into_iter().for_each(|process| process.send_signal(act))
         };
-        // Who owned the duty when the act began is who it ends for.
+        // An action on the owner ends for the gatherer that owned the duty when the action began.
         let owner = |number: usize, node: Node, begins: bool| {
-            let mut hit = self.hit_owners.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut affected = self.affected_owners.lock().unwrap_or_else(PoisonError::into_inner);
             match (node, begins) {
-                (Node::Owner, true) => {
-                    *hit.entry(number).or_insert_with(|| self.recorder.last_owner().unwrap_or(Node::Owner))
-                }
-                (Node::Owner, false) => hit.get(&number).copied().unwrap_or(node),
+                (Node::Owner, true) => *affected
+                    .entry(number)
+                    .or_insert_with(|| self.recorder.last_owner().unwrap_or(Node::Owner)),
+                (Node::Owner, false) => affected.get(&number).copied().unwrap_or(node),
                 _ => node,
             }
         };
@@ -420,28 +429,28 @@
         match step {
             Step::Start { number, node, kept } => {
                 let node = owner(number, node, false);
-                tokio::spawn(self.clone().start_again(node, kept, started.clone()));
+                tokio::spawn(self.clone().restart_after_exit(node, kept, started.clone()));
             }
             Step::Term { number, node } => act(owner(number, node, true), ProcessSignal::Term),
             Step::Kill { number, node } => act(owner(number, node, true), ProcessSignal::Kill),
             Step::Stop { number, node } => act(owner(number, node, true), ProcessSignal::Stop),
-            Step::Wake { number, node } => act(owner(number, node, false), ProcessSignal::Continue),
-            Step::Hit { number, from, to, way, fault } => {
+            Step::Continue { number, node } => act(owner(number, node, false), ProcessSignal::Continue),
+            Step::InjectFault { number, from, to, way, fault } => {
                 let from = owner(number, from, true);
                 link(from, to).into_iter().for_each(|link| link.inject(number, way, fault));
             }
-            Step::Mend { number, from, to, dropped } => {
+            Step::ClearFault { number, from, to, dropped } => {
                 let from = owner(number, from, false);
                 link(from, to).into_iter().for_each(|link| link.clear(number, dropped));
             }
-            Step::Behave { number, server: i, vertical, manner } => {
-                server(i).behave(number, vertical, manner)
+            Step::SetBehaviour { number, server: i, vertical, manner } => {
+                server(i).set_behaviour(number, vertical, manner)
             }
-            Step::Recover { number, server: i } => server(i).recover(number),
-            Step::Trouble { number, who, trouble } => self.discovery.hit(number, who, trouble),
-            Step::Untrouble { number } => self.discovery.mend(number),
+            Step::ClearBehaviour { number, server: i } => server(i).clear_behaviour(number),
+            Step::InjectListFault { number, who, trouble } => self.discovery.inject(number, who, trouble),
+            Step::ClearListFault { number } => self.discovery.clear(number),
             Step::Drain(i) => phase(i, Some("draining")),
-            Step::Gone(i) => phase(i, None),
+            Step::Remove(i) => phase(i, None),
             Step::Cold(i) => {
                 server(i).restart();
                 let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -453,51 +462,60 @@
         }
     }
 
-    /// One client's query with its further tries.
+    /// Sends a client's query, with its retries.
     async fn query(self: Arc<Self>, planned: PlannedQuery) {
-        let mut rng = fastrand::Rng::with_seed(planned.lot);
+        let mut rng = fastrand::Rng::with_seed(planned.selection_seed);
         let vertical = usize::from(planned.vertical);
         for attempt in 0..=self.rehearsal.retries {
             let number = self.next_query.fetch_add(1, Ordering::Relaxed);
-            let alive: Vec<usize> = (0..self.gatherers.len())
-                .filter(|i| self.gatherers[*i].taken_in.load(Ordering::SeqCst))
+            let in_rotation: Vec<usize> = (0..self.gatherers.len())
+                .filter(|i| self.gatherers[*i].in_rotation.load(Ordering::SeqCst))
                 .collect();
-            let chosen = (!alive.is_empty()).then(|| alive[rng.usize(..alive.len())]);
-            let node = chosen.map_or(Node::Clients, |i| Node::Gatherer(i as u16));
-            let asked =
+            let gatherer_index =
+                (!in_rotation.is_empty()).then(|| in_rotation[rng.usize(..in_rotation.len())]);
+            let node = gatherer_index.map_or(Node::Clients, |i| Node::Gatherer(i as u16));
+            let event =
                 EventKind::Asked { query: number, node, vertical: planned.vertical, retry: attempt > 0 };
-            self.recorder.record(asked);
-            let got = match chosen {
+            self.recorder.record(event);
+            let outcome = match gatherer_index {
                 Some(i) => {
-                    let ask = ClientQuery {
+                    let query = ClientQuery {
                         id: format!("q{number}"),
                         vertical: VERTICALS[vertical].0,
                         tenant: "acme",
                         shards: planned.shards.clone(),
                         need: VERTICALS[vertical].2,
-                        length: VALUE,
-                        deadline: DEADLINE,
+                        length: VALUE_BYTES,
+                        deadline: QUERY_DEADLINE,
                         retry: attempt > 0,
                     };
-                    clients::get(&self.pool, self.gatherers[i].link.address, &ask).await
+                    clients::send_query(&self.pool, self.gatherers[i].link.address, &query).await
                 }
                 None => End::Unreached.into(),
             };
-            self.recorder.record(EventKind::Ended { query: number, end: got.end, shards: got.shards });
-            if matches!(got.end, End::Whole | End::Partial) {
+            self.recorder.record(EventKind::Ended {
+                query: number,
+                end: outcome.end,
+                shards: outcome.shards,
+            });
+            if matches!(outcome.end, End::Whole | End::Partial) {
                 self.answered.fetch_add(1, Ordering::Relaxed);
                 return;
             }
-            if !matches!(got.end, End::Rejected | End::Closed | End::Unreached) {
+            if !matches!(outcome.end, End::Rejected | End::Closed | End::Unreached) {
                 return;
             }
-            sleep(got.retry_after.unwrap_or(AGAIN) + Duration::from_secs_f64(AGAIN_SPREAD * rng.f64())).await;
+            sleep(
+                outcome.retry_after.unwrap_or(RETRY_BACKOFF)
+                    + Duration::from_secs_f64(RETRY_JITTER_S * rng.f64()),
+            )
+            .await;
         }
     }
 
-    /// All queries, each at its time; what the schedule lags behind is noted.
-    async fn ask_all(self: Arc<Self>, queries: Vec<PlannedQuery>, start: Instant) {
-        let mut out = JoinSet::new();
+    /// Sends all queries at their planned times and records the lag behind the schedule.
+    async fn send_queries(self: Arc<Self>, queries: Vec<PlannedQuery>, start: Instant) {
+        let mut tasks = JoinSet::new();
         for planned in queries {
             let due = start + planned.at;
             if due > Instant::now() {
@@ -505,16 +523,17 @@
             }
             let late = due.elapsed().as_millis() as u64;
             let _ = self.lag.lock().unwrap_or_else(PoisonError::into_inner).record(late);
-            out.spawn(self.clone().query(planned));
-            while out.try_join_next().is_some() {}
+            tasks.spawn(self.clone().query(planned));
+            while tasks.try_join_next().is_some() {}
         }
-        while out.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
     }
 
-    /// Waits until all are ready; the names of those that are not in time.
-    async fn warm(&self) -> Result<(), String> {
-        let end = Instant::now() + WARM_MOST;
-        let waits = |g: &&Gatherer| !g.taken_in.load(Ordering::SeqCst);
+    /// Waits until all gatherers are in rotation and, with keepers, one owns a duty. Fails with the names of those
+    /// that are not ready in time.
+    async fn wait_until_ready(&self) -> Result<(), String> {
+        let end = Instant::now() + WARM_UP_TIMEOUT;
+        let waits = |g: &&Gatherer| !g.in_rotation.load(Ordering::SeqCst);
         loop {
             let late: Vec<String> =
                 self.gatherers.iter().filter(waits).map(|g| g.process.node.to_string()).collect();
@@ -522,14 +541,14 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                return Err(format!("not ready within {WARM_MOST:?}: {}", late.join(" ")));
+                return Err(format!("gatherers not ready within {WARM_UP_TIMEOUT:?}: {}", late.join(" ")));
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Kills all that still run.
-    async fn end(&self) {
+    /// Kills all processes that are still running.
+    async fn kill_all(&self) {
         let all = || self.gatherers.iter().map(|g| &g.process).chain(self.keepers.iter().map(|k| &k.process));
         all().for_each(|process| process.send_signal(ProcessSignal::Kill));
         for process in all() {
@@ -537,8 +556,8 @@
         }
     }
 
-    /// Processor time of gatherers over the time, the most and the mean, in cores.
-    fn gatherer_cores(&self, before: &[Option<Duration>], over: Duration, figures: &mut Figures) {
+    /// Measures the CPU use of the gatherers in cores: the maximum and the mean.
+    fn measure_gatherer_cores(&self, before: &[Option<Duration>], over: Duration, figures: &mut Figures) {
         let used = |(g, before): (&Gatherer, &Option<Duration>)| {
             Some(g.process.cpu_time()?.saturating_sub(before.unwrap_or_default()).as_secs_f64())
         };
@@ -549,15 +568,16 @@
     }
 }
 
-/// What bounds a rehearsal has, and whether they hold.
-fn bounds(rehearsal: &Rehearsal, figures: &Figures) -> Vec<Bound> {
-    let each = f64::from(rehearsal.gatherers);
+/// Evaluates the bounds of a rehearsal.
+fn evaluate_bounds(rehearsal: &Rehearsal, figures: &Figures) -> Vec<Bound> {
+    let per_gatherer = f64::from(rehearsal.gatherers);
     let most = rehearsal.most.iter().map(|(name, most)| (name, None, Some(*most)));
-    let most_each = rehearsal.most_each.iter().map(|(name, most)| (name, None, Some(*most * each)));
+    let most_each = rehearsal.most_each.iter().map(|(name, most)| (name, None, Some(*most * per_gatherer)));
     let least = rehearsal.least.iter().map(|(name, least)| (name, Some(*least), None));
-    let least_each = rehearsal.least_each.iter().map(|(name, least)| (name, Some(*least * each), None));
+    let least_each =
+        rehearsal.least_each.iter().map(|(name, least)| (name, Some(*least * per_gatherer), None));
     let bound = |(name, least, most): (&String, Option<f64>, Option<f64>)| {
-        // A figure that the run has none of breaks its bound.
+        // A bound on a figure that was not measured is violated.
         let measured = figures.get(name.as_str()).copied();
         let holds =
             measured.is_some_and(|m| most.is_none_or(|most| m <= most) && least.is_none_or(|l| m >= l));
@@ -566,47 +586,47 @@
     most.chain(most_each).chain(least).chain(least_each).map(bound).collect()
 }
 
-/// Plays a rehearsal. To be awaited on the thread that lasts as long as the rig; when this is dropped, all that
-/// it started ends.
-pub async fn play(rehearsal: &Rehearsal, options: &Options) -> Result<Outcome, String> {
-    descriptors(rehearsal)?;
+/// Runs a rehearsal. Must be awaited on a thread that lives as long as the rig; dropping the future kills all
+/// processes that it started.
+pub async fn run_rehearsal(rehearsal: &Rehearsal, options: &Options) -> Result<Outcome, String> {
+    check_descriptor_limit(rehearsal)?;
     std::fs::create_dir_all(&options.folder).map_err(|e| format!("{}: {e}", options.folder.display()))?;
-    let (unexpected_exits, mut ended) = mpsc::unbounded_channel();
-    let rig = Rig::new(rehearsal.clone(), options.clone(), unexpected_exits)?;
+    let (exit_sender, mut exit_reports) = mpsc::unbounded_channel();
+    let rig = Rig::new(rehearsal.clone(), options.clone(), exit_sender)?;
     let (started, mut to_start) = mpsc::unbounded_channel();
-    let mut fronts = JoinSet::new();
-    (0..rehearsal.gatherers).for_each(|i| drop(fronts.spawn(rig.clone().front(i))));
+    let mut background = JoinSet::new();
+    (0..rehearsal.gatherers).for_each(|i| drop(background.spawn(rig.clone().check_health(i))));
     let plan: Plan = rehearsal.plan(options.seed);
-    fronts.spawn(rig.clone().count_calls());
+    background.spawn(rig.clone().poll_keeper_calls());
     let keepers = (0..rehearsal.keepers).map(Node::Keeper);
     for node in keepers.chain((0..rehearsal.gatherers).map(Node::Gatherer)) {
         rig.start(node, rehearsal.kept)?;
     }
     if rehearsal.warm {
         tokio::select! {
-            warm = rig.warm() => warm?,
-            Some(words) = ended.recv() => return Err(words),
+            warm = rig.wait_until_ready() => warm?,
+            Some(report) = exit_reports.recv() => return Err(report),
         }
         rig.recorder.restart_clock();
     }
     let start = Instant::now();
     let cpu_before: Vec<_> = rig.gatherers.iter().map(|g| g.process.cpu_time()).collect();
-    let own_before = cpu_time("/proc/self/stat").unwrap_or_default();
-    let mut asking = tokio::spawn(rig.clone().ask_all(plan.queries, start));
-    let mut steps = plan.steps.into_iter().take_while(|(at, _)| *at < rehearsal.length()).peekable();
-    let (mut words, mut asked, mut next_look) = (Vec::new(), false, start);
+    let rig_cpu_before = cpu_time("/proc/self/stat").unwrap_or_default();
+    let mut query_task = tokio::spawn(rig.clone().send_queries(plan.queries, start));
+    let mut steps = plan.steps.into_iter().take_while(|(at, _)| *at < rehearsal.duration()).peekable();
+    let (mut unexpected_exits, mut steps_done, mut next_progress) = (Vec::new(), false, start);
     loop {
-        let next = steps.peek().map_or(rehearsal.length(), |(at, _)| *at);
+        let next = steps.peek().map_or(rehearsal.duration(), |(at, _)| *at);
         tokio::select! {
-            () = sleep_until(start + next), if !asked || steps.peek().is_some() => match steps.next() {
-                Some((_, step)) => rig.step(step, &started),
-                None => asked = true,
+            () = sleep_until(start + next), if !steps_done || steps.peek().is_some() => match steps.next() {
+                Some((_, step)) => rig.apply(step, &started),
+                None => steps_done = true,
             },
             Some((node, kept)) = to_start.recv() => rig.start(node, kept)?,
-            Some(unexpected_exits) = ended.recv() => words.push(unexpected_exits),
-            _ = &mut asking, if asked => break,
-            () = sleep_until(next_look), if options.progress.is_some() => {
-                next_look += Duration::from_secs(1);
+            Some(report) = exit_reports.recv() => unexpected_exits.push(report),
+            _ = &mut query_task, if steps_done => break,
+            () = sleep_until(next_progress), if options.progress.is_some() => {
+                next_progress += Duration::from_secs(1);
                 let (at, answered) = (start.elapsed().as_secs(), rig.answered.load(Ordering::Relaxed));
                 let line = format!("{at} of {} s, {answered} queries answered", rehearsal.seconds.ceil());
                 options.progress.iter().for_each(|tell| tell(&line));
@@ -615,18 +635,18 @@
     }
     let took = start.elapsed();
     let mut own = Figures::new();
-    rig.gatherer_cores(&cpu_before, took, &mut own);
-    let used = cpu_time("/proc/self/stat").unwrap_or_default().saturating_sub(own_before);
+    rig.measure_gatherer_cores(&cpu_before, took, &mut own);
+    let used = cpu_time("/proc/self/stat").unwrap_or_default().saturating_sub(rig_cpu_before);
     own.insert("rig_cores", used.as_secs_f64() / took.as_secs_f64());
     let lag = rig.lag.lock().unwrap_or_else(PoisonError::into_inner).value_at_quantile(0.99) as f64;
     own.insert("lag_99_ms", lag);
-    fronts.abort_all();
-    rig.end().await;
-    while let Ok(unexpected_exits) = ended.try_recv() {
-        words.push(unexpected_exits);
+    background.abort_all();
+    rig.kill_all().await;
+    while let Ok(report) = exit_reports.try_recv() {
+        unexpected_exits.push(report);
     }
     let history = rig.recorder.take();
-    let mut figures = figures::measure(&history, rehearsal.mark(), rehearsal.length());
+    let mut figures = figures::measure(&history, rehearsal.mark(), rehearsal.duration());
     figures.append(&mut own);
     let not_measured = match history.dropped_count {
         0 if lag > MAX_LAG_MS => {
@@ -637,11 +657,11 @@
     };
     let broken = checks::violations(&history);
     Ok(Outcome {
-        bounds: bounds(rehearsal, &figures),
+        bounds: evaluate_bounds(rehearsal, &figures),
         history,
         figures,
         broken,
-        unexpected_exits: words,
+        unexpected_exits,
         not_measured,
     })
 }
@@ -651,26 +671,26 @@
     use super::*;
 
     #[test]
-    fn a_port_that_is_taken_by_now_is_given_up_for_another() {
+    fn a_listen_port_that_is_in_use_is_replaced() {
         let node = Node::Gatherer(700);
-        let listen = Mutex::new(free(node).expect("a port"));
-        let first = usable(&listen, node).expect("a port");
-        assert_eq!(first, *listen.lock().expect("it"), "it is kept while it can be had");
-        let _taken = std::net::TcpListener::bind(first).expect("it is free");
-        let second = usable(&listen, node).expect("a port");
-        assert!(second != first && second == *listen.lock().expect("it"));
+        let listen = Mutex::new(free_address(node).expect("a port"));
+        let first = usable_address(&listen, node).expect("a port");
+        assert_eq!(first, *listen.lock().expect("not poisoned"), "a free port is kept");
+        let _taken = std::net::TcpListener::bind(first).expect("the port is free");
+        let second = usable_address(&listen, node).expect("a port");
+        assert!(second != first && second == *listen.lock().expect("not poisoned"));
     }
 
     #[test]
-    fn a_bound_on_a_figure_that_was_not_measured_is_broken() {
-        let mut rehearsal = Rehearsal::read(crate::rehearsals::ALL[0].1).expect("it");
+    fn a_bound_on_a_figure_that_was_not_measured_is_violated() {
+        let mut rehearsal = Rehearsal::parse(crate::rehearsals::ALL[0].1).expect("the rehearsal is valid");
         rehearsal.most = [("avoided_s".to_owned(), 1.0), ("dials".to_owned(), 5.0)].into();
         rehearsal.most_each = [("list_calls".to_owned(), 2.0)].into();
         (rehearsal.least, rehearsal.least_each) = Default::default();
         rehearsal.gatherers = 10;
         let figures = Figures::from([("dials", 5.0), ("list_calls", 20.5)]);
         let holds: Vec<(String, bool)> =
-            bounds(&rehearsal, &figures).into_iter().map(|b| (b.name, b.holds)).collect();
+            evaluate_bounds(&rehearsal, &figures).into_iter().map(|b| (b.name, b.holds)).collect();
         let expected = [("avoided_s", false), ("dials", true), ("list_calls", false)];
         assert_eq!(holds, expected.map(|(name, holds)| (name.to_owned(), holds)));
     }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,5 +1,5 @@
-//! A rehearsal as it is written down, and the plan that it makes with a seed: which act hits whom, and when.
-//! No I/O and no clock: the same script and seed make the same plan.
+//! Rehearsal scripts, and the plan made from a script and a seed: which action affects which nodes, and when.
+//! Uses no I/O and no clock, so the same script and seed give the same plan.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,18 +12,20 @@
 use crate::node::{Kind, Node};
 use crate::shards::Model;
 
-/// Queries of one rehearsal at the most.
+/// Maximum queries of one rehearsal.
 const MAX_QUERIES: usize = 1_000_000;
-/// Gatherers and servers of one rehearsal at the most.
+/// Maximum gatherers of one rehearsal.
 pub const MAX_GATHERERS: u16 = 300;
+/// Maximum shard servers of one rehearsal.
 pub const MAX_SERVERS: u16 = 300;
-/// The verticals of every rehearsal: name, effect, need and floor.
+/// Verticals of every rehearsal: name, effect, share of parts needed for a whole answer, and minimum share.
 pub const VERTICALS: [(&str, &str, f64, f64); 3] =
     [("history", "retryable", 0.75, 0.75), ("near", "retryable", 0.75, 0.25), ("book", "fragile", 1.0, 1.0)];
-/// The one whose parts must not run twice.
+/// Index of the vertical whose parts must not run twice.
 pub const BOOK_VERTICAL: u8 = 2;
 
-/// Some nodes of a kind: in an order drawn by the seed, a share of them from a place on, perhaps of one zone.
+/// Selects nodes of a kind. The nodes, optionally of one zone only, are shuffled by the seed; `from` and `share`
+/// are the start and length of the selected range as shares of all of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSelector {
@@ -40,24 +42,20 @@
     1.0
 }
 
+/// What an action does. Where an action ends by itself, `for_ms` is its duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Action {
-    Start {
-        who: NodeSelector,
-    },
-    Term {
-        who: NodeSelector,
-    },
-    Kill {
-        who: NodeSelector,
-    },
-    /// Stopped, and woken after so long.
-    Stop {
-        who: NodeSelector,
-        for_ms: u64,
-    },
-    /// Killed or told to end, and started again after so long: from nothing, or from the list as it is then.
+    /// Starts processes.
+    Start { who: NodeSelector },
+    /// Sends SIGTERM.
+    Term { who: NodeSelector },
+    /// Sends SIGKILL.
+    Kill { who: NodeSelector },
+    /// Sends SIGSTOP, and SIGCONT after `for_ms`.
+    Stop { who: NodeSelector, for_ms: u64 },
+    /// Kills processes (or sends SIGTERM if `softly`) and starts them again after `after_ms`, with the list of that
+    /// time if `kept`.
     Restart {
         who: NodeSelector,
         after_ms: u64,
@@ -66,6 +64,7 @@
         #[serde(default)]
         softly: bool,
     },
+    /// Injects a fault into links.
     Link {
         from: NodeSelector,
         to: NodeSelector,
@@ -73,10 +72,11 @@
         way: Direction,
         fault: Fault,
         for_ms: u64,
-        /// What is held when it ends is dropped with its connections.
+        /// Whether the connections are reset when the fault ends, so that bytes held back are lost.
         #[serde(default)]
         dropped: bool,
     },
+    /// Changes the behaviour of shard servers, for one vertical or for all.
     Server {
         who: NodeSelector,
         #[serde(default)]
@@ -84,43 +84,36 @@
         manner: Behaviour,
         for_ms: u64,
     },
+    /// Injects a fault into the list service, for some gatherers or for all.
     List {
         #[serde(default)]
         who: Option<NodeSelector>,
         trouble: ListFault,
         for_ms: u64,
     },
-    /// Leaves the list as draining, and is gone from it after so long.
-    Drain {
-        who: NodeSelector,
-        for_ms: u64,
-    },
-    /// Servers restart, cold, at once.
-    Cold {
-        who: NodeSelector,
-    },
-    /// So many times the load.
-    Burst {
-        times: f64,
-        for_ms: u64,
-    },
-    /// So many queries for each gatherer at one moment.
-    Rush {
-        queries: u32,
-    },
+    /// Lists servers as draining, and removes them from the list after `for_ms`.
+    Drain { who: NodeSelector, for_ms: u64 },
+    /// Restarts shard servers cold.
+    Cold { who: NodeSelector },
+    /// Multiplies the query rate.
+    Burst { times: f64, for_ms: u64 },
+    /// Sends this many queries per gatherer at once.
+    Rush { queries: u32 },
 }
 
+/// An action and when it takes place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledAction {
     pub at_ms: u64,
-    /// Over how long the nodes are hit one after the other.
+    /// Period over which the action is spread across the selected nodes.
     #[serde(default)]
     pub spread_ms: u64,
     #[serde(rename = "do")]
     pub action: Action,
 }
 
+/// A rehearsal script.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rehearsal {
@@ -129,81 +122,87 @@
     pub servers: u16,
     #[serde(default = "Rehearsal::one")]
     pub zones: u16,
-    /// Cells that the servers are spread over, and how many in a row hold a shard.
+    /// Number of cells over which the servers are spread.
     pub cells: u16,
+    /// Number of consecutive cells that hold a shard.
     pub span: u16,
     pub shards: u16,
     pub seconds: f64,
-    /// The clock starts once all gatherers are ready; else when they are started.
+    /// Whether the clock starts once all gatherers are ready, instead of when they are started.
     #[serde(default)]
     pub warm: bool,
-    /// Whether gatherers start with the list as it is.
+    /// Whether gatherers start with the current list of servers.
     #[serde(default)]
     pub kept: bool,
-    /// Queries a second over the whole fleet, parts of each at the most, and how often one that is sent back comes
-    /// again.
+    /// Queries per second over the whole fleet.
     pub rate: f64,
+    /// Maximum parts of a query.
     pub parts: u16,
+    /// Maximum retries of a query that was rejected or whose connection failed or ended early.
     #[serde(default)]
     pub retries: u32,
-    /// A front notices so late that a gatherer has died.
+    /// Time after which the front takes an unresponsive gatherer out of rotation.
     #[serde(default)]
     pub notice_ms: u64,
-    /// Calls a second that the list service can do.
+    /// Maximum calls per second of the list service; unlimited if absent.
     #[serde(default)]
     pub list_rate: Option<f64>,
     #[serde(default)]
     pub server: Model,
-    /// Keepers of who owns what: none, three or five; the lease, and how far a clock's rate may be off.
+    /// Number of keepers, which store the leases: 0, 3 or 5.
     #[serde(default)]
     pub keepers: u16,
     #[serde(default = "Rehearsal::lease")]
     pub lease_ms: u64,
-    /// When the main trouble begins: some figures count from then on.
+    /// Start of the main fault; some figures count from then on.
     #[serde(default)]
     pub mark_ms: u64,
-    /// Bounds on figures; those of `most_each` and `least_each` are for each gatherer.
+    /// Upper bounds on figures.
     #[serde(default)]
     pub most: BTreeMap<String, f64>,
+    /// Upper bounds per gatherer.
     #[serde(default)]
     pub most_each: BTreeMap<String, f64>,
+    /// Lower bounds on figures.
     #[serde(default)]
     pub least: BTreeMap<String, f64>,
+    /// Lower bounds per gatherer.
     #[serde(default)]
     pub least_each: BTreeMap<String, f64>,
     #[serde(default)]
     pub act: Vec<ScheduledAction>,
 }
 
-/// One thing that is done at a moment.
+/// A step of a plan. `number` is the index of the action that it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Start { number: usize, node: Node, kept: bool },
     Term { number: usize, node: Node },
     Kill { number: usize, node: Node },
     Stop { number: usize, node: Node },
-    Wake { number: usize, node: Node },
-    Hit { number: usize, from: Node, to: Node, way: Direction, fault: Fault },
-    Mend { number: usize, from: Node, to: Node, dropped: bool },
-    Behave { number: usize, server: u16, vertical: Option<String>, manner: Behaviour },
-    Recover { number: usize, server: u16 },
-    Trouble { number: usize, who: Vec<u16>, trouble: ListFault },
-    Untrouble { number: usize },
+    Continue { number: usize, node: Node },
+    InjectFault { number: usize, from: Node, to: Node, way: Direction, fault: Fault },
+    ClearFault { number: usize, from: Node, to: Node, dropped: bool },
+    SetBehaviour { number: usize, server: u16, vertical: Option<String>, manner: Behaviour },
+    ClearBehaviour { number: usize, server: u16 },
+    InjectListFault { number: usize, who: Vec<u16>, trouble: ListFault },
+    ClearListFault { number: usize },
     Drain(u16),
-    Gone(u16),
+    Remove(u16),
     Cold(u16),
 }
 
-/// One query that a client is to ask.
+/// A query that a client will send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedQuery {
     pub at: Duration,
     pub vertical: u8,
     pub shards: Vec<u32>,
-    /// By which the front chooses among the gatherers that it takes for alive.
-    pub lot: u64,
+    /// Seed for the choice among the gatherers in rotation.
+    pub selection_seed: u64,
 }
 
+/// Steps and queries of a rehearsal, each in order of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub steps: Vec<(Duration, Step)>,
@@ -223,51 +222,54 @@
         3000
     }
 
-    pub fn read(text: &str) -> Result<Rehearsal, String> {
+    /// Parses and validates a script.
+    pub fn parse(text: &str) -> Result<Rehearsal, String> {
         let rehearsal: Rehearsal = toml::from_str(text).map_err(|e| e.to_string())?;
-        rehearsal.checked()
+        rehearsal.validated()
     }
 
-    pub fn checked(self) -> Result<Rehearsal, String> {
-        let within = |name: &str, n: f64, least: f64, most: f64| match (least..=most).contains(&n) {
+    /// Validates all values and names.
+    pub fn validated(self) -> Result<Rehearsal, String> {
+        let check_range = |name: &str, n: f64, least: f64, most: f64| match (least..=most).contains(&n) {
             true => Ok(()),
-            false => Err(format!("{name} is {n}, not from {least} to {most}")),
+            false => Err(format!("{name} is {n}, which is not from {least} to {most}")),
         };
-        within("gatherers", self.gatherers.into(), 1.0, MAX_GATHERERS.into())?;
-        within("servers", self.servers.into(), 1.0, MAX_SERVERS.into())?;
+        check_range("gatherers", self.gatherers.into(), 1.0, MAX_GATHERERS.into())?;
+        check_range("servers", self.servers.into(), 1.0, MAX_SERVERS.into())?;
         if ![0, 3, 5].contains(&self.keepers) {
-            return Err(format!("keepers is {}, not 0, 3 or 5", self.keepers));
+            return Err(format!("keepers is {}, which is not 0, 3 or 5", self.keepers));
         }
-        within("lease_ms", self.lease_ms as f64, 1500.0, 60_000.0)?;
-        within("zones", self.zones.into(), 1.0, 16.0)?;
-        within("cells", self.cells.into(), 1.0, self.servers.into())?;
-        within("span", self.span.into(), 1.0, self.cells.into())?;
-        within("parts", self.parts.into(), 1.0, self.shards.into())?;
-        within("seconds", self.seconds, 0.1, 600.0)?;
-        within("rate", self.rate, 0.0, 20_000.0)?;
+        check_range("lease_ms", self.lease_ms as f64, 1500.0, 60_000.0)?;
+        check_range("zones", self.zones.into(), 1.0, 16.0)?;
+        check_range("cells", self.cells.into(), 1.0, self.servers.into())?;
+        check_range("span", self.span.into(), 1.0, self.cells.into())?;
+        check_range("parts", self.parts.into(), 1.0, self.shards.into())?;
+        check_range("seconds", self.seconds, 0.1, 600.0)?;
+        check_range("rate", self.rate, 0.0, 20_000.0)?;
         let queries = self.rate * self.seconds;
-        within("the number of queries", queries, 0.0, MAX_QUERIES as f64)?;
+        check_range("the number of queries (rate times seconds)", queries, 0.0, MAX_QUERIES as f64)?;
         for select in self.act.iter().flat_map(|act| act.action.selects()) {
-            within("a share", select.share, 0.0, 1.0)?;
-            within("a place", select.from, 0.0, 1.0)?;
+            check_range("the share of a selection", select.share, 0.0, 1.0)?;
+            check_range("the start of a selection", select.from, 0.0, 1.0)?;
         }
         let most = self.most.keys().chain(self.most_each.keys());
         for name in most.chain(self.least.keys()).chain(self.least_each.keys()) {
             if !crate::figures::NAMES.contains(&name.as_str()) {
-                return Err(format!("there is no figure {name:?}"));
+                return Err(format!("unknown figure {name:?} in the bounds"));
             }
         }
         for act in &self.act {
             if let Action::Server { vertical: Some(name), .. } = &act.action
                 && !VERTICALS.iter().any(|v| v.0 == name)
             {
-                return Err(format!("there is no vertical {name:?}"));
+                return Err(format!("unknown vertical {name:?} in an action"));
             }
         }
         Ok(self)
     }
 
-    pub fn length(&self) -> Duration {
+    /// Returns the duration of the rehearsal.
+    pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
 
@@ -279,7 +281,7 @@
         index % self.zones
     }
 
-    fn all(&self, kind: Kind) -> Vec<Node> {
+    fn nodes_of_kind(&self, kind: Kind) -> Vec<Node> {
         match kind {
             Kind::Clients => vec![Node::Clients],
             Kind::List => vec![Node::List],
@@ -290,9 +292,9 @@
         }
     }
 
-    /// The nodes that are meant. One seed has one order of each kind, so that shares of it do not overlap.
+    /// Returns the selected nodes. A seed has one order for each kind, so adjacent shares do not overlap.
     fn select(&self, select: &NodeSelector, seed: u64) -> Vec<Node> {
-        let mut all = self.all(select.kind);
+        let mut all = self.nodes_of_kind(select.kind);
         fastrand::Rng::with_seed(seed ^ select.kind as u64).shuffle(&mut all);
         let index = |n: &Node| match n {
             Node::Gatherer(i) | Node::Server(i) => *i,
@@ -303,19 +305,20 @@
         all[at(select.from)..at(select.from + select.share)].to_vec()
     }
 
+    /// Makes the plan for a seed.
     pub fn plan(&self, seed: u64) -> Plan {
         let mut plan = Plan::default();
-        let mut load: Vec<(Duration, Duration, f64)> = Vec::new();
-        let mut rushes = Vec::new();
+        let mut bursts: Vec<(Duration, Duration, f64)> = Vec::new();
+        let mut rush_times = Vec::new();
         for (number, act) in self.act.iter().enumerate() {
             let (at, action) = (ms(act.at_ms), &act.action);
-            let whom = |select: &NodeSelector| {
+            let targets = |select: &NodeSelector| {
                 let nodes = self.select(select, seed);
                 let each = ms(act.spread_ms).div_f64(nodes.len().max(1) as f64);
                 nodes.into_iter().enumerate().map(move |(i, n)| (at + each.mul_f64(i as f64), n))
             };
-            let indices = |select: &NodeSelector| {
-                whom(select).filter_map(|(at, node)| match node {
+            let target_indices = |select: &NodeSelector| {
+                targets(select).filter_map(|(at, node)| match node {
                     Node::Gatherer(i) | Node::Server(i) => Some((at, i)),
                     _ => None,
                 })
@@ -323,63 +326,67 @@
             let mut step = |at: Duration, step: Step| plan.steps.push((at, step));
             match action {
                 Action::Start { who } => {
-                    whom(who).for_each(|(at, node)| step(at, Step::Start { number, node, kept: self.kept }));
+                    targets(who)
+                        .for_each(|(at, node)| step(at, Step::Start { number, node, kept: self.kept }));
                 }
                 Action::Term { who } => {
-                    whom(who).for_each(|(at, node)| step(at, Step::Term { number, node }))
+                    targets(who).for_each(|(at, node)| step(at, Step::Term { number, node }))
                 }
                 Action::Kill { who } => {
-                    whom(who).for_each(|(at, node)| step(at, Step::Kill { number, node }))
+                    targets(who).for_each(|(at, node)| step(at, Step::Kill { number, node }))
                 }
-                Action::Stop { who, for_ms } => whom(who).for_each(|(at, node)| {
+                Action::Stop { who, for_ms } => targets(who).for_each(|(at, node)| {
                     step(at, Step::Stop { number, node });
-                    step(at + ms(*for_ms), Step::Wake { number, node });
+                    step(at + ms(*for_ms), Step::Continue { number, node });
                 }),
-                Action::Restart { who, after_ms, kept, softly } => whom(who).for_each(|(at, node)| {
+                Action::Restart { who, after_ms, kept, softly } => targets(who).for_each(|(at, node)| {
                     step(at, if *softly { Step::Term { number, node } } else { Step::Kill { number, node } });
                     step(at + ms(*after_ms), Step::Start { number, node, kept: *kept });
                 }),
                 Action::Link { from, to, way, fault, for_ms, dropped } => {
-                    let far = self.select(to, seed);
-                    for (at, from) in whom(from) {
-                        for &to in &far {
+                    let destinations = self.select(to, seed);
+                    for (at, from) in targets(from) {
+                        for &to in &destinations {
                             let (way, fault, dropped) = (*way, *fault, *dropped);
-                            step(at, Step::Hit { number, from, to, way, fault });
-                            step(at + ms(*for_ms), Step::Mend { number, from, to, dropped });
+                            step(at, Step::InjectFault { number, from, to, way, fault });
+                            step(at + ms(*for_ms), Step::ClearFault { number, from, to, dropped });
                         }
                     }
                 }
-                Action::Server { who, vertical, manner, for_ms } => indices(who).for_each(|(at, server)| {
-                    let vertical = vertical.clone();
-                    step(at, Step::Behave { number, server, vertical, manner: *manner });
-                    step(at + ms(*for_ms), Step::Recover { number, server });
-                }),
+                Action::Server { who, vertical, manner, for_ms } => {
+                    target_indices(who).for_each(|(at, server)| {
+                        let vertical = vertical.clone();
+                        step(at, Step::SetBehaviour { number, server, vertical, manner: *manner });
+                        step(at + ms(*for_ms), Step::ClearBehaviour { number, server });
+                    })
+                }
                 Action::List { who, trouble, for_ms } => {
-                    let who = who.iter().flat_map(indices).map(|(_, i)| i).collect();
-                    step(at, Step::Trouble { number, who, trouble: *trouble });
-                    step(at + ms(*for_ms), Step::Untrouble { number });
+                    let who = who.iter().flat_map(target_indices).map(|(_, i)| i).collect();
+                    step(at, Step::InjectListFault { number, who, trouble: *trouble });
+                    step(at + ms(*for_ms), Step::ClearListFault { number });
                 }
-                Action::Drain { who, for_ms } => indices(who).for_each(|(at, i)| {
+                Action::Drain { who, for_ms } => target_indices(who).for_each(|(at, i)| {
                     step(at, Step::Drain(i));
-                    step(at + ms(*for_ms), Step::Gone(i));
+                    step(at + ms(*for_ms), Step::Remove(i));
                 }),
-                Action::Cold { who } => indices(who).for_each(|(at, i)| step(at, Step::Cold(i))),
-                Action::Burst { times, for_ms } => load.push((at, at + ms(*for_ms), *times)),
+                Action::Cold { who } => target_indices(who).for_each(|(at, i)| step(at, Step::Cold(i))),
+                Action::Burst { times, for_ms } => bursts.push((at, at + ms(*for_ms), *times)),
                 Action::Rush { queries } => {
-                    rushes.extend((0..*queries * u32::from(self.gatherers)).map(|_| at));
+                    rush_times.extend((0..*queries * u32::from(self.gatherers)).map(|_| at));
                 }
             }
         }
         plan.steps.sort_by_key(|(at, _)| *at);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut times = rushes;
+        let mut times = rush_times;
         let mut at = Duration::ZERO;
         let rate = self.rate;
         while rate > 0.0 && times.len() < MAX_QUERIES {
-            let now: f64 = load.iter().filter(|l| (l.0..l.1).contains(&at)).map(|l| l.2).product();
+            let load_factor: f64 = bursts.iter().filter(|l| (l.0..l.1).contains(&at)).map(|l| l.2).product();
             // Poisson arrivals.
-            at += Duration::from_secs_f64((-(1.0 - rng.f64()).ln() / (rate * now.max(0.01))).min(60.0));
-            if at >= self.length() {
+            at +=
+                Duration::from_secs_f64((-(1.0 - rng.f64()).ln() / (rate * load_factor.max(0.01))).min(60.0));
+            if at >= self.duration() {
                 break;
             }
             times.push(at);
@@ -394,7 +401,7 @@
         let first = rng.u16(..self.shards.max(1));
         let shards = (0..parts).map(|i| u32::from((first + i) % self.shards)).collect();
         let vertical = [0, 0, 0, 0, 0, 1, 1, 1, BOOK_VERTICAL, BOOK_VERTICAL][rng.usize(..10)];
-        PlannedQuery { at, vertical, shards, lot: rng.u64(..) }
+        PlannedQuery { at, vertical, shards, selection_seed: rng.u64(..) }
     }
 }
 
@@ -418,9 +425,9 @@
     use super::*;
 
     #[test]
-    fn one_seed_makes_one_plan_and_another_seed_another() {
+    fn the_same_seed_makes_the_same_plan_and_another_seed_another() {
         for (name, text) in crate::rehearsals::ALL {
-            let rehearsal = Rehearsal::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
+            let rehearsal = Rehearsal::parse(text).unwrap_or_else(|e| panic!("{name}: {e}"));
             assert_eq!(rehearsal.plan(7), rehearsal.plan(7), "{name}");
             assert_ne!(rehearsal.plan(7), rehearsal.plan(8), "{name}");
             assert!(rehearsal.plan(7).steps.is_sorted_by_key(|(at, _)| *at), "{name}");
@@ -428,9 +435,10 @@
     }
 
     #[test]
-    fn shares_of_one_kind_do_not_overlap_and_zones_bind() {
+    fn shares_of_one_kind_do_not_overlap_and_zones_are_respected() {
         let text = crate::rehearsals::ALL[0].1;
-        let rehearsal = Rehearsal { gatherers: 20, zones: 2, ..Rehearsal::read(text).expect("it") };
+        let rehearsal =
+            Rehearsal { gatherers: 20, zones: 2, ..Rehearsal::parse(text).expect("the rehearsal is valid") };
         let some = |from, share, zone| NodeSelector { kind: Kind::Gatherers, from, share, zone };
         let first = rehearsal.select(&some(0.0, 0.7, None), 3);
         let rest = rehearsal.select(&some(0.7, 0.3, None), 3);
@@ -441,14 +449,14 @@
     }
 
     #[test]
-    fn what_cannot_be_played_is_refused_with_its_name() {
+    fn an_invalid_script_is_rejected_with_the_name_of_the_fault() {
         let text = crate::rehearsals::ALL[0].1;
         for (from, to, word) in [
             ("about", "abuot", "abuot"),
             ("gatherers = ", "gatherers = 9", "gatherers"),
             ("[most]", "[most]\nno_such = 1.0", "no_such"),
         ] {
-            let refused = Rehearsal::read(&text.replacen(from, to, 1)).expect_err(word);
+            let refused = Rehearsal::parse(&text.replacen(from, to, 1)).expect_err(word);
             assert!(refused.contains(word), "{refused}");
         }
     }
--- a/crates/lab/src/shards.rs
+++ b/crates/lab/src/shards.rs
@@ -1,5 +1,5 @@
-//! Stand-in shard servers: frames in, answers out, in the manner that holds for the moment, as fast as a modelled
-//! machine can.
+//! Stand-in shard servers. They answer frames with the behaviour that is currently set, and model the capacity of a
+//! real machine.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,31 +20,36 @@
 use crate::node::Node;
 use crate::value_of;
 
-/// How long a well server without a model takes: up to this.
-const WELL_MOST: Duration = Duration::from_millis(6);
-/// The longest frame that is read.
-const FRAME_MOST: usize = 4 << 20;
-/// Time over which a server counts what it is asked for.
-const SPAN: Duration = Duration::from_millis(500);
+/// Maximum response time of a healthy server without a capacity model.
+const MAX_HEALTHY_RESPONSE_TIME: Duration = Duration::from_millis(6);
+/// Maximum length of a frame that is read.
+const MAX_FRAME_BYTES: usize = 4 << 20;
+/// Window over which a server sums the requested work to detect overload.
+const OVERLOAD_WINDOW: Duration = Duration::from_millis(500);
 
-/// What a server can do.
+/// Capacity model of a server.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Model {
-    /// Parts that it runs at once, and that may wait beside them.
+    /// Parts that run at the same time.
     pub slots: usize,
+    /// Parts that may wait in addition to the running ones.
     pub queue: usize,
-    /// Work of a part, of a call beside its parts, and of a new connection, in milliseconds.
+    /// Work of a part, in milliseconds.
     pub part_ms: f64,
+    /// Work of a call in addition to its parts, in milliseconds.
     pub call_ms: f64,
+    /// Work of a new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Connections that it holds; further ones are closed at once.
+    /// Maximum open connections; further ones are closed at once.
     pub connections: usize,
-    /// Started anew it is this much as fast at first, and warm after so long.
+    /// Relative speed just after a restart.
     pub cold_from: f64,
+    /// Warm-up time after a restart, in milliseconds.
     pub cold_ms: u64,
-    /// It falls over when it gets this many times what it can do, for so long.
+    /// The server goes down when the requested work exceeds its capacity by this factor.
     pub overload_factor: f64,
+    /// Time that the server stays down after an overload, in milliseconds.
     pub fall_ms: u64,
 }
 
@@ -66,36 +71,36 @@
 }
 
 impl Model {
-    /// Its speed so long after its start: 1 once it is warm.
-    fn speed(&self, up: Duration) -> f64 {
-        let warm = up.as_secs_f64() * 1e3 / (self.cold_ms.max(1)) as f64;
+    /// Returns the relative speed at a time since the start: 1 once the server is warm.
+    fn speed(&self, uptime: Duration) -> f64 {
+        let warm = uptime.as_secs_f64() * 1e3 / (self.cold_ms.max(1)) as f64;
         (self.cold_from + (1.0 - self.cold_from) * warm).min(1.0)
     }
 }
 
-/// What the machine of a modelled server is busy with. Takes the time in, keeps none.
+/// Load of a modelled server. The current time is passed in; this type reads no clock.
 struct Machine {
     model: Model,
-    /// When it started, unless it was warm from the first.
+    /// Start time, unless the server was warm from the start.
     cold_since: Option<Instant>,
-    /// When each slot is free again.
+    /// Time at which each slot becomes free.
     slots: BinaryHeap<Reverse<Instant>>,
-    /// Starts of what waits.
+    /// Start times of the waiting work.
     waiting: BinaryHeap<Reverse<Instant>>,
-    /// Work asked for in this span, and when it began.
-    span: (Instant, Duration),
-    fallen_until: Option<Instant>,
+    /// Start of the current overload window, and the work requested in it.
+    window: (Instant, Duration),
+    down_until: Option<Instant>,
 }
 
+/// Result of offering work to a [`Machine`].
 #[derive(Debug, PartialEq)]
 enum Admission {
-    /// Done then.
+    /// Accepted; done at this time.
     Until(Instant),
+    /// Rejected because the queue is full.
     Full,
-    /// It has just fallen over, or is still down.
-    Down {
-        now: bool,
-    },
+    /// The server is down; `now` if this work overloaded it.
+    Down { now: bool },
 }
 
 impl Machine {
@@ -107,8 +112,8 @@
             cold_since,
             slots,
             waiting: BinaryHeap::new(),
-            span: (now, Duration::ZERO),
-            fallen_until: None,
+            window: (now, Duration::ZERO),
+            down_until: None,
         }
     }
 
@@ -116,27 +121,27 @@
         self.cold_since.map_or(1.0, |since| self.model.speed(now - since))
     }
 
-    fn cold(&self, now: Instant) -> bool {
+    fn is_cold(&self, now: Instant) -> bool {
         self.speed(now) < 1.0
     }
 
-    fn down(&self, now: Instant) -> bool {
-        self.fallen_until.is_some_and(|until| now < until)
+    fn is_down(&self, now: Instant) -> bool {
+        self.down_until.is_some_and(|until| now < until)
     }
 
-    /// Work of so many milliseconds, at this server's speed when warm.
-    fn take(&mut self, now: Instant, work_ms: f64) -> Admission {
-        if self.down(now) {
+    /// Offers work that takes `work_ms` on a warm server.
+    fn offer(&mut self, now: Instant, work_ms: f64) -> Admission {
+        if self.is_down(now) {
             return Admission::Down { now: false };
         }
         let (speed, work) = (self.speed(now), Duration::from_secs_f64(work_ms / 1e3));
-        if now >= self.span.0 + SPAN {
-            self.span = (now, Duration::ZERO);
+        if now >= self.window.0 + OVERLOAD_WINDOW {
+            self.window = (now, Duration::ZERO);
         }
-        self.span.1 += work;
-        let can = SPAN.mul_f64(self.model.slots as f64 * speed);
-        if self.span.1 > can.mul_f64(self.model.overload_factor) {
-            self.fallen_until = Some(now + Duration::from_millis(self.model.fall_ms));
+        self.window.1 += work;
+        let capacity = OVERLOAD_WINDOW.mul_f64(self.model.slots as f64 * speed);
+        if self.window.1 > capacity.mul_f64(self.model.overload_factor) {
+            self.down_until = Some(now + Duration::from_millis(self.model.fall_ms));
             return Admission::Down { now: true };
         }
         while self.waiting.peek().is_some_and(|Reverse(start)| *start <= now) {
@@ -145,62 +150,63 @@
         if self.waiting.len() >= (self.model.queue as f64 * speed).ceil() as usize {
             return Admission::Full;
         }
-        let free = self.slots.pop().map_or(now, |Reverse(free)| free).max(now);
-        let done = free + work.div_f64(speed);
-        self.slots.push(Reverse(done));
-        if free > now {
-            self.waiting.push(Reverse(free));
+        let free_at = self.slots.pop().map_or(now, |Reverse(free_at)| free_at).max(now);
+        let done_at = free_at + work.div_f64(speed);
+        self.slots.push(Reverse(done_at));
+        if free_at > now {
+            self.waiting.push(Reverse(free_at));
         }
-        Admission::Until(done)
+        Admission::Until(done_at)
     }
 }
 
-/// A manner that a rehearsal has told, for all verticals or for one.
+/// A behaviour set by a rehearsal, for one vertical or for all.
 #[derive(Clone, Debug)]
-struct Told {
+struct ActiveBehaviour {
     number: usize,
     vertical: Option<String>,
-    manner: Behaviour,
+    behaviour: Behaviour,
 }
 
-/// What a server goes by.
-enum Ways {
-    FaultSchedule { script: Arc<FaultSchedule>, start: Instant },
-    Told(Mutex<Vec<Told>>),
+/// Where the behaviour of a server comes from.
+enum BehaviourSource {
+    FaultSchedule { schedule: Arc<FaultSchedule>, start: Instant },
+    Rehearsal(Mutex<Vec<ActiveBehaviour>>),
 }
 
+/// A stand-in server on its own socket.
 pub struct Shard {
     pub number: usize,
     pub address: SocketAddr,
 }
 
-/// One stand-in server.
+/// A stand-in server.
 pub struct Server {
     number: usize,
-    ways: Ways,
+    behaviour_source: BehaviourSource,
     machine: Option<Mutex<Machine>>,
-    open: Mutex<usize>,
-    /// How often all its connections have been broken.
-    breaks: watch::Sender<u64>,
+    open_connections: Mutex<usize>,
+    /// Number of times that all connections have been closed.
+    disconnects: watch::Sender<u64>,
     recorder: Option<Recorder>,
     verticals: Vec<String>,
 }
 
-fn frame(rest: &[u8]) -> Bytes {
+fn encode_frame(rest: &[u8]) -> Bytes {
     let mut bytes = BytesMut::with_capacity(rest.len() + 4);
     bytes.put_u32(rest.len() as u32);
     bytes.put_slice(rest);
     bytes.freeze()
 }
 
-/// A part as a frame has it. Its text names the vertical, where it names any, and the length of value.
+/// A part of a call frame. Its text contains the requested value length, and may name the vertical.
 struct Part {
     id: String,
     vertical: String,
     length: usize,
 }
 
-fn parts(rest: &[u8]) -> Option<Vec<Part>> {
+fn parse_parts(rest: &[u8]) -> Option<Vec<Part>> {
     let (mut parts, mut left) = (Vec::new(), std::str::from_utf8(rest).ok()?);
     while !left.is_empty() {
         let (line, more) = left.split_once('\n')?;
@@ -215,8 +221,8 @@
     Some(parts)
 }
 
-/// The query and the shard that a part's id names.
-fn query_of(id: &str) -> Option<(u64, u16)> {
+/// Parses a part id into query number and shard.
+fn parse_part_id(id: &str) -> Option<(u64, u16)> {
     let (query, shard) = id.strip_prefix('q')?.split_once('.')?;
     Some((query.parse().ok()?, shard.parse().ok()?))
 }
@@ -226,16 +232,16 @@
 }
 
 impl Server {
-    /// One of a rehearsal, which goes by what it is told.
-    pub fn told(
+    /// Creates a server for a rehearsal, whose behaviour is set by [`Server::set_behaviour`].
+    pub fn for_rehearsal(
         number: usize, model: Model, cold: bool, recorder: Recorder, verticals: Vec<String>,
     ) -> Server {
         Server {
             number,
-            ways: Ways::Told(Mutex::default()),
+            behaviour_source: BehaviourSource::Rehearsal(Mutex::default()),
             machine: Some(Mutex::new(Machine::new(model, Instant::now(), cold))),
-            open: Mutex::default(),
-            breaks: watch::Sender::new(0),
+            open_connections: Mutex::default(),
+            disconnects: watch::Sender::new(0),
             recorder: Some(recorder),
             verticals,
         }
@@ -249,86 +255,94 @@
         self.recorder.iter().for_each(|recorder| recorder.record(kind.clone()));
     }
 
-    /// It behaves so until told that this is over.
-    pub fn behave(&self, number: usize, vertical: Option<String>, manner: Behaviour) {
-        if let Ways::Told(told) = &self.ways {
-            locked(told).push(Told { number, vertical, manner });
+    /// Sets a behaviour until [`Server::clear_behaviour`] is called with the same number.
+    pub fn set_behaviour(&self, number: usize, vertical: Option<String>, behaviour: Behaviour) {
+        if let BehaviourSource::Rehearsal(behaviours) = &self.behaviour_source {
+            locked(behaviours).push(ActiveBehaviour { number, vertical, behaviour });
             self.record(EventKind::Troubled { node: self.node(), on: true });
         }
     }
 
-    pub fn recover(&self, number: usize) {
-        if let Ways::Told(told) = &self.ways {
-            locked(told).retain(|t| t.number != number);
+    /// Ends the behaviour with this number.
+    pub fn clear_behaviour(&self, number: usize) {
+        if let BehaviourSource::Rehearsal(behaviours) = &self.behaviour_source {
+            locked(behaviours).retain(|t| t.number != number);
             self.record(EventKind::Troubled { node: self.node(), on: false });
         }
     }
 
-    /// Started anew: its connections are broken, and it is cold.
+    /// Restarts the server: its connections are closed, and it is cold.
     pub fn restart(&self) {
         if let Some(machine) = &self.machine {
             let mut machine = locked(machine);
             *machine = Machine::new(machine.model, Instant::now(), true);
         }
-        self.breaks.send_modify(|breaks| *breaks += 1);
+        self.disconnects.send_modify(|disconnects| *disconnects += 1);
     }
 
-    fn manner(&self, vertical: &str) -> Behaviour {
-        match &self.ways {
-            Ways::FaultSchedule { script, start } => script.behaviour_at(self.number, start.elapsed()),
-            Ways::Told(told) => {
-                let hits = |t: &&Told| t.vertical.as_ref().is_none_or(|v| v == vertical);
-                locked(told).iter().rev().find(hits).map_or(Behaviour::Well, |t| t.manner)
+    fn behaviour(&self, vertical: &str) -> Behaviour {
+        match &self.behaviour_source {
+            BehaviourSource::FaultSchedule { schedule, start } => {
+                schedule.behaviour_at(self.number, start.elapsed())
+            }
+            BehaviourSource::Rehearsal(behaviours) => {
+                let applies = |t: &&ActiveBehaviour| t.vertical.as_ref().is_none_or(|v| v == vertical);
+                locked(behaviours).iter().rev().find(applies).map_or(Behaviour::Well, |t| t.behaviour)
             }
         }
     }
 
-    /// When work is done, or none where it is turned away; an error where the server is down.
-    fn work(&self, work_ms: impl Fn(&Model) -> f64) -> Result<Option<Instant>, std::io::Error> {
+    /// Returns when the work is done, `None` if it is rejected, or an error if the server is down.
+    fn offer_work(&self, work_ms: impl Fn(&Model) -> f64) -> Result<Option<Instant>, std::io::Error> {
         let now = Instant::now();
-        let Some(machine) = &self.machine else { return Ok(Some(now + WELL_MOST.mul_f64(fastrand::f64()))) };
-        let (taken, cold) = {
+        let Some(machine) = &self.machine else {
+            return Ok(Some(now + MAX_HEALTHY_RESPONSE_TIME.mul_f64(fastrand::f64())));
+        };
+        let (admission, cold) = {
             let mut machine = locked(machine);
             let work = work_ms(&machine.model);
-            (machine.take(now, work), machine.cold(now))
+            (machine.offer(now, work), machine.is_cold(now))
         };
-        match taken {
-            Admission::Until(done) => Ok(Some(done)),
+        match admission {
+            Admission::Until(done_at) => Ok(Some(done_at)),
             Admission::Full => Ok(None),
             Admission::Down { now } => {
                 if now {
                     self.record(EventKind::Fell { server: self.node(), cold });
-                    self.breaks.send_modify(|breaks| *breaks += 1);
+                    self.disconnects.send_modify(|disconnects| *disconnects += 1);
                 }
                 Err(std::io::ErrorKind::ConnectionReset.into())
             }
         }
     }
 
-    /// Serves one connection until it ends.
+    /// Serves a connection until it ends.
     pub async fn serve(&self, stream: impl AsyncRead + AsyncWrite + Send + 'static, from: Node) {
-        let room = self.machine.as_ref().is_none_or(|m| *locked(&self.open) < locked(m).model.connections);
-        if !room {
+        let has_room = self
+            .machine
+            .as_ref()
+            .is_none_or(|m| *locked(&self.open_connections) < locked(m).model.connections);
+        if !has_room {
             return;
         }
-        *locked(&self.open) += 1;
-        let mut breaks = self.breaks.subscribe();
-        breaks.mark_unchanged();
+        *locked(&self.open_connections) += 1;
+        let mut disconnects = self.disconnects.subscribe();
+        disconnects.mark_unchanged();
         tokio::select! {
-            _ = self.converse(stream, from) => {}
-            _ = breaks.changed() => {}
+            _ = self.handle_connection(stream, from) => {}
+            _ = disconnects.changed() => {}
         }
-        *locked(&self.open) -= 1;
+        *locked(&self.open_connections) -= 1;
     }
 
-    async fn converse(
+    async fn handle_connection(
         &self, stream: impl AsyncRead + AsyncWrite + Send + 'static, from: Node,
     ) -> std::io::Result<()> {
         let (mut read, mut write) = tokio::io::split(stream);
         if self.machine.is_some() {
-            // One that has no room even for this closes the connection.
-            let up = self.work(|model| model.handshake_ms)?;
-            sleep_until(up.ok_or(std::io::ErrorKind::ConnectionReset)?).await;
+            // A server that is too busy for the handshake closes the connection.
+            let handshake_done = self.offer_work(|model| model.handshake_ms)?;
+            sleep_until(handshake_done.ok_or(std::io::ErrorKind::ConnectionReset)?).await;
         }
         let (answers, mut queue) = mpsc::unbounded_channel::<Bytes>();
         let writing = async move {
@@ -340,77 +354,82 @@
         let reading = async {
             loop {
                 let length = read.read_u32().await? as usize;
-                if length == 0 || length > FRAME_MOST {
+                if length == 0 || length > MAX_FRAME_BYTES {
                     return Err(std::io::ErrorKind::InvalidData.into());
                 }
                 let mut bytes = vec![0; length];
                 read.read_exact(&mut bytes).await?;
                 if bytes[0] == b'S' {
-                    let parts = parts(&bytes[1..]).ok_or(std::io::ErrorKind::InvalidData)?;
-                    self.call(parts, from, &answers)?;
+                    let parts = parse_parts(&bytes[1..]).ok_or(std::io::ErrorKind::InvalidData)?;
+                    self.handle_call(parts, from, &answers)?;
                 }
             }
         };
-        // The one that ends takes the other along.
+        // When reading or writing ends, the other is cancelled.
         tokio::select! { ended = reading => ended, ended = writing => ended }
     }
 
-    fn ran(&self, part: &Part, from: Node) {
+    fn record_run(&self, part: &Part, from: Node) {
         let Some(recorder) = &self.recorder else { return };
         let vertical = self.verticals.iter().position(|v| *v == part.vertical).unwrap_or(0) as u8;
-        if let Some((query, shard)) = query_of(&part.id) {
+        if let Some((query, shard)) = parse_part_id(&part.id) {
             recorder.record(EventKind::Ran { server: self.node(), from, query, shard, vertical });
         }
     }
 
-    /// One call: its parts are answered each in its own time.
-    fn call(
+    /// Handles a call. Each part is answered as soon as it is done.
+    fn handle_call(
         &self, parts: Vec<Part>, from: Node, answers: &mpsc::UnboundedSender<Bytes>,
     ) -> std::io::Result<()> {
         let count = parts.len();
         for (at, part) in parts.into_iter().enumerate() {
-            let manner = self.manner(&part.vertical);
-            if manner == Behaviour::Cut {
+            let behaviour = self.behaviour(&part.vertical);
+            if behaviour == Behaviour::Cut {
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             let work = |model: &Model| model.part_ms + if at == 0 { model.call_ms } else { 0.0 };
-            let done = if manner == Behaviour::Full { None } else { self.work(work)? };
-            let Some(done) = done else {
+            let done_at = if behaviour == Behaviour::Full { None } else { self.offer_work(work)? };
+            let Some(done_at) = done_at else {
                 self.record(EventKind::Full { server: self.node(), from });
-                let _ = answers.send(frame(format!("R{} full 1 -\n", part.id).as_bytes()));
+                let _ = answers.send(encode_frame(format!("R{} full 1 -\n", part.id).as_bytes()));
                 continue;
             };
-            self.ran(&part, from);
-            if manner == Behaviour::Twice {
-                self.ran(&part, from);
+            self.record_run(&part, from);
+            if behaviour == Behaviour::Twice {
+                self.record_run(&part, from);
             }
-            let value =
-                || frame(format!("R{} done 1 -\n{}", part.id, value_of(&part.id, part.length)).as_bytes());
-            let (done, bytes) = match manner {
-                Behaviour::Slow(more) => (done + more, value()),
-                Behaviour::Failing => (done, frame(format!("R{} failed 1 -\n", part.id).as_bytes())),
+            let value = || {
+                encode_frame(format!("R{} done 1 -\n{}", part.id, value_of(&part.id, part.length)).as_bytes())
+            };
+            let (done_at, bytes) = match behaviour {
+                Behaviour::Slow(more) => (done_at + more, value()),
+                Behaviour::Failing => {
+                    (done_at, encode_frame(format!("R{} failed 1 -\n", part.id).as_bytes()))
+                }
                 Behaviour::Half => {
                     let whole = value();
-                    (done, whole.slice(..whole.len() / 2))
+                    (done_at, whole.slice(..whole.len() / 2))
+                }
+                Behaviour::Spoilt => {
+                    (done_at, encode_frame(format!("R{} done 1 -\nspoilt", part.id).as_bytes()))
                 }
-                Behaviour::Spoilt => (done, frame(format!("R{} done 1 -\nspoilt", part.id).as_bytes())),
                 Behaviour::Silent => continue,
                 Behaviour::HoldsLast if at + 1 == count => continue,
-                _ => (done, value()),
+                _ => (done_at, value()),
             };
             let answers = answers.clone();
             tokio::spawn(async move {
-                sleep_until(done).await;
+                sleep_until(done_at).await;
                 let _ = answers.send(bytes);
             });
-            if manner == Behaviour::Half {
+            if behaviour == Behaviour::Half {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Serves whoever is brought by relays of this process.
+    /// Serves the connections that relays of this process open.
     pub async fn run(self: Arc<Self>, mut dialled: mpsc::UnboundedReceiver<(Node, tokio::io::DuplexStream)>) {
         while let Some((from, stream)) = dialled.recv().await {
             let server = self.clone();
@@ -419,7 +438,7 @@
     }
 }
 
-/// A server and the way for relays to it.
+/// Starts a server; returns it with the sender by which relays connect to it.
 pub fn start(server: Server) -> (Arc<Server>, ConnectionSender) {
     let (dials, dialled) = mpsc::unbounded_channel();
     let server = Arc::new(server);
@@ -428,17 +447,19 @@
 }
 
 impl Shard {
-    /// Starts a shard server that goes by the script from `start` on.
-    pub async fn start(number: usize, script: Arc<FaultSchedule>, start: Instant) -> std::io::Result<Shard> {
+    /// Starts a shard server that follows a fault schedule from `start` on.
+    pub async fn start(
+        number: usize, schedule: Arc<FaultSchedule>, start: Instant,
+    ) -> std::io::Result<Shard> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let ways = Ways::FaultSchedule { script, start };
+        let behaviour_source = BehaviourSource::FaultSchedule { schedule, start };
         let server = Server {
             number,
-            ways,
+            behaviour_source,
             machine: None,
-            open: Mutex::default(),
-            breaks: watch::Sender::new(0),
+            open_connections: Mutex::default(),
+            disconnects: watch::Sender::new(0),
             recorder: None,
             verticals: Vec::new(),
         };
@@ -446,7 +467,7 @@
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    sleep(WELL_MOST).await;
+                    sleep(MAX_HEALTHY_RESPONSE_TIME).await;
                     continue;
                 };
                 let _ = stream.set_nodelay(true);
@@ -463,47 +484,51 @@
     use super::*;
 
     #[tokio::test]
-    async fn a_machine_queues_turns_away_is_slow_when_cold_and_falls_over() {
+    async fn a_machine_queues_rejects_is_slow_when_cold_and_goes_down_when_overloaded() {
         let ms = Duration::from_millis;
         let now = Instant::now();
         let model = Model { slots: 1, queue: 2, part_ms: 10.0, overload_factor: 100.0, ..Model::default() };
         let mut warm = Machine::new(model, now, false);
-        let taken: Vec<Admission> = (0..4).map(|_| warm.take(now, 10.0)).collect();
+        let admission: Vec<Admission> = (0..4).map(|_| warm.offer(now, 10.0)).collect();
         let until = |at| Admission::Until(now + ms(at));
-        assert_eq!(taken, [until(10), until(20), until(30), Admission::Full]);
-        assert_eq!(warm.take(now + ms(15), 10.0), until(40), "room again");
+        assert_eq!(admission, [until(10), until(20), until(30), Admission::Full]);
+        assert_eq!(warm.offer(now + ms(15), 10.0), until(40), "the queue has room again");
         let mut cold = Machine::new(Model { cold_from: 0.25, ..model }, now, true);
-        assert_eq!(cold.take(now, 10.0), until(40));
-        assert!(cold.cold(now) && !cold.cold(now + ms(model.cold_ms)));
+        assert_eq!(cold.offer(now, 10.0), until(40));
+        assert!(cold.is_cold(now) && !cold.is_cold(now + ms(model.cold_ms)));
         let mut small = Machine::new(Model { overload_factor: 2.0, queue: 1000, ..model }, now, false);
-        let fell = (0..).find(|_| small.take(now, 10.0) == Admission::Down { now: true });
-        assert_eq!(fell, Some(100), "a second of work in half a second's span");
-        assert_eq!(small.take(now + ms(999), 1.0), Admission::Down { now: false });
-        assert!(matches!(small.take(now + ms(1001), 1.0), Admission::Until(_)));
+        let first_overload = (0..).find(|_| small.offer(now, 10.0) == Admission::Down { now: true });
+        assert_eq!(
+            first_overload,
+            Some(100),
+            "one second of work within the window of half a second overloads the server"
+        );
+        assert_eq!(small.offer(now + ms(999), 1.0), Admission::Down { now: false });
+        assert!(matches!(small.offer(now + ms(1001), 1.0), Admission::Until(_)));
     }
 
     #[tokio::test]
-    async fn it_closes_connections_beyond_its_limit_and_fails_for_one_vertical_only() {
+    async fn a_server_closes_connections_beyond_its_limit_and_fails_for_one_vertical_only() {
         let recorder = Recorder::new(Instant::now());
         let model = Model { connections: 1, ..Model::default() };
-        let server = Server::told(0, model, false, recorder, vec!["near".into(), "book".into()]);
+        let server = Server::for_rehearsal(0, model, false, recorder, vec!["near".into(), "book".into()]);
         let (server, dials) = start(server);
-        server.behave(1, Some("book".into()), Behaviour::Failing);
-        let (mut ours, theirs) = tokio::io::duplex(4096);
-        dials.send((Node::Gatherer(1), theirs)).expect("taken");
-        let mut ask = async |id: &str, text: &str| {
+        server.set_behaviour(1, Some("book".into()), Behaviour::Failing);
+        let (mut near_end, far_end) = tokio::io::duplex(4096);
+        dials.send((Node::Gatherer(1), far_end)).expect("taken");
+        let mut call = async |id: &str, text: &str| {
             let rest = format!("S{id} 3 d=500 {}\n{text}", text.len());
-            ours.write_all(&frame(rest.as_bytes())).await.expect("sent");
-            let mut answer = vec![0; ours.read_u32().await.expect("an answer") as usize];
-            ours.read_exact(&mut answer).await.expect("whole");
+            near_end.write_all(&encode_frame(rest.as_bytes())).await.expect("sent");
+            let mut answer = vec![0; near_end.read_u32().await.expect("an answer") as usize];
+            near_end.read_exact(&mut answer).await.expect("whole");
             String::from_utf8(answer).expect("text")
         };
-        assert!(ask("q1.3", "near length=4").await.starts_with("Rq1.3 done"));
-        assert!(ask("q2.3", "book length=4").await.starts_with("Rq2.3 failed"));
-        server.recover(1);
-        assert!(ask("q3.3", "book length=4").await.starts_with("Rq3.3 done"));
-        let (mut second, theirs) = tokio::io::duplex(4096);
-        dials.send((Node::Gatherer(2), theirs)).expect("taken");
+        assert!(call("q1.3", "near length=4").await.starts_with("Rq1.3 done"));
+        assert!(call("q2.3", "book length=4").await.starts_with("Rq2.3 failed"));
+        server.clear_behaviour(1);
+        assert!(call("q3.3", "book length=4").await.starts_with("Rq3.3 done"));
+        let (mut second, far_end) = tokio::io::duplex(4096);
+        dials.send((Node::Gatherer(2), far_end)).expect("taken");
         assert_eq!(second.read(&mut [0; 8]).await.expect("an end"), 0, "closed at once");
     }
 }
