--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -121,15 +121,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let mut discovery = Discovery::new(None, Arc::new(|_, _| None), None);
         discovery.address = listener.local_addr()?;
-        let service_handle = discovery.clone();
+        let discovery_handle = discovery.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
-                let service_handle = service_handle.clone();
-                tokio::spawn(async move { service_handle.serve(stream, Node::Gatherer(0)).await });
+                let discovery_handle = discovery_handle.clone();
+                tokio::spawn(async move { discovery_handle.serve(stream, Node::Gatherer(0)).await });
             }
         });
         Ok(discovery)
@@ -141,15 +141,15 @@
         rate: Option<f64>, address_of: AddressOf, recorder: Recorder,
     ) -> (Discovery, ConnectionSender) {
         let discovery = Discovery::new(rate, address_of, Some(recorder));
-        let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, tokio::io::DuplexStream)>();
-        let service_handle = discovery.clone();
+        let (connections, mut accepted) = mpsc::unbounded_channel::<(Node, tokio::io::DuplexStream)>();
+        let discovery_handle = discovery.clone();
         tokio::spawn(async move {
-            while let Some((from, stream)) = dialled.recv().await {
-                let service_handle = service_handle.clone();
-                tokio::spawn(async move { service_handle.serve(stream, from).await });
+            while let Some((from, stream)) = accepted.recv().await {
+                let discovery_handle = discovery_handle.clone();
+                tokio::spawn(async move { discovery_handle.serve(stream, from).await });
             }
         });
-        (discovery, dials)
+        (discovery, connections)
     }
 
     async fn serve(&self, stream: impl AsyncRead + AsyncWrite + Unpin, from: Node) {
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -122,7 +122,7 @@
     /// Address to which `from` connects.
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
-    far: Target,
+    target: Target,
     recorder: Recorder,
     listener: Mutex<Option<TcpListener>>,
 }
@@ -194,10 +194,10 @@
 
 impl Link {
     /// Creates the relay with a listener on a free port of `from`'s address.
-    pub fn new(from: Node, to: Node, far: Target, recorder: Recorder) -> io::Result<Link> {
+    pub fn new(from: Node, to: Node, target: Target, recorder: Recorder) -> io::Result<Link> {
         let listener = listen((from.address(), 0).into())?;
         let (address, state) = (listener.local_addr()?, watch::Sender::new(LinkState::default()));
-        Ok(Link { from, to, address, state, far, recorder, listener: Mutex::new(Some(listener)) })
+        Ok(Link { from, to, address, state, target, recorder, listener: Mutex::new(Some(listener)) })
     }
 
     /// Starts a fault. `number` identifies it among the faults that are active at the same time.
@@ -262,7 +262,7 @@
                 }
             }
             tokio::select! {
-                taken = open.accept() => if let Ok((stream, _)) = taken {
+                accept_result = open.accept() => if let Ok((stream, _)) = accept_result {
                     tokio::spawn(self.clone().carry(stream));
                 },
                 _ = state.changed() => {}
@@ -270,32 +270,32 @@
         }
     }
 
-    async fn carry(self: Arc<Self>, near: TcpStream) {
+    async fn carry(self: Arc<Self>, client: TcpStream) {
         self.recorder.record(EventKind::Dialled { from: self.from, to: self.to });
         let sent = std::sync::atomic::AtomicU64::new(0);
-        let _ = near.set_nodelay(true);
-        match &self.far {
-            Target::InProcess(dials) => {
-                let (near_end, far_end) = tokio::io::duplex(4 * CHUNK_BYTES);
-                if dials.send((self.from, far_end)).is_ok() {
-                    self.join(near, near_end, |_| {}, &sent).await;
+        let _ = client.set_nodelay(true);
+        match &self.target {
+            Target::InProcess(connections) => {
+                let (client_end, server_end) = tokio::io::duplex(4 * CHUNK_BYTES);
+                if connections.send((self.from, server_end)).is_ok() {
+                    self.join(client, client_end, |_| {}, &sent).await;
                 }
             }
             Target::Process(address) => {
                 let address = *address.lock().unwrap_or_else(PoisonError::into_inner);
-                let far = async {
+                let target = async {
                     let socket = TcpSocket::new_v4()?;
                     socket.bind((self.from.address(), 0).into())?;
                     socket.connect(address).await
                 };
-                match far.await {
-                    Ok(far) => {
-                        let _ = far.set_nodelay(true);
-                        let reset = |far: &TcpStream| drop(far.set_zero_linger());
-                        self.join(near, far, reset, &sent).await;
+                match target.await {
+                    Ok(target) => {
+                        let _ = target.set_nodelay(true);
+                        let reset = |target: &TcpStream| drop(target.set_zero_linger());
+                        self.join(client, target, reset, &sent).await;
                     }
                     // The target does not listen: reset the connection so that the opening side notices at once.
-                    Err(_) => drop(near.set_zero_linger()),
+                    Err(_) => drop(client.set_zero_linger()),
                 }
             }
         }
@@ -305,24 +305,24 @@
 
     /// Forwards between two streams until both directions have ended, one has failed or the link is reset.
     async fn join<F: AsyncRead + AsyncWrite + Unpin>(
-        &self, mut near: TcpStream, mut far: F, reset: impl Fn(&F), sent: &std::sync::atomic::AtomicU64,
+        &self, mut client: TcpStream, mut target: F, reset: impl Fn(&F), sent: &std::sync::atomic::AtomicU64,
     ) {
         let mut state = self.state.subscribe();
         let resets = state.borrow().resets;
         let back = std::sync::atomic::AtomicU64::new(0);
-        let well = {
-            let (near_read, near_write) = near.split();
-            let (far_read, far_write) = tokio::io::split(&mut far);
-            let there = forward(near_read, far_write, Direction::There, state.clone(), sent);
-            let back = forward(far_read, near_write, Direction::Back, state.clone(), &back);
+        let ended_cleanly = {
+            let (client_read, client_write) = client.split();
+            let (target_read, target_write) = tokio::io::split(&mut target);
+            let towards_target = forward(client_read, target_write, Direction::There, state.clone(), sent);
+            let back = forward(target_read, client_write, Direction::Back, state.clone(), &back);
             tokio::select! {
-                ended = async { tokio::try_join!(there, back) } => ended.is_ok(),
+                ended = async { tokio::try_join!(towards_target, back) } => ended.is_ok(),
                 _ = state.wait_for(|state| state.resets > resets) => false,
             }
         };
-        if !well {
-            let _ = near.set_zero_linger();
-            reset(&far);
+        if !ended_cleanly {
+            let _ = client.set_zero_linger();
+            reset(&target);
         }
     }
 }
@@ -334,9 +334,9 @@
     /// Starts a link to an echo server within this process.
     async fn link(number: u16) -> (Arc<Link>, Recorder) {
         let recorder = Recorder::new(Instant::now());
-        let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
+        let (connections, mut accepted) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
         tokio::spawn(async move {
-            while let Some((_, stream)) = dialled.recv().await {
+            while let Some((_, stream)) = accepted.recv().await {
                 tokio::spawn(async move {
                     let (mut read, mut write) = tokio::io::split(stream);
                     let _ = tokio::io::copy(&mut read, &mut write).await;
@@ -344,9 +344,13 @@
                 });
             }
         });
-        let link =
-            Link::new(Node::Gatherer(number), Node::Server(0), Target::InProcess(dials), recorder.clone());
-        let link = Arc::new(link.expect("a port"));
+        let link = Link::new(
+            Node::Gatherer(number),
+            Node::Server(0),
+            Target::InProcess(connections),
+            recorder.clone(),
+        );
+        let link = Arc::new(link.expect("a free port"));
         tokio::spawn(link.clone().run());
         (link, recorder)
     }
@@ -368,27 +372,28 @@
     async fn a_silent_link_holds_back_bytes_and_connections_and_then_delivers_or_drops_them() {
         for (number, dropped) in [(600, false), (601, true)] {
             let (link, _) = link(number).await;
-            let mut open = dial(&link).await.expect("up");
+            let mut open = dial(&link).await.expect("the connection is established");
             assert!(echoes(&mut open).await);
             link.inject(1, Direction::Both, Fault::Silent);
             assert!(!echoes(&mut open).await, "bytes are held back while the link is silent");
             assert!(dial(&link).await.is_none(), "no connection is established while the link is silent");
             link.clear(1, dropped);
             let mut byte = [0];
-            let held = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("an end");
+            let held =
+                timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("no time-out");
             assert_eq!(held.is_ok(), !dropped, "bytes held back arrive, or their connection is reset");
-            let mut again = None;
+            let mut reconnected = None;
             for _ in 0..20 {
-                again = again.or(dial(&link).await);
+                reconnected = reconnected.or(dial(&link).await);
             }
-            assert!(echoes(&mut again.expect("connections are established again")).await);
+            assert!(echoes(&mut reconnected.expect("connections are established again")).await);
         }
     }
 
     #[tokio::test]
     async fn one_directional_silence_delay_throughput_refusal_and_reset() {
         let (link, _) = link(602).await;
-        let mut open = dial(&link).await.expect("up");
+        let mut open = dial(&link).await.expect("the connection is established");
         link.inject(1, Direction::Back, Fault::Silent);
         assert!(!echoes(&mut open).await, "the echo does not come back");
         assert!(
@@ -413,12 +418,12 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(5), refused).await.expect("refused");
+        timeout(Duration::from_secs(5), refused).await.expect("connections are refused in time");
         assert!(echoes(&mut open).await, "open connections continue");
         link.clear(4, false);
         link.inject(5, Direction::Both, Fault::Reset);
-        let reset = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("an end");
-        assert_eq!(reset.expect_err("reset").kind(), io::ErrorKind::ConnectionReset);
+        let reset = timeout(Duration::from_secs(5), open.read_exact(&mut byte)).await.expect("no time-out");
+        assert_eq!(reset.expect_err("the connection is reset").kind(), io::ErrorKind::ConnectionReset);
     }
 
     /// Guards against one side waiting for ever for the other to close, and against bytes lost when one side closes
@@ -426,38 +431,44 @@
     #[tokio::test]
     async fn either_side_of_a_connection_may_close_first() {
         let (link, recorder) = link(603).await;
-        // The near side stops sending first: its bytes still come back, then the end of the stream.
-        let mut near = dial(&link).await.expect("up");
-        near.write_all(b"last words").await.expect("sent");
-        near.shutdown().await.expect("half closed");
-        let mut words = Vec::new();
-        timeout(Duration::from_secs(5), near.read_to_end(&mut words)).await.expect("an end").expect("whole");
-        assert_eq!(words, b"last words");
-        // The far side ends first.
-        let (dials, mut dialled) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
-        let second =
-            Link::new(Node::Gatherer(604), Node::Server(1), Target::InProcess(dials), recorder.clone());
-        let second = Arc::new(second.expect("a port"));
-        tokio::spawn(second.clone().run());
-        let mut near = dial(&second).await.expect("up");
-        let (_, mut far) = dialled.recv().await.expect("dialled");
-        far.write_all(b"bye").await.expect("sent");
-        drop(far);
-        words.clear();
-        timeout(Duration::from_secs(5), near.read_to_end(&mut words)).await.expect("an end").expect("whole");
-        assert_eq!(words, b"bye");
-        drop(near);
-        let hung = || {
+        // The client side stops sending first: its bytes still come back, then the end of the stream.
+        let mut client = dial(&link).await.expect("the connection is established");
+        client.write_all(b"last words").await.expect("the bytes are sent");
+        client.shutdown().await.expect("half closed");
+        let mut received = Vec::new();
+        timeout(Duration::from_secs(5), client.read_to_end(&mut received))
+            .await
+            .expect("no time-out")
+            .expect("the stream is readable");
+        assert_eq!(received, b"last words");
+        // The target side closes first.
+        let (connections, mut accepted) = mpsc::unbounded_channel::<(Node, DuplexStream)>();
+        let second_link =
+            Link::new(Node::Gatherer(604), Node::Server(1), Target::InProcess(connections), recorder.clone());
+        let second_link = Arc::new(second_link.expect("a free port"));
+        tokio::spawn(second_link.clone().run());
+        let mut client = dial(&second_link).await.expect("the connection is established");
+        let (_, mut target) = accepted.recv().await.expect("the relay connects");
+        target.write_all(b"bye").await.expect("the bytes are sent");
+        drop(target);
+        received.clear();
+        timeout(Duration::from_secs(5), client.read_to_end(&mut received))
+            .await
+            .expect("no time-out")
+            .expect("the stream is readable");
+        assert_eq!(received, b"bye");
+        drop(client);
+        let closed_count = || {
             recorder.clone().take().events.iter().filter(|e| matches!(e.kind, EventKind::Hung { .. })).count()
         };
-        let mut seen = 0;
+        let mut total_closed = 0;
         for _ in 0..500 {
-            seen += hung();
-            if seen == 2 {
+            total_closed += closed_count();
+            if total_closed == 2 {
                 return;
             }
             sleep(Duration::from_millis(10)).await;
         }
-        panic!("{seen} of 2 connections have ended");
+        panic!("{total_closed} of 2 closed connections were recorded");
     }
 }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -171,13 +171,14 @@
             let model = rehearsal.server;
             shards::start(Server::for_rehearsal(i, model, false, recorder.clone(), verticals.clone()))
         };
-        let (servers, dials): (Vec<_>, Vec<_>) = (0..usize::from(rehearsal.servers)).map(server).unzip();
-        let addresses = Arc::new(OnceLock::<BTreeMap<(Node, u16), SocketAddr>>::new());
-        let known = addresses.clone();
-        let address_of = move |from, server| known.get()?.get(&(from, server)).copied();
+        let (servers, connections): (Vec<_>, Vec<_>) =
+            (0..usize::from(rehearsal.servers)).map(server).unzip();
+        let shared_addresses = Arc::new(OnceLock::<BTreeMap<(Node, u16), SocketAddr>>::new());
+        let link_addresses = shared_addresses.clone();
+        let address_of = move |from, server| link_addresses.get()?.get(&(from, server)).copied();
         let (discovery, list) =
             Discovery::in_process(rehearsal.list_rate, Arc::new(address_of), recorder.clone());
-        let (mut links, mut gatherers, mut known) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
+        let (mut links, mut gatherers, mut link_addresses) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
         let mut keepers = Vec::new();
         for node in (0..rehearsal.keepers).map(Node::Keeper) {
             let listen = Arc::new(Mutex::new(free_address(node).map_err(io)?));
@@ -186,8 +187,8 @@
         }
         let to_keepers = |from: Node, links: &mut BTreeMap<(Node, Node), Arc<Link>>| {
             for keeper in keepers.iter().filter(|keeper| keeper.process.node != from) {
-                let (to, far) = (keeper.process.node, Target::Process(keeper.listen.clone()));
-                let link = Arc::new(Link::new(from, to, far, recorder.clone()).map_err(io)?);
+                let (to, target) = (keeper.process.node, Target::Process(keeper.listen.clone()));
+                let link = Arc::new(Link::new(from, to, target, recorder.clone()).map_err(io)?);
                 links.insert((from, to), link.clone());
                 tokio::spawn(link.run());
             }
@@ -198,16 +199,16 @@
         }
         for g in (0..rehearsal.gatherers).map(Node::Gatherer) {
             to_keepers(g, &mut links)?;
-            let mut link = |from: Node, to: Node, far: Target| {
-                let link = Arc::new(Link::new(from, to, far, recorder.clone()).map_err(io)?);
+            let mut link = |from: Node, to: Node, target: Target| {
+                let link = Arc::new(Link::new(from, to, target, recorder.clone()).map_err(io)?);
                 links.insert((from, to), link.clone());
                 tokio::spawn(link.clone().run());
                 Ok::<_, String>(link)
             };
             link(g, Node::List, Target::InProcess(list.clone()))?;
-            for (i, dials) in (0..).zip(&dials) {
-                let address = link(g, Node::Server(i), Target::InProcess(dials.clone()))?.address;
-                known.insert((g, i), address);
+            for (i, connections) in (0..).zip(&connections) {
+                let address = link(g, Node::Server(i), Target::InProcess(connections.clone()))?.address;
+                link_addresses.insert((g, i), address);
             }
             let listen = Arc::new(Mutex::new(free_address(g).map_err(io)?));
             let link = link(Node::Clients, g, Target::Process(listen.clone()))?;
@@ -215,7 +216,7 @@
             let (in_rotation, ready) = (AtomicBool::new(false), AtomicBool::new(false));
             gatherers.push(Gatherer { process, listen, link, in_rotation, ready });
         }
-        let _ = addresses.set(known);
+        let _ = shared_addresses.set(link_addresses);
         let member = |node: u16| Member {
             node,
             id: format!("s-{node}"),
@@ -247,15 +248,16 @@
 
     /// Returns the configuration with which a gatherer starts; `kept` includes the current list.
     fn config(&self, index: u16, listen: SocketAddr, kept: bool) -> Value {
-        let r = &self.rehearsal;
+        let rehearsal = &self.rehearsal;
         let node = Node::Gatherer(index);
         let empty_list = json!({"revision": 0, "complete": true, "members": []});
         let vertical = |v: &(&str, &str, f64, f64)| {
-            json!({"name": v.0, "effect": v.1, "aim_us": LATENCY_TARGET_US, "hard_limit_us": QUERY_DEADLINE.as_micros() as u64,
+            json!({"name": v.0, "effect": v.1, "aim_us": LATENCY_TARGET_US,
+                   "hard_limit_us": QUERY_DEADLINE.as_micros() as u64,
                    "late_share": 0.1, "gain": 1.0, "streamed": false, "window_us": 5_000_000})
         };
-        let zones: Vec<String> = (0..r.zones).map(zone_name).collect();
-        let model = &r.server;
+        let zones: Vec<String> = (0..rehearsal.zones).map(zone_name).collect();
+        let model = &rehearsal.server;
         json!({
             "name": node.to_string(), "listen": listen.to_string(),
             "discovery": self.links[&(node, Node::List)].address.to_string(),
@@ -263,13 +265,14 @@
             "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 512},
             "known": if kept { self.discovery.snapshot_for(node) } else { empty_list },
             "settings": {
-                "balancers": r.gatherers, "zone": r.zone_of(index), "zones": zones, "quantum_us": 5000,
+                "balancers": rehearsal.gatherers, "zone": rehearsal.zone_of(index), "zones": zones,
+                "quantum_us": 5000,
                 "membership_mode": "pushed",
                 "request_classes": VERTICALS.iter().map(vertical).collect::<Vec<_>>(),
-                "projects": [{"name": "acme", "quota_per_s": r.rate}],
+                "projects": [{"name": "acme", "quota_per_s": rehearsal.rate}],
                 "family_info": {"class_need": VERTICALS.map(|v| v.2), "floor_by_class": VERTICALS.map(|v| v.3),
-                    "follow_up": [0, 0, 0], "parts_a_call": 8, "positions": r.cells, "ranges": r.shards,
-                    "span": r.span, "overhead_us": (model.call_ms * 1e3) as u64},
+                    "follow_up": [0, 0, 0], "parts_a_call": 8, "positions": rehearsal.cells,
+                    "ranges": rehearsal.shards, "span": rehearsal.span, "overhead_us": (model.call_ms * 1e3) as u64},
                 "policy_limits": {"dial_timeout_us": 250_000, "keepalive_us": 15_000_000,
                     "max_attempts": checks::MAX_LEAF_CALLS, "max_retry_after_us": 500_000, "may_cancel": true,
                     "most_held": 20_000, "multiplex": 32, "retry_after": true, "second_copies": true},
@@ -281,12 +284,12 @@
 
     /// Returns the number and address of each keeper as a node reaches it.
     fn keepers_of(&self, node: Node) -> Vec<(usize, SocketAddr)> {
-        let of = |(i, keeper): (usize, &Keeper)| {
+        let entry = |(i, keeper): (usize, &Keeper)| {
             let link = self.links.get(&(node, keeper.process.node)).map(|link| link.address);
-            let own = || *keeper.listen.lock().unwrap_or_else(PoisonError::into_inner);
-            (i + 1, link.unwrap_or_else(own))
+            let listen_address = || *keeper.listen.lock().unwrap_or_else(PoisonError::into_inner);
+            (i + 1, link.unwrap_or_else(listen_address))
         };
-        self.keepers.iter().enumerate().map(of).collect()
+        self.keepers.iter().enumerate().map(entry).collect()
     }
 
     fn write(&self, name: String, text: &str) -> Result<String, String> {
@@ -305,28 +308,29 @@
     }
 
     fn start(&self, node: Node, kept: bool) -> Result<(), String> {
-        let no_port = |e| format!("no free port for {node}: {e}");
+        let port_error = |e| format!("no free port for {node}: {e}");
         let lease = self.rehearsal.lease_ms;
         let mut arguments: Vec<String> =
             ["serve", "--log", "info", "--log-form", "json"].map(str::to_owned).into();
         let (program, variables) = match node {
             Node::Gatherer(index) => {
                 let gatherer = &self.gatherers[usize::from(index)];
-                let listen = usable_address(&gatherer.listen, node).map_err(no_port)?;
+                let listen = usable_address(&gatherer.listen, node).map_err(port_error)?;
                 let config = self.config(index, listen, kept).to_string();
                 let file = self.write(format!("{node}.json"), &config)?;
                 if !self.keepers.is_empty() {
                     let keepers = self.keepers_of(node).into_iter().map(|(n, a)| format!("{n}: \"{a}\""));
                     let keepers = keepers.collect::<Vec<_>>().join(", ");
-                    let own = format!("fleet(keepers = {{{keepers}}}, lease_ms = {lease})\n");
-                    arguments.extend(["--settings".to_owned(), self.write(format!("{node}.star"), &own)?]);
+                    let settings = format!("fleet(keepers = {{{keepers}}}, lease_ms = {lease})\n");
+                    arguments
+                        .extend(["--settings".to_owned(), self.write(format!("{node}.star"), &settings)?]);
                 }
                 gatherer.ready.store(false, Ordering::SeqCst);
                 (self.options.program.clone(), vec![("GW_CONFIG".to_owned(), file)])
             }
             Node::Keeper(index) => {
                 let listen =
-                    usable_address(&self.keepers[usize::from(index)].listen, node).map_err(no_port)?;
+                    usable_address(&self.keepers[usize::from(index)].listen, node).map_err(port_error)?;
                 let keepers = self.keepers_of(node).into_iter().map(|(n, a)| format!("{n}={a}"));
                 let keepers = keepers.collect::<Vec<_>>().join(",");
                 let data = self.options.folder.join(node.to_string()).display().to_string();
@@ -533,10 +537,10 @@
     /// that are not ready in time.
     async fn wait_until_ready(&self) -> Result<(), String> {
         let end = Instant::now() + WARM_UP_TIMEOUT;
-        let waits = |g: &&Gatherer| !g.in_rotation.load(Ordering::SeqCst);
+        let is_waiting = |g: &&Gatherer| !g.in_rotation.load(Ordering::SeqCst);
         loop {
             let late: Vec<String> =
-                self.gatherers.iter().filter(waits).map(|g| g.process.node.to_string()).collect();
+                self.gatherers.iter().filter(is_waiting).map(|g| g.process.node.to_string()).collect();
             if late.is_empty() && (self.keepers.is_empty() || self.recorder.last_owner().is_some()) {
                 return Ok(());
             }
@@ -558,13 +562,16 @@
 
     /// Measures the CPU use of the gatherers in cores: the maximum and the mean.
     fn measure_gatherer_cores(&self, before: &[Option<Duration>], over: Duration, figures: &mut Figures) {
-        let used = |(g, before): (&Gatherer, &Option<Duration>)| {
+        let cpu_used = |(g, before): (&Gatherer, &Option<Duration>)| {
             Some(g.process.cpu_time()?.saturating_sub(before.unwrap_or_default()).as_secs_f64())
         };
-        let used: Vec<f64> = self.gatherers.iter().zip(before).filter_map(used).collect();
+        let cpu_used: Vec<f64> = self.gatherers.iter().zip(before).filter_map(cpu_used).collect();
         let over = over.as_secs_f64().max(0.001);
-        figures.insert("gatherer_cores_most", used.iter().copied().fold(0.0, f64::max) / over);
-        figures.insert("gatherer_cores_mean", used.iter().sum::<f64>() / used.len().max(1) as f64 / over);
+        figures.insert("gatherer_cores_most", cpu_used.iter().copied().fold(0.0, f64::max) / over);
+        figures.insert(
+            "gatherer_cores_mean",
+            cpu_used.iter().sum::<f64>() / cpu_used.len().max(1) as f64 / over,
+        );
     }
 }
 
@@ -633,13 +640,13 @@
             }
         }
     }
-    let took = start.elapsed();
-    let mut own = Figures::new();
-    rig.measure_gatherer_cores(&cpu_before, took, &mut own);
-    let used = cpu_time("/proc/self/stat").unwrap_or_default().saturating_sub(rig_cpu_before);
-    own.insert("rig_cores", used.as_secs_f64() / took.as_secs_f64());
+    let elapsed = start.elapsed();
+    let mut run_figures = Figures::new();
+    rig.measure_gatherer_cores(&cpu_before, elapsed, &mut run_figures);
+    let cpu_used = cpu_time("/proc/self/stat").unwrap_or_default().saturating_sub(rig_cpu_before);
+    run_figures.insert("rig_cores", cpu_used.as_secs_f64() / elapsed.as_secs_f64());
     let lag = rig.lag.lock().unwrap_or_else(PoisonError::into_inner).value_at_quantile(0.99) as f64;
-    own.insert("lag_99_ms", lag);
+    run_figures.insert("lag_99_ms", lag);
     background.abort_all();
     rig.kill_all().await;
     while let Ok(report) = exit_reports.try_recv() {
@@ -647,7 +654,7 @@
     }
     let history = rig.recorder.take();
     let mut figures = figures::measure(&history, rehearsal.mark(), rehearsal.duration());
-    figures.append(&mut own);
+    figures.append(&mut run_figures);
     let not_measured = match history.dropped_count {
         0 if lag > MAX_LAG_MS => {
             Some(format!("clients asked {lag} ms late, one in a hundred: the machine is too busy"))
@@ -673,11 +680,11 @@
     #[test]
     fn a_listen_port_that_is_in_use_is_replaced() {
         let node = Node::Gatherer(700);
-        let listen = Mutex::new(free_address(node).expect("a port"));
-        let first = usable_address(&listen, node).expect("a port");
+        let listen = Mutex::new(free_address(node).expect("a free port"));
+        let first = usable_address(&listen, node).expect("a free port");
         assert_eq!(first, *listen.lock().expect("not poisoned"), "a free port is kept");
         let _taken = std::net::TcpListener::bind(first).expect("the port is free");
-        let second = usable_address(&listen, node).expect("a port");
+        let second = usable_address(&listen, node).expect("a free port");
         assert!(second != first && second == *listen.lock().expect("not poisoned"));
     }
 
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -439,12 +439,12 @@
         let text = crate::rehearsals::ALL[0].1;
         let rehearsal =
             Rehearsal { gatherers: 20, zones: 2, ..Rehearsal::parse(text).expect("the rehearsal is valid") };
-        let some = |from, share, zone| NodeSelector { kind: Kind::Gatherers, from, share, zone };
-        let first = rehearsal.select(&some(0.0, 0.7, None), 3);
-        let rest = rehearsal.select(&some(0.7, 0.3, None), 3);
-        assert_eq!((first.len(), rest.len()), (14, 6));
-        assert!(first.iter().all(|n| !rest.contains(n)));
-        let zone = rehearsal.select(&some(0.0, 1.0, Some(1)), 3);
+        let selector = |from, share, zone| NodeSelector { kind: Kind::Gatherers, from, share, zone };
+        let first = rehearsal.select(&selector(0.0, 0.7, None), 3);
+        let last = rehearsal.select(&selector(0.7, 0.3, None), 3);
+        assert_eq!((first.len(), last.len()), (14, 6));
+        assert!(first.iter().all(|n| !last.contains(n)));
+        let zone = rehearsal.select(&selector(0.0, 1.0, Some(1)), 3);
         assert_eq!(zone.len(), 10);
     }
 
--- a/crates/lab/src/shards.rs
+++ b/crates/lab/src/shards.rs
@@ -192,10 +192,10 @@
     verticals: Vec<String>,
 }
 
-fn encode_frame(rest: &[u8]) -> Bytes {
-    let mut bytes = BytesMut::with_capacity(rest.len() + 4);
-    bytes.put_u32(rest.len() as u32);
-    bytes.put_slice(rest);
+fn encode_frame(payload: &[u8]) -> Bytes {
+    let mut bytes = BytesMut::with_capacity(payload.len() + 4);
+    bytes.put_u32(payload.len() as u32);
+    bytes.put_slice(payload);
     bytes.freeze()
 }
 
@@ -206,17 +206,17 @@
     length: usize,
 }
 
-fn parse_parts(rest: &[u8]) -> Option<Vec<Part>> {
-    let (mut parts, mut left) = (Vec::new(), std::str::from_utf8(rest).ok()?);
-    while !left.is_empty() {
-        let (line, more) = left.split_once('\n')?;
+fn parse_parts(payload: &[u8]) -> Option<Vec<Part>> {
+    let (mut parts, mut remaining) = (Vec::new(), std::str::from_utf8(payload).ok()?);
+    while !remaining.is_empty() {
+        let (line, after_line) = remaining.split_once('\n')?;
         let mut words = line.split(' ');
         let id = words.next()?.to_owned();
         let length: usize = words.nth(2)?.parse().ok()?;
-        let text = more.get(..length)?;
-        let (vertical, wanted) = text.rsplit_once("length=")?;
-        parts.push(Part { id, vertical: vertical.trim_end().to_owned(), length: wanted.parse().ok()? });
-        left = &more[length..];
+        let text = after_line.get(..length)?;
+        let (vertical, value_length) = text.rsplit_once("length=")?;
+        parts.push(Part { id, vertical: vertical.trim_end().to_owned(), length: value_length.parse().ok()? });
+        remaining = &after_line[length..];
     }
     Some(parts)
 }
@@ -381,7 +381,7 @@
     fn handle_call(
         &self, parts: Vec<Part>, from: Node, answers: &mpsc::UnboundedSender<Bytes>,
     ) -> std::io::Result<()> {
-        let count = parts.len();
+        let part_count = parts.len();
         for (at, part) in parts.into_iter().enumerate() {
             let behaviour = self.behaviour(&part.vertical);
             if behaviour == Behaviour::Cut {
@@ -402,7 +402,7 @@
                 encode_frame(format!("R{} done 1 -\n{}", part.id, value_of(&part.id, part.length)).as_bytes())
             };
             let (done_at, bytes) = match behaviour {
-                Behaviour::Slow(more) => (done_at + more, value()),
+                Behaviour::Slow(extra_delay) => (done_at + extra_delay, value()),
                 Behaviour::Failing => {
                     (done_at, encode_frame(format!("R{} failed 1 -\n", part.id).as_bytes()))
                 }
@@ -414,7 +414,7 @@
                     (done_at, encode_frame(format!("R{} done 1 -\nspoilt", part.id).as_bytes()))
                 }
                 Behaviour::Silent => continue,
-                Behaviour::HoldsLast if at + 1 == count => continue,
+                Behaviour::HoldsLast if at + 1 == part_count => continue,
                 _ => (done_at, value()),
             };
             let answers = answers.clone();
@@ -430,8 +430,10 @@
     }
 
     /// Serves the connections that relays of this process open.
-    pub async fn run(self: Arc<Self>, mut dialled: mpsc::UnboundedReceiver<(Node, tokio::io::DuplexStream)>) {
-        while let Some((from, stream)) = dialled.recv().await {
+    pub async fn run(
+        self: Arc<Self>, mut accepted: mpsc::UnboundedReceiver<(Node, tokio::io::DuplexStream)>,
+    ) {
+        while let Some((from, stream)) = accepted.recv().await {
             let server = self.clone();
             tokio::spawn(async move { server.serve(stream, from).await });
         }
@@ -440,10 +442,10 @@
 
 /// Starts a server; returns it with the sender by which relays connect to it.
 pub fn start(server: Server) -> (Arc<Server>, ConnectionSender) {
-    let (dials, dialled) = mpsc::unbounded_channel();
+    let (connections, accepted) = mpsc::unbounded_channel();
     let server = Arc::new(server);
-    tokio::spawn(server.clone().run(dialled));
-    (server, dials)
+    tokio::spawn(server.clone().run(accepted));
+    (server, connections)
 }
 
 impl Shard {
@@ -496,15 +498,15 @@
         let mut cold = Machine::new(Model { cold_from: 0.25, ..model }, now, true);
         assert_eq!(cold.offer(now, 10.0), until(40));
         assert!(cold.is_cold(now) && !cold.is_cold(now + ms(model.cold_ms)));
-        let mut small = Machine::new(Model { overload_factor: 2.0, queue: 1000, ..model }, now, false);
-        let first_overload = (0..).find(|_| small.offer(now, 10.0) == Admission::Down { now: true });
+        let mut overloaded = Machine::new(Model { overload_factor: 2.0, queue: 1000, ..model }, now, false);
+        let first_overload = (0..).find(|_| overloaded.offer(now, 10.0) == Admission::Down { now: true });
         assert_eq!(
             first_overload,
             Some(100),
             "one second of work within the window of half a second overloads the server"
         );
-        assert_eq!(small.offer(now + ms(999), 1.0), Admission::Down { now: false });
-        assert!(matches!(small.offer(now + ms(1001), 1.0), Admission::Until(_)));
+        assert_eq!(overloaded.offer(now + ms(999), 1.0), Admission::Down { now: false });
+        assert!(matches!(overloaded.offer(now + ms(1001), 1.0), Admission::Until(_)));
     }
 
     #[tokio::test]
@@ -512,23 +514,27 @@
         let recorder = Recorder::new(Instant::now());
         let model = Model { connections: 1, ..Model::default() };
         let server = Server::for_rehearsal(0, model, false, recorder, vec!["near".into(), "book".into()]);
-        let (server, dials) = start(server);
+        let (server, connections) = start(server);
         server.set_behaviour(1, Some("book".into()), Behaviour::Failing);
         let (mut near_end, far_end) = tokio::io::duplex(4096);
-        dials.send((Node::Gatherer(1), far_end)).expect("taken");
+        connections.send((Node::Gatherer(1), far_end)).expect("the server takes connections");
         let mut call = async |id: &str, text: &str| {
-            let rest = format!("S{id} 3 d=500 {}\n{text}", text.len());
-            near_end.write_all(&encode_frame(rest.as_bytes())).await.expect("sent");
-            let mut answer = vec![0; near_end.read_u32().await.expect("an answer") as usize];
-            near_end.read_exact(&mut answer).await.expect("whole");
-            String::from_utf8(answer).expect("text")
+            let payload = format!("S{id} 3 d=500 {}\n{text}", text.len());
+            near_end.write_all(&encode_frame(payload.as_bytes())).await.expect("the frame is sent");
+            let mut answer = vec![0; near_end.read_u32().await.expect("an answer arrives") as usize];
+            near_end.read_exact(&mut answer).await.expect("the answer is complete");
+            String::from_utf8(answer).expect("the answer is UTF-8")
         };
         assert!(call("q1.3", "near length=4").await.starts_with("Rq1.3 done"));
         assert!(call("q2.3", "book length=4").await.starts_with("Rq2.3 failed"));
         server.clear_behaviour(1);
         assert!(call("q3.3", "book length=4").await.starts_with("Rq3.3 done"));
-        let (mut second, far_end) = tokio::io::duplex(4096);
-        dials.send((Node::Gatherer(2), far_end)).expect("taken");
-        assert_eq!(second.read(&mut [0; 8]).await.expect("an end"), 0, "closed at once");
+        let (mut second_connection, far_end) = tokio::io::duplex(4096);
+        connections.send((Node::Gatherer(2), far_end)).expect("the server takes connections");
+        assert_eq!(
+            second_connection.read(&mut [0; 8]).await.expect("the stream ends"),
+            0,
+            "a connection beyond the limit is closed at once"
+        );
     }
 }
