--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -11,8 +11,8 @@
 use crate::node::Node;
 use crate::script::BOOK_VERTICAL;
 
-/// Time after which a draining server may receive no new calls: the grace period of the settings (250 ms) plus
-/// slack for a busy machine.
+/// Time after which a draining server may receive no new calls: the grace period of the settings (250 ms)
+/// plus slack for a busy machine.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(1250);
 /// Maximum leaf calls for one part of a query; the rig puts the same value into the gatherers' settings.
 pub const MAX_LEAF_CALLS: u32 = 3;
@@ -22,8 +22,10 @@
 /// A violated rule, with the number of violations and a description of the first one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
+    /// Name of the rule.
     pub rule: &'static str,
     pub times: usize,
+    /// Time and description of the first violation.
     pub first: String,
 }
 
@@ -46,6 +48,7 @@
 }
 
 impl UndisturbedPeriods {
+    /// Collects the periods from a history.
     pub fn from_history(history: &History) -> UndisturbedPeriods {
         let (mut running, mut faulted) = (BTreeMap::<_, Vec<Span>>::new(), BTreeMap::<_, Vec<Span>>::new());
         // Number of faults that are active on a link at the same time.
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of several kinds: regular ones, slow readers and ones that disconnect early. The answers of regular
-//! clients are checked against the values of the stand-in shard servers.
+//! Clients of several kinds: regular ones, slow readers and ones that disconnect early. The answers of
+//! regular clients are checked against the values of the stand-in shard servers.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -34,6 +34,7 @@
     /// Request id.
     pub id: String,
     pub vertical: &'static str,
+    /// Tenant, sent as `Req-Owner`.
     pub tenant: &'static str,
     /// Shards for which the query has parts.
     pub shards: Vec<u32>,
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the discovery service: a changing list of servers, served to watching clients at a limited rate.
+//! Stand-in for the discovery service: a changing list of servers, served to watching clients at a limited
+//! rate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,8 +24,8 @@
 
 /// Maximum wait of a long poll.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
-/// Calls that would queue for longer than this are answered with 503; those that would queue for more than twice
-/// this long are not answered at all.
+/// Calls that would queue for longer than this are answered with 503; those that would queue for more than
+/// twice this long are not answered at all.
 const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
 /// Cost of a 503 relative to a full answer.
 const UNAVAILABLE_COST_RATIO: f64 = 0.1;
@@ -52,11 +53,14 @@
 /// A server of the list, without its address, which differs between gatherers.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// Number of the stand-in server.
     pub node: u16,
     pub id: String,
     pub zone: String,
     pub cell: u32,
+    /// `ready` or `draining`.
     pub phase: &'static str,
+    /// Start time of the server, as Unix time.
     pub up_since_ms: u64,
 }
 
@@ -135,8 +139,8 @@
         Ok(discovery)
     }
 
-    /// Starts a service for a rehearsal, which answers `rate` calls per second. Relays connect to it by the returned
-    /// sender.
+    /// Starts a service for a rehearsal, which answers `rate` calls per second. Relays connect to it by the
+    /// returned sender.
     pub fn in_process(
         rate: Option<f64>, address_of: AddressOf, recorder: Recorder,
     ) -> (Discovery, ConnectionSender) {
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -49,7 +49,9 @@
 #[derive(Clone, Debug)]
 pub struct FaultPeriod {
     pub servers: std::ops::Range<usize>,
+    /// Start within the cycle.
     pub from: Duration,
+    /// End within the cycle, exclusive.
     pub to: Duration,
     pub behaviour: Behaviour,
 }
@@ -69,7 +71,8 @@
         self.faults.iter().rev().find(is_active).map_or(Behaviour::Well, |t| t.behaviour)
     }
 
-    /// Returns a cycle of one minute with faults in three quarters of it, some at the same time, on six servers.
+    /// Returns a cycle of one minute with faults in three quarters of it, some at the same time, on six
+    /// servers.
     pub fn one_minute() -> FaultSchedule {
         let s = Duration::from_secs;
         let fault =
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,5 +1,5 @@
-//! Event history of a rehearsal. Clients, stand-ins, relays and processes record their events on one time line,
-//! by the machine's monotonic clock.
+//! Event history of a rehearsal. Clients, stand-ins, relays and processes record their events on one time
+//! line, by the machine's monotonic clock.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,16 +9,21 @@
 
 use crate::node::Node;
 
-/// Maximum number of recorded events, which take several hundred MB. A run with more events counts as not measured.
+/// Maximum number of recorded events, which take several hundred MB. A run with more events counts as not
+/// measured.
 const MAX_EVENTS: usize = 3_000_000;
 
 /// Final result of a query as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
+    /// The answer contains enough parts to count as whole.
     Whole,
+    /// The answer is correct but not whole.
     Partial,
+    /// The gatherer rejected the query (429 or 503).
     Rejected,
+    /// The gatherer aborted the query (502).
     Aborted,
     /// No connection to the gatherer could be opened, so it never received the query.
     Unreached,
@@ -58,8 +63,8 @@
     Follows { node: Node, duty: String, epoch: u64 },
     /// Number of live gatherers in the roster of a gatherer.
     Counts { node: Node, alive: u32 },
-    /// A keeper applied the log entry at index `place`: the epoch after it, and the version of the table if the
-    /// entry wrote one.
+    /// A keeper applied the log entry at index `place`: the epoch after it, and the version of the table if
+    /// the entry wrote one.
     Agreed { node: Node, place: u64, duty: String, epoch: u64, wrote: Option<u64> },
     /// Number of calls that a keeper has received since its start.
     Called { node: Node, calls: u64 },
@@ -130,6 +135,7 @@
 }
 
 impl Recorder {
+    /// Creates a recorder whose clock starts at `start`.
     pub fn new(start: Instant) -> Recorder {
         Recorder {
             max_events: MAX_EVENTS,
@@ -145,6 +151,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Records an event at the current time.
     pub fn record(&self, kind: EventKind) {
         let mut state = self.state();
         // The time is read under the lock so that events are stored in order of time.
@@ -163,8 +170,8 @@
         self.state().last_owner
     }
 
-    /// Restarts the clock. Earlier events are discarded, except for starts, readiness and ownership, which move to
-    /// time zero.
+    /// Restarts the clock. Earlier events are discarded, except for starts, readiness and ownership, which
+    /// move to time zero.
     pub fn restart_clock(&self) {
         let is_kept = |kind: &EventKind| {
             matches!(kind, EventKind::Started { .. } | EventKind::Ready { .. } | EventKind::Owns { .. })
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,10 +1,12 @@
 //! Test doubles, fault injection and load generation for failure rehearsals on one machine.
 //!
-//! Provides stand-ins for shard servers and the discovery service, scheduled faults, clients that verify every
-//! answer, and checks that the metrics of a gatherer stay level over a long run. A rehearsal runs many processes
-//! of the program, injects faults between them and checks the recorded history against a set of rules.
+//! Provides stand-ins for shard servers and the discovery service, scheduled faults, clients that verify
+//! every answer, and checks that the metrics of a gatherer stay level over a long run. A rehearsal runs many
+//! processes of the program, injects faults between them and checks the recorded history against a set of
+//! rules.
 //!
-//! This crate may depend on the public protocols and on how the program is started, not on the program's code.
+//! This crate may depend on the public protocols and on how the program is started, not on the program's
+//! code.
 
 #![expect(
     missing_docs,
@@ -30,7 +32,8 @@
 pub mod script;
 pub mod shards;
 
-/// Returns the value that a stand-in shard server answers for a part: `length` bytes, different for each part.
+/// Returns the value that a stand-in shard server answers for a part: `length` bytes, different for each
+/// part.
 pub fn value_of(part: &str, length: usize) -> String {
     let mut value = format!("{part}:");
     while value.len() < length {
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -1,6 +1,6 @@
-//! Relays that inject network faults. All traffic between two nodes of a rehearsal passes through a relay, which
-//! knows both ends and applies the faults of its link. Relays use loopback sockets only; a stand-in of this process
-//! is connected by an in-memory stream.
+//! Relays that inject network faults. All traffic between two nodes of a rehearsal passes through a relay,
+//! which knows both ends and applies the faults of its link. Relays use loopback sockets only; a stand-in of
+//! this process is connected by an in-memory stream.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,8 +44,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Fault {
-    /// Bytes are held back and nothing is reset. If the direction `There` is affected, new connections are not
-    /// established.
+    /// Bytes are held back and nothing is reset. If the direction `There` is affected, new connections are
+    /// not established.
     Silent,
     /// Open connections are reset; new ones are accepted.
     Reset,
@@ -111,7 +111,9 @@
 /// Destination of a link: the listen address of a process, or a stand-in within this process.
 #[derive(Clone)]
 pub enum Target {
+    /// Listen address of a process, which may change at a restart.
     Process(Arc<Mutex<SocketAddr>>),
+    /// Stand-in within this process.
     InProcess(ConnectionSender),
 }
 
@@ -294,7 +296,8 @@
                         let reset = |target: &TcpStream| drop(target.set_zero_linger());
                         self.join(client, target, reset, &sent).await;
                     }
-                    // The target does not listen: reset the connection so that the opening side notices at once.
+                    // The target does not listen: reset the connection so that the opening side notices at
+                    // once.
                     Err(_) => drop(client.set_zero_linger()),
                 }
             }
@@ -426,8 +429,8 @@
         assert_eq!(reset.expect_err("the connection is reset").kind(), io::ErrorKind::ConnectionReset);
     }
 
-    /// Guards against one side waiting for ever for the other to close, and against bytes lost when one side closes
-    /// first.
+    /// Guards against one side waiting for ever for the other to close, and against bytes lost when one side
+    /// closes first.
     #[tokio::test]
     async fn either_side_of_a_connection_may_close_first() {
         let (link, recorder) = link(603).await;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -56,8 +56,8 @@
 }
 
 impl Node {
-    /// Returns the loopback address of the node. The second octet depends on the process id, so that rigs running
-    /// at the same time normally have different addresses.
+    /// Returns the loopback address of the node. The second octet depends on the process id, so that rigs
+    /// running at the same time normally have different addresses.
     pub fn address(self) -> Ipv4Addr {
         let (kind, index) = match self {
             Node::Clients | Node::Owner => (0, 0),
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,5 +1,5 @@
-//! Child processes that run the real program, each with its own configuration and log. They are killed when the
-//! rig exits.
+//! Child processes that run the real program, each with its own configuration and log. They are killed when
+//! the rig exits.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -23,8 +23,8 @@
 /// First argument that makes the rig's program call [`launch`].
 pub const LAUNCH: &str = "launch";
 
-/// Replaces this process by a program that is killed when its parent dies. The arguments are `PARENT PROGRAM ARGS`,
-/// with the parent's process id. Returns only on failure, with the error.
+/// Replaces this process by a program that is killed when its parent dies. The arguments are `PARENT PROGRAM
+/// ARGS`, with the parent's process id. Returns only on failure, with the error.
 pub fn launch(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> String {
     use std::os::unix::process::CommandExt as _;
     let parent = arguments.next().and_then(|p| p.to_str()?.parse::<i32>().ok());
@@ -66,6 +66,7 @@
     pub launcher: PathBuf,
     pub program: PathBuf,
     pub arguments: Vec<String>,
+    /// Environment variables, set in addition to the inherited ones.
     pub variables: Vec<(String, String)>,
 }
 
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Whether the process has been started and its exit has not been observed.
     pub fn is_running(&self) -> bool {
         *self.running.borrow()
     }
@@ -128,7 +130,8 @@
         Ok(())
     }
 
-    /// Records the log lines of a process. Each process has its own pipe, so a stopped one does not block the others.
+    /// Records the log lines of a process. Each process has its own pipe, so a stopped one does not block the
+    /// others.
     async fn read_log(
         log: Option<tokio::process::ChildStderr>, node: Node, recorder: Recorder,
         last_lines: Arc<Mutex<VecDeque<String>>>,
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,5 +1,5 @@
-//! Rig of a rehearsal: starts keepers, gatherers, stand-ins and the relays between them, carries out a plan, and
-//! evaluates the recorded history.
+//! Rig of a rehearsal: starts keepers, gatherers, stand-ins and the relays between them, carries out a plan,
+//! and evaluates the recorded history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -57,7 +57,9 @@
 /// Options of a run.
 #[derive(Clone)]
 pub struct Options {
+    /// Gatherer program; `ashvane-keeper` is expected beside it.
     pub program: PathBuf,
+    /// Program that starts the processes; see [`LaunchSpec`].
     pub launcher: PathBuf,
     pub seed: u64,
     /// Folder for the configuration files and keeper data of the run.
@@ -89,6 +91,7 @@
 }
 
 impl Outcome {
+    /// Whether the run was measured, violated no rule and kept all bounds.
     pub fn passed(&self) -> bool {
         self.not_measured.is_none() && self.broken.is_empty() && self.bounds.iter().all(|b| b.holds)
     }
@@ -375,8 +378,8 @@
         }
     }
 
-    /// Checks the health of a gatherer like a load balancer: takes it into rotation when it is ready, and out of
-    /// rotation when it answers otherwise or has not answered for `notice_ms`.
+    /// Checks the health of a gatherer like a load balancer: takes it into rotation when it is ready, and out
+    /// of rotation when it answers otherwise or has not answered for `notice_ms`.
     async fn check_health(self: Arc<Self>, index: u16) {
         let gatherer = &self.gatherers[usize::from(index)];
         let removal_delay = Duration::from_millis(self.rehearsal.notice_ms);
@@ -533,8 +536,8 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Waits until all gatherers are in rotation and, with keepers, one owns a duty. Fails with the names of those
-    /// that are not ready in time.
+    /// Waits until all gatherers are in rotation and, with keepers, one owns a duty. Fails with the names of
+    /// those that are not ready in time.
     async fn wait_until_ready(&self) -> Result<(), String> {
         let end = Instant::now() + WARM_UP_TIMEOUT;
         let is_waiting = |g: &&Gatherer| !g.in_rotation.load(Ordering::SeqCst);
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -24,8 +24,8 @@
 /// Index of the vertical whose parts must not run twice.
 pub const BOOK_VERTICAL: u8 = 2;
 
-/// Selects nodes of a kind. The nodes, optionally of one zone only, are shuffled by the seed; `from` and `share`
-/// are the start and length of the selected range as shares of all of them.
+/// Selects nodes of a kind. The nodes, optionally of one zone only, are shuffled by the seed; `from` and
+/// `share` are the start and length of the selected range as shares of all of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSelector {
@@ -54,8 +54,8 @@
     Kill { who: NodeSelector },
     /// Sends SIGSTOP, and SIGCONT after `for_ms`.
     Stop { who: NodeSelector, for_ms: u64 },
-    /// Kills processes (or sends SIGTERM if `softly`) and starts them again after `after_ms`, with the list of that
-    /// time if `kept`.
+    /// Kills processes (or sends SIGTERM if `softly`) and starts them again after `after_ms`, with the list
+    /// of that time if `kept`.
     Restart {
         who: NodeSelector,
         after_ms: u64,
@@ -105,6 +105,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledAction {
+    /// Time since the start of the rehearsal.
     pub at_ms: u64,
     /// Period over which the action is spread across the selected nodes.
     #[serde(default)]
@@ -117,6 +118,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rehearsal {
+    /// Short description, printed by `ashvane-rehearse list`.
     pub about: String,
     pub gatherers: u16,
     pub servers: u16,
@@ -126,6 +128,7 @@
     pub cells: u16,
     /// Number of consecutive cells that hold a shard.
     pub span: u16,
+    /// Number of shards.
     pub shards: u16,
     pub seconds: f64,
     /// Whether the clock starts once all gatherers are ready, instead of when they are started.
@@ -176,26 +179,42 @@
 /// A step of a plan. `number` is the index of the action that it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
+    /// Starts a process, with the current list if `kept`.
     Start { number: usize, node: Node, kept: bool },
+    /// Sends SIGTERM to a process.
     Term { number: usize, node: Node },
+    /// Sends SIGKILL to a process.
     Kill { number: usize, node: Node },
+    /// Sends SIGSTOP to a process.
     Stop { number: usize, node: Node },
+    /// Sends SIGCONT to a process.
     Continue { number: usize, node: Node },
+    /// Starts a fault of a link.
     InjectFault { number: usize, from: Node, to: Node, way: Direction, fault: Fault },
+    /// Ends a fault of a link; with `dropped`, resets its connections.
     ClearFault { number: usize, from: Node, to: Node, dropped: bool },
+    /// Sets the behaviour of a shard server, for one vertical or for all.
     SetBehaviour { number: usize, server: u16, vertical: Option<String>, manner: Behaviour },
+    /// Ends the behaviour that an action set.
     ClearBehaviour { number: usize, server: u16 },
+    /// Starts a fault of the list service, for all gatherers if `who` is empty.
     InjectListFault { number: usize, who: Vec<u16>, trouble: ListFault },
+    /// Ends a fault of the list service.
     ClearListFault { number: usize },
+    /// Lists a server as draining.
     Drain(u16),
+    /// Removes a server from the list.
     Remove(u16),
+    /// Restarts a shard server cold.
     Cold(u16),
 }
 
 /// A query that a client will send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedQuery {
+    /// Time since the start of the rehearsal.
     pub at: Duration,
+    /// Index into [`VERTICALS`].
     pub vertical: u8,
     pub shards: Vec<u32>,
     /// Seed for the choice among the gatherers in rotation.
@@ -273,10 +292,12 @@
         Duration::from_secs_f64(self.seconds)
     }
 
+    /// Returns the start of the main fault.
     pub fn mark(&self) -> Duration {
         ms(self.mark_ms)
     }
 
+    /// Returns the zone of the gatherer or server with this index.
     pub fn zone_of(&self, index: u16) -> u16 {
         index % self.zones
     }
--- a/crates/lab/src/shards.rs
+++ b/crates/lab/src/shards.rs
@@ -1,5 +1,5 @@
-//! Stand-in shard servers. They answer frames with the behaviour that is currently set, and model the capacity of a
-//! real machine.
+//! Stand-in shard servers. They answer frames with the behaviour that is currently set, and model the
+//! capacity of a real machine.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
