--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -13,11 +13,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ashvane_lab::clients::{self, Ask, Counts};
+use ashvane_lab::clients::{self, ClientQuery, QueryCounts};
 use ashvane_lab::discovery::{Discovery, member};
-use ashvane_lab::faults::Script;
+use ashvane_lab::faults::FaultSchedule;
 use ashvane_lab::levels::Levels;
-use ashvane_lab::process::processor;
+use ashvane_lab::process::cpu_time;
 use ashvane_lab::shards::Shard;
 use serde_json::{Value, json};
 use tokio::process::{Child, Command};
@@ -172,13 +172,13 @@
 }
 
 /// The query of this number: mostly small, some large, some of a booking; nine in ten of the loud tenant.
-fn query(number: u64, rng: &mut fastrand::Rng) -> Ask {
+fn query(number: u64, rng: &mut fastrand::Rng) -> ClientQuery {
     let length = match rng.u32(..100) {
         0..80 => rng.usize(16..512),
         80..98 => rng.usize(512..8192),
         _ => 60_000,
     };
-    Ask {
+    ClientQuery {
         id: format!("q{number}"),
         vertical: if rng.u32(..10) == 0 { "book" } else { "near" },
         tenant: if rng.u32(..10) == 0 { "quiet" } else { "loud" },
@@ -191,10 +191,19 @@
 }
 
 /// The same small query each time.
-fn plain(number: u64) -> Ask {
+fn plain(number: u64) -> ClientQuery {
     let (id, deadline) = (format!("q{number}"), Duration::from_millis(1500));
     let shards = (0..8).collect();
-    Ask { id, vertical: "near", tenant: "loud", shards, need: NEED, length: 64, deadline, retry: false }
+    ClientQuery {
+        id,
+        vertical: "near",
+        tenant: "loud",
+        shards,
+        need: NEED,
+        length: 64,
+        deadline,
+        retry: false,
+    }
 }
 
 /// Tells the program to end, and ends it if it does not.
@@ -208,15 +217,18 @@
 
 async fn run(options: Options) -> Result<bool, String> {
     let io = |e: std::io::Error| e.to_string();
-    let script =
-        Arc::new(if options.calm { Script::calm() } else { Script::minute().lasting(options.cycle) });
+    let script = Arc::new(if options.calm {
+        FaultSchedule::without_faults()
+    } else {
+        FaultSchedule::one_minute().scaled_to(options.cycle)
+    });
     let start = Instant::now();
     let mut shards = Vec::new();
     for number in 0..SERVERS {
         shards.push(Shard::start(number, script.clone(), start).await.map_err(io)?);
     }
     let discovery = Discovery::start().await.map_err(io)?;
-    discovery.tell(members(&shards, None));
+    discovery.publish(members(&shards, None));
     let (listen, admin) = (free().await.map_err(io)?, free().await.map_err(io)?);
     let folder = std::env::temp_dir().join(format!("ashvane-soak-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(io)?;
@@ -240,14 +252,17 @@
         }
         sleep(Duration::from_millis(50)).await;
     }
-    let (loud, quiet, odd) =
-        (Arc::new(Counts::default()), Arc::new(Counts::default()), Arc::new(Counts::default()));
+    let (loud, quiet, odd) = (
+        Arc::new(QueryCounts::default()),
+        Arc::new(QueryCounts::default()),
+        Arc::new(QueryCounts::default()),
+    );
     for number in 0..options.stalled {
         let odd = odd.clone();
         tokio::spawn(async move {
             for turn in 0.. {
                 let id = format!("stalled{number}x{turn}");
-                let ask = Ask {
+                let ask = ClientQuery {
                     id,
                     vertical: "near",
                     tenant: "loud",
@@ -257,7 +272,7 @@
                     deadline: Duration::from_millis(1500),
                     retry: false,
                 };
-                clients::trickle(listen, ask, Duration::from_secs(20), &odd).await;
+                clients::send_and_read_slowly(listen, ask, Duration::from_secs(20), &odd).await;
                 sleep(Duration::from_millis(200)).await;
             }
         });
@@ -271,11 +286,11 @@
         let asked = if options.plain { plain(number) } else { query(number, &mut rng) };
         if !options.plain && rng.u32(..50) == 0 {
             let (odd, after) = (odd.clone(), Duration::from_millis(rng.u64(..30)));
-            tokio::spawn(async move { clients::leave(listen, asked, after, &odd).await });
+            tokio::spawn(async move { clients::send_and_disconnect(listen, asked, after, &odd).await });
         } else {
             let counts = if asked.tenant == "loud" { loud.clone() } else { quiet.clone() };
             let pool = pool.clone();
-            tokio::spawn(async move { clients::ask(&pool, listen, asked, &counts).await });
+            tokio::spawn(async move { clients::send_counted(&pool, listen, asked, &counts).await });
         }
         if Instant::now() >= next_note && !options.plain {
             next_note += Duration::from_secs(1);
@@ -286,17 +301,17 @@
         let now = (0.8..0.97).contains(&cycles.fract()).then_some(cycles as usize % SERVERS);
         if now != drained && !options.calm {
             drained = now;
-            discovery.tell(members(&shards, drained));
+            discovery.publish(members(&shards, drained));
         }
     }
     sleep(Duration::from_secs(6)).await;
     let took = began.elapsed();
     let alive = child.try_wait().map_err(io)?.is_none();
-    if let Some(used) = child.id().and_then(|id| processor(format!("/proc/{id}/stat"))) {
+    if let Some(used) = child.id().and_then(|id| cpu_time(format!("/proc/{id}/stat"))) {
         println!("{:.1} us of processor time a query", used.as_secs_f64() * 1e6 / options.queries as f64);
     }
     let peak = resident(&child).map_or(f64::NAN, |(_, peak)| peak);
-    let of = |counts: &Counts, name: &str| {
+    let of = |counts: &QueryCounts, name: &str| {
         let n = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
         let latency = counts.latency.lock().ok().and_then(|l| l.clone());
         let at = |q| latency.as_ref().map_or(0, |l| l.value_at_quantile(q) / 1000);
@@ -307,7 +322,7 @@
             n(&counts.whole),
             n(&counts.partial),
             n(&counts.rejected),
-            n(&counts.bare),
+            n(&counts.rejected_without_retry_after),
             n(&counts.aborted),
             n(&counts.closed),
             n(&counts.lost),
