--- a/crates/lab/src/bin/ashvane-rehearse.rs
+++ b/crates/lab/src/bin/ashvane-rehearse.rs
@@ -164,7 +164,7 @@
     };
     let (mut played, mut found) = (0, Vec::new());
     for seed in seeds.clone() {
-        let rehearsal = hunt::draw(seed, asked.keepers)?;
+        let rehearsal = hunt::generate(seed, asked.keepers)?;
         played += 1;
         let Some(broken) = breaks(&rehearsal, seed).await? else { continue };
         eprintln!("seed {seed}: {broken}");
--- a/crates/lab/src/rehearsals.rs
+++ b/crates/lab/src/rehearsals.rs
@@ -1,6 +1,6 @@
-//! The rehearsals that ship.
+//! The rehearsal scripts built into `ashvane-rehearse`.
 
-/// Each with its name.
+/// Built-in rehearsals: name and TOML text.
 pub const ALL: [(&str, &str); 8] = [
     ("cold-start", include_str!("../rehearsals/cold-start.toml")),
     ("mass-kill", include_str!("../rehearsals/mass-kill.toml")),
