--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -1,4 +1,4 @@
-//! What is measured on a history: pure functions from it to named numbers.
+//! Figures of a rehearsal: named numbers computed from its history by pure functions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use crate::history::{End, Event, EventKind, History};
 use crate::node::Node;
 
-/// Buckets in which calls and dials are counted.
+/// Bucket size for counting list calls and connection attempts.
 const BUCKET: Duration = Duration::from_millis(100);
-/// Windows in which the answered share and the calls to a troubled server are looked at.
+/// Window size for the share of answered queries and for the share of calls that go to misbehaving servers.
 const WINDOW: Duration = Duration::from_millis(500);
-/// Queries that a window needs to count.
-const WINDOW_LEAST: u32 = 10;
+/// Minimum number of queries or calls in a window; windows with fewer are ignored.
+const MIN_WINDOW_COUNT: u32 = 10;
 
-/// Every figure that a rehearsal may bound.
+/// Names of the figures for which a rehearsal may set bounds.
 pub const NAMES: &[&str] = &[
     "queries",
     "served_share",
@@ -59,198 +59,214 @@
     "events",
 ];
 
+/// Measured figures by name.
 pub type Figures = BTreeMap<&'static str, f64>;
 
-/// The most that a bucket, or so many in a row, hold.
-fn peak(buckets: &BTreeMap<u64, u32>, in_row: u64) -> f64 {
-    let sum = |from: u64| buckets.range(from..from + in_row).map(|(_, n)| n).sum::<u32>();
+/// Returns the highest sum of `consecutive` consecutive buckets.
+fn peak_count(buckets: &BTreeMap<u64, u32>, consecutive: u64) -> f64 {
+    let sum = |from: u64| buckets.range(from..from + consecutive).map(|(_, n)| n).sum::<u32>();
     f64::from(buckets.keys().map(|at| sum(*at)).max().unwrap_or(0))
 }
 
-fn bucket(at: Duration, size: Duration) -> u64 {
+/// Returns the index of the bucket or window of length `size` that contains `at`.
+fn bucket_index(at: Duration, size: Duration) -> u64 {
     (at.as_nanos() / size.as_nanos()) as u64
 }
 
+/// Returns `some` as a share of `all`; an `all` of zero is taken as one.
 fn share(some: u32, all: u32) -> f64 {
     f64::from(some) / f64::from(all.max(1))
 }
 
-/// How queries ended: shares of all tries, and of all queries with their repeated tries.
-fn queries(history: &History, mark: Duration, length: Duration, out: &mut Figures) {
-    let (mut first, mut ends) = (0, BTreeMap::<End, u32>::new());
-    let (mut asked_at, mut windows) = (BTreeMap::new(), BTreeMap::<u64, (u32, u32)>::new());
+/// Measures how queries ended. `served_share` is relative to queries, with retries counted as part of their query; the
+/// rejected, aborted and unanswered shares are relative to attempts.
+fn measure_queries(history: &History, mark: Duration, length: Duration, out: &mut Figures) {
+    let (mut query_count, mut ends) = (0, BTreeMap::<End, u32>::new());
+    let (mut sent_at, mut windows) = (BTreeMap::new(), BTreeMap::<u64, (u32, u32)>::new());
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::Asked { query, retry, .. } => {
-                first += u32::from(!retry);
-                asked_at.insert(query, *at);
+                query_count += u32::from(!retry);
+                sent_at.insert(query, *at);
             }
             EventKind::Ended { query, end, .. } => {
                 *ends.entry(end).or_default() += 1;
-                let asked = asked_at.get(&query).copied().unwrap_or_default();
-                let window = windows.entry(bucket(asked, WINDOW)).or_default();
+                let asked = sent_at.get(&query).copied().unwrap_or_default();
+                let window = windows.entry(bucket_index(asked, WINDOW)).or_default();
                 window.0 += 1;
                 window.1 += u32::from(matches!(end, End::Whole | End::Partial));
             }
             _ => {}
         }
     }
-    let of = |kinds: &[End]| kinds.iter().filter_map(|end| ends.get(end)).sum::<u32>();
-    let (tries, answered) = (ends.values().sum::<u32>(), of(&[End::Whole, End::Partial]));
-    out.insert("queries", f64::from(first));
-    out.insert("served_share", share(answered, first));
-    out.insert("rejected_share", share(of(&[End::Rejected]), tries));
-    out.insert("aborted_share", share(of(&[End::Aborted]), tries));
-    out.insert("unanswered_share", share(of(&[End::Closed, End::Lost, End::Unreached]), tries));
-    let after: Vec<_> = windows.iter().filter(|(at, _)| **at >= bucket(mark, WINDOW)).collect();
-    let (all, well) = after.iter().fold((0, 0), |sum, (_, w)| (sum.0 + w.0, sum.1 + w.1));
-    out.insert("served_after_share", share(well, all));
-    // The end of the last window in which fewer than nine tenths were answered.
-    let bad = |w: &(u32, u32)| w.0 >= WINDOW_LEAST && share(w.1, w.0) < 0.9;
-    let last = after.iter().filter(|(_, w)| bad(w)).map(|(at, _)| WINDOW * (**at as u32 + 1)).max();
-    let first_seen = windows.iter().find(|(_, w)| w.0 >= WINDOW_LEAST).map(|(at, _)| WINDOW * *at as u32);
-    let until = last.or(first_seen.filter(|at| *at > mark)).unwrap_or(mark);
+    let count_of = |kinds: &[End]| kinds.iter().filter_map(|end| ends.get(end)).sum::<u32>();
+    let (attempts, answered) = (ends.values().sum::<u32>(), count_of(&[End::Whole, End::Partial]));
+    out.insert("queries", f64::from(query_count));
+    out.insert("served_share", share(answered, query_count));
+    out.insert("rejected_share", share(count_of(&[End::Rejected]), attempts));
+    out.insert("aborted_share", share(count_of(&[End::Aborted]), attempts));
+    out.insert("unanswered_share", share(count_of(&[End::Closed, End::Lost, End::Unreached]), attempts));
+    let windows_after: Vec<_> = windows.iter().filter(|(at, _)| **at >= bucket_index(mark, WINDOW)).collect();
+    let (all, answered_after) = windows_after.iter().fold((0, 0), |sum, (_, w)| (sum.0 + w.0, sum.1 + w.1));
+    out.insert("served_after_share", share(answered_after, all));
+    // `nine_tenths_s` extends to the end of the last window in which fewer than nine tenths were answered.
+    let is_bad = |w: &(u32, u32)| w.0 >= MIN_WINDOW_COUNT && share(w.1, w.0) < 0.9;
+    let last_bad =
+        windows_after.iter().filter(|(_, w)| is_bad(w)).map(|(at, _)| WINDOW * (**at as u32 + 1)).max();
+    let first_window =
+        windows.iter().find(|(_, w)| w.0 >= MIN_WINDOW_COUNT).map(|(at, _)| WINDOW * *at as u32);
+    // Without such a window it extends to the first window with enough queries, if that is later than the mark.
+    let until = last_bad.or(first_window.filter(|at| *at > mark)).unwrap_or(mark);
     out.insert("nine_tenths_s", until.min(length).saturating_sub(mark).as_secs_f64());
 }
 
-/// Time from each start to readiness.
-fn readiness(history: &History, out: &mut Figures) {
-    let (mut started, mut took) = (BTreeMap::new(), Vec::new());
+/// Measures the time from the start of each process until it is ready.
+fn measure_readiness(history: &History, out: &mut Figures) {
+    let (mut started, mut durations) = (BTreeMap::new(), Vec::new());
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::Started { node } => drop(started.insert(node, *at)),
-            // Who was ready before the clock began tells nothing.
+            // Processes that were ready before the rehearsal's clock started have no meaningful start-up time.
             EventKind::Ready { node } if !at.is_zero() => {
-                took.extend(started.remove(&node).map(|start| (*at - start).as_secs_f64()))
+                durations.extend(started.remove(&node).map(|start| (*at - start).as_secs_f64()))
             }
             _ => {}
         }
     }
-    took.sort_by(f64::total_cmp);
-    out.insert("ready", took.len() as f64);
-    out.insert("ready_median_s", took.get(took.len() / 2).copied().unwrap_or_default());
-    out.insert("ready_last_s", took.last().copied().unwrap_or_default());
+    durations.sort_by(f64::total_cmp);
+    out.insert("ready", durations.len() as f64);
+    out.insert("ready_median_s", durations.get(durations.len() / 2).copied().unwrap_or_default());
+    out.insert("ready_last_s", durations.last().copied().unwrap_or_default());
 }
 
-/// Calls to the list service and connections to shard servers, by time and by server.
-fn calls(history: &History, mark: Duration, out: &mut Figures) {
+/// Measures calls to the list service and connections to shard servers, by time and by server.
+fn measure_calls(history: &History, mark: Duration, out: &mut Figures) {
     let (mut lists, mut dials) = (BTreeMap::new(), BTreeMap::new());
     let mut by_server = BTreeMap::<Node, BTreeMap<u64, u32>>::new();
-    let (mut open, mut most_open, mut hung, mut unused) = (BTreeMap::<Node, i64>::new(), 0, 0, 0);
-    let (mut lists_first, mut dials_first, mut lists_all, mut dials_all) = (0, 0, 0, 0);
-    let first = |at: Duration| u32::from((mark..mark + Duration::from_secs(1)).contains(&at));
+    let (mut open, mut max_open, mut closed_count, mut unused_count) =
+        (BTreeMap::<Node, i64>::new(), 0, 0, 0);
+    let (mut list_calls_first_second, mut dials_first_second, mut list_call_count, mut dial_count) =
+        (0, 0, 0, 0);
+    let in_first_second = |at: Duration| u32::from((mark..mark + Duration::from_secs(1)).contains(&at));
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::Listed { .. } => {
-                *lists.entry(bucket(*at, BUCKET)).or_insert(0) += 1;
-                (lists_all, lists_first) = (lists_all + 1, lists_first + first(*at));
+                *lists.entry(bucket_index(*at, BUCKET)).or_insert(0) += 1;
+                (list_call_count, list_calls_first_second) =
+                    (list_call_count + 1, list_calls_first_second + in_first_second(*at));
             }
             EventKind::Dialled { to: to @ Node::Server(_), .. } => {
-                *dials.entry(bucket(*at, BUCKET)).or_insert(0) += 1;
-                *by_server.entry(to).or_default().entry(bucket(*at, BUCKET)).or_default() += 1;
-                (dials_all, dials_first) = (dials_all + 1, dials_first + first(*at));
+                *dials.entry(bucket_index(*at, BUCKET)).or_insert(0) += 1;
+                *by_server.entry(to).or_default().entry(bucket_index(*at, BUCKET)).or_default() += 1;
+                (dial_count, dials_first_second) =
+                    (dial_count + 1, dials_first_second + in_first_second(*at));
                 let open = open.entry(to).or_default();
                 *open += 1;
-                most_open = most_open.max(*open);
+                max_open = max_open.max(*open);
             }
             EventKind::Hung { to: to @ Node::Server(_), bytes, .. } => {
                 *open.entry(to).or_default() -= 1;
-                (hung, unused) = (hung + 1, unused + u32::from(bytes == 0));
+                (closed_count, unused_count) = (closed_count + 1, unused_count + u32::from(bytes == 0));
             }
             _ => {}
         }
     }
-    let sums = || by_server.values().map(|buckets| buckets.values().sum::<u32>());
-    let mean = f64::from(sums().sum::<u32>()) / by_server.len().max(1) as f64;
-    out.insert("list_calls", f64::from(lists_all));
-    out.insert("list_calls_100ms", peak(&lists, 1));
-    out.insert("list_calls_1s", peak(&lists, 10));
-    out.insert("list_calls_first_s", f64::from(lists_first));
-    out.insert("dials", f64::from(dials_all));
-    out.insert("dials_100ms", peak(&dials, 1));
-    out.insert("dials_first_s", f64::from(dials_first));
-    let worst = by_server.values().map(|buckets| peak(buckets, 1)).fold(0.0, f64::max);
+    let server_totals = || by_server.values().map(|buckets| buckets.values().sum::<u32>());
+    let mean = f64::from(server_totals().sum::<u32>()) / by_server.len().max(1) as f64;
+    out.insert("list_calls", f64::from(list_call_count));
+    out.insert("list_calls_100ms", peak_count(&lists, 1));
+    out.insert("list_calls_1s", peak_count(&lists, 10));
+    out.insert("list_calls_first_s", f64::from(list_calls_first_second));
+    out.insert("dials", f64::from(dial_count));
+    out.insert("dials_100ms", peak_count(&dials, 1));
+    out.insert("dials_first_s", f64::from(dials_first_second));
+    let worst = by_server.values().map(|buckets| peak_count(buckets, 1)).fold(0.0, f64::max);
     out.insert("dials_server_100ms", worst);
-    out.insert("dials_to_mean", f64::from(sums().max().unwrap_or(0)) / mean.max(1.0));
-    out.insert("dials_unused_share", share(unused, hung));
-    out.insert("connections_server", most_open as f64);
+    out.insert("dials_to_mean", f64::from(server_totals().max().unwrap_or(0)) / mean.max(1.0));
+    out.insert("dials_unused_share", share(unused_count, closed_count));
+    out.insert("connections_server", max_open as f64);
 }
 
-/// What shard servers were asked, and how soon the fleet avoids one in trouble.
-fn leaf_calls(history: &History, mark: Duration, out: &mut Figures) {
-    let (mut ran, mut full, mut falls, mut cold) = (0, 0, 0, 0);
-    let (mut troubled, mut over) = (BTreeSet::new(), None);
+/// Measures the calls that shard servers ran or rejected, and how soon the fleet avoids servers that misbehave.
+fn measure_leaf_calls(history: &History, mark: Duration, out: &mut Figures) {
+    let (mut ran_count, mut full_count, mut outage_count, mut cold_outage_count) = (0, 0, 0, 0);
+    let (mut faulty, mut recovered_at) = (BTreeSet::new(), None);
     for Event { at, kind } in &history.events {
         match *kind {
-            EventKind::Ran { .. } => ran += 1,
-            EventKind::Full { .. } => full += 1,
-            EventKind::Fell { cold: is_cold, .. } => (falls, cold) = (falls + 1, cold + u32::from(is_cold)),
-            EventKind::Troubled { node: node @ Node::Server(_), on: true } => drop(troubled.insert(node)),
-            EventKind::Troubled { node: Node::Server(_), on: false } => over = over.or(Some(*at)),
+            EventKind::Ran { .. } => ran_count += 1,
+            EventKind::Full { .. } => full_count += 1,
+            EventKind::Fell { cold: is_cold, .. } => {
+                (outage_count, cold_outage_count) = (outage_count + 1, cold_outage_count + u32::from(is_cold))
+            }
+            EventKind::Troubled { node: node @ Node::Server(_), on: true } => drop(faulty.insert(node)),
+            EventKind::Troubled { node: Node::Server(_), on: false } => {
+                recovered_at = recovered_at.or(Some(*at))
+            }
             _ => {}
         }
     }
-    let over = over.unwrap_or(Duration::MAX);
+    let recovered_at = recovered_at.unwrap_or(Duration::MAX);
     let (mut before, mut after) = ((0, 0), BTreeMap::<u64, (u32, u32)>::new());
     let mut times = Vec::new();
     for Event { at, kind } in &history.events {
         let EventKind::Ran { server, .. } = kind else { continue };
-        let hit = u32::from(troubled.contains(server));
+        let is_faulty = u32::from(faulty.contains(server));
         if *at < mark {
-            before = (before.0 + 1, before.1 + hit);
-        } else if *at < over {
-            let window = after.entry(bucket(*at - mark, WINDOW)).or_default();
-            *window = (window.0 + 1, window.1 + hit);
-            times.extend((hit == 1).then_some(*at - mark));
+            before = (before.0 + 1, before.1 + is_faulty);
+        } else if *at < recovered_at {
+            let window = after.entry(bucket_index(*at - mark, WINDOW)).or_default();
+            *window = (window.0 + 1, window.1 + is_faulty);
+            times.extend((is_faulty == 1).then_some(*at - mark));
         }
     }
-    out.insert("leaf_calls", f64::from(ran));
-    let queries = out.get("queries").copied().unwrap_or(1.0).max(1.0);
-    out.insert("leaf_calls_a_query", f64::from(ran) / queries);
-    out.insert("full_share", share(full, ran + full));
-    out.insert("falls", f64::from(falls));
-    out.insert("cold_falls", f64::from(cold));
-    if troubled.is_empty() {
+    out.insert("leaf_calls", f64::from(ran_count));
+    let query_count = out.get("queries").copied().unwrap_or(1.0).max(1.0);
+    out.insert("leaf_calls_a_query", f64::from(ran_count) / query_count);
+    out.insert("full_share", share(full_count, ran_count + full_count));
+    out.insert("falls", f64::from(outage_count));
+    out.insert("cold_falls", f64::from(cold_outage_count));
+    if faulty.is_empty() {
         return;
     }
-    let usual = share(before.1, before.0);
-    let avoids = |w: &(u32, u32)| w.0 >= WINDOW_LEAST && share(w.1, w.0) <= usual * 0.1;
-    let avoided = after.iter().find(|(_, w)| avoids(w)).map(|(at, _)| WINDOW * *at as u32);
-    let until =
-        avoided.unwrap_or(over.min(after.keys().last().map_or(WINDOW, |at| WINDOW * (*at as u32 + 1))));
+    let usual_share = share(before.1, before.0);
+    let is_avoided = |w: &(u32, u32)| w.0 >= MIN_WINDOW_COUNT && share(w.1, w.0) <= usual_share * 0.1;
+    let avoided = after.iter().find(|(_, w)| is_avoided(w)).map(|(at, _)| WINDOW * *at as u32);
+    let until = avoided
+        .unwrap_or(recovered_at.min(after.keys().last().map_or(WINDOW, |at| WINDOW * (*at as u32 + 1))));
     out.insert("avoided_s", until.as_secs_f64());
     out.insert("wasted_calls", times.iter().filter(|at| **at < until).count() as f64);
     out.insert("calls_to_troubled", times.len() as f64);
 }
 
-/// How soon another owns a duty once its owner is lost: killed, stopped, told to end, or cut from the keepers.
-fn owners(history: &History, out: &mut Figures) {
-    let (mut owner, mut lost, mut took) = (None, None, Vec::new());
+/// Measures how soon another process owns a duty after its owner was killed, stopped or terminated, was cut off from a
+/// keeper, or gave the duty up.
+fn measure_owners(history: &History, out: &mut Figures) {
+    let (mut owner, mut lost_at, mut durations) = (None, None, Vec::new());
     let (mut by_second, mut calls) = (BTreeMap::<u64, u32>::new(), BTreeMap::<Node, u64>::new());
-    let (mut count, mut calls_most, mut alive) = (0, 0, 0);
+    let (mut count, mut max_calls, mut alive) = (0, 0, 0);
     for Event { at, kind } in &history.events {
         match kind {
             EventKind::Owns { node, .. } => {
                 if owner.is_some() && owner != Some(*node) {
-                    took.extend(lost.map(|lost: Duration| (*at - lost).as_secs_f64()));
+                    durations.extend(lost_at.map(|lost_at: Duration| (*at - lost_at).as_secs_f64()));
                 }
                 count += 1;
                 *by_second.entry(at.as_secs()).or_default() += 1;
-                (owner, lost) = (Some(*node), None);
+                (owner, lost_at) = (Some(*node), None);
             }
             EventKind::Signalled { node, signal: "KILL" | "STOP" | "TERM" } if owner == Some(*node) => {
-                lost.get_or_insert(*at);
+                lost_at.get_or_insert(*at);
             }
             EventKind::Faulted { from, to: Node::Keeper(_) } if owner == Some(*from) => {
-                lost.get_or_insert(*at);
+                lost_at.get_or_insert(*at);
             }
             EventKind::GaveUp { node, .. } if owner == Some(*node) => {
-                lost.get_or_insert(*at);
+                lost_at.get_or_insert(*at);
             }
             EventKind::Counts { alive: now, .. } if *now > 0 => alive = *now,
             EventKind::Called { node, calls: now } => {
                 let before = calls.insert(*node, *now);
-                calls_most = calls_most.max(now.saturating_sub(before.unwrap_or(*now)));
+                max_calls = max_calls.max(now.saturating_sub(before.unwrap_or(*now)));
             }
             _ => {}
         }
@@ -258,23 +274,24 @@
     if count == 0 {
         return;
     }
-    took.sort_by(f64::total_cmp);
+    durations.sort_by(f64::total_cmp);
     out.insert("owners", f64::from(count));
-    out.insert("owners_1m", peak(&by_second, 60));
-    out.insert("takeovers", took.len() as f64);
-    out.insert("takeover_median_s", took.get(took.len() / 2).copied().unwrap_or_default());
-    out.insert("takeover_last_s", took.last().copied().unwrap_or_default());
+    out.insert("owners_1m", peak_count(&by_second, 60));
+    out.insert("takeovers", durations.len() as f64);
+    out.insert("takeover_median_s", durations.get(durations.len() / 2).copied().unwrap_or_default());
+    out.insert("takeover_last_s", durations.last().copied().unwrap_or_default());
     out.insert("alive_last", f64::from(alive));
-    out.insert("keeper_calls_1s", calls_most as f64);
+    out.insert("keeper_calls_1s", max_calls as f64);
 }
 
+/// Computes all figures of a history. `mark` is the time from which recovery is measured, `length` that of the run.
 pub fn measure(history: &History, mark: Duration, length: Duration) -> Figures {
     let mut out = Figures::new();
-    queries(history, mark, length, &mut out);
-    readiness(history, &mut out);
-    calls(history, mark, &mut out);
-    leaf_calls(history, mark, &mut out);
-    owners(history, &mut out);
+    measure_queries(history, mark, length, &mut out);
+    measure_readiness(history, &mut out);
+    measure_calls(history, mark, &mut out);
+    measure_leaf_calls(history, mark, &mut out);
+    measure_owners(history, &mut out);
     out.insert("events", history.events.len() as f64);
     out
 }
@@ -297,7 +314,7 @@
     }
 
     #[test]
-    fn peaks_are_by_server_and_by_all_and_the_first_second_is_the_mark_s() {
+    fn peaks_are_per_server_and_overall_and_the_first_second_begins_at_the_mark() {
         let from = Node::Gatherer(0);
         let dial = |at, to| (at, EventKind::Dialled { from, to });
         let list = |at| (at, EventKind::Listed { from, status: 200, revision: 1 });
@@ -329,7 +346,7 @@
     }
 
     #[test]
-    fn nine_tenths_are_answered_once_no_later_window_has_fewer() {
+    fn nine_tenths_are_answered_after_the_last_window_with_fewer() {
         let mut events = Vec::new();
         for i in 0..200u64 {
             let (at, query) = (i * 50, i);
@@ -344,12 +361,12 @@
     }
 
     #[test]
-    fn a_troubled_server_is_avoided_once_a_tenth_of_its_usual_calls_is_left() {
+    fn a_misbehaving_server_is_avoided_once_it_gets_at_most_a_tenth_of_its_usual_share_of_calls() {
         let ran = |at, server| {
             (at, EventKind::Ran { server, from: Node::Gatherer(0), query: at, shard: 0, vertical: 0 })
         };
         let mut events: Vec<_> = (0..200).map(|i| ran(i * 20, if i % 2 == 0 { S } else { T })).collect();
-        // From 4 s on T is in trouble; a second later nearly all calls go elsewhere.
+        // T misbehaves from 4 s on; one second later nearly all calls go to S.
         events.push((4000, EventKind::Troubled { node: T, on: true }));
         events.extend((200..400).map(|i| ran(i * 20, if i % 2 == 0 && i < 250 || i == 399 { T } else { S })));
         let figures = measured(events, 4000);
@@ -359,7 +376,7 @@
     }
 
     #[test]
-    fn a_takeover_counts_from_the_first_thing_that_took_the_owner_away() {
+    fn a_takeover_is_measured_from_the_first_fault_that_cut_off_the_owner() {
         let owns =
             |at, i, epoch| (at, EventKind::Owns { node: Node::Gatherer(i), duty: "roster".into(), epoch });
         let signal = |at, i, signal| (at, EventKind::Signalled { node: Node::Gatherer(i), signal });
