--- a/crates/lab/src/bin/ashvane-rehearse.rs
+++ b/crates/lab/src/bin/ashvane-rehearse.rs
@@ -1,5 +1,5 @@
-//! Plays failure rehearsals: starts many processes of the program, injects faults and checks the recorded history
-//! against the rules and bounds of the script.
+//! Plays failure rehearsals: starts many processes of the program, injects faults and checks the recorded
+//! history against the rules and bounds of the script.
 
 use std::io::IsTerminal as _;
 use std::path::{Path, PathBuf};
@@ -80,7 +80,7 @@
     }
 }
 
-/// Loads the built-in rehearsal or the file named on the command line and applies the command line's settings.
+/// Loads the built-in rehearsal or the file named on the command line and applies overrides from it.
 fn load_rehearsal(command_line: &CommandLine) -> Result<Rehearsal, String> {
     let built_in =
         ALL.iter().find(|(name, _)| *name == command_line.name).map(|(_, text)| (*text).to_owned());
@@ -142,7 +142,7 @@
     std::fs::write(folder.join("report.json"), report.to_string())
 }
 
-/// Prints the outcome: the figures, the broken rules and the verdict as the last line. Returns whether it passed.
+/// Prints the outcome: the figures, the broken rules, and the verdict on the last line. Returns the verdict.
 fn print_outcome(command_line: &CommandLine, seed: u64, outcome: &Outcome) -> Result<bool, String> {
     let passed = outcome.passed();
     let report = json!({
@@ -177,8 +177,8 @@
     Ok(passed)
 }
 
-/// Plays a generated script for each seed, shrinks the scripts that break a rule and prints the shortest one. Returns
-/// whether no script broke a rule.
+/// Plays a generated script for each seed, shrinks the scripts that break a rule and prints the shortest one.
+/// Returns whether no script broke a rule.
 async fn run_hunt(command_line: &CommandLine) -> Result<bool, String> {
     let seeds = command_line.seeds.as_deref().and_then(|s| s.split_once(".."));
     let seeds = seeds.and_then(|(a, b)| Some(a.parse::<u64>().ok()?..b.parse::<u64>().ok()?));
@@ -244,7 +244,7 @@
     print_outcome(command_line, seed, &outcome).map_err(usage_error)
 }
 
-/// Runs until done or until SIGINT or SIGTERM arrives. Dropping the run then ends all processes that it started.
+/// Runs until done or until SIGINT or SIGTERM arrives. Dropping the run ends all processes it started.
 async fn run_until_signal(command_line: &CommandLine) -> Result<bool, (u8, String)> {
     let signal_stream =
         |kind| signal(kind).map_err(|e| (EXIT_FAILURE, format!("cannot install a signal handler: {e}")));
--- a/crates/lab/src/bin/ashvane-soak.rs
+++ b/crates/lab/src/bin/ashvane-soak.rs
@@ -1,5 +1,5 @@
-//! Soak test: sends queries at a fixed rate to a gatherer with a memory limit while faults are injected in cycles.
-//! Prints how the queries ended and whether the memory used for each purpose stays at its level.
+//! Soak test: sends queries at a fixed rate to a gatherer with a memory limit while faults are injected in
+//! cycles. Prints how the queries ended and whether the memory used for each purpose stays at its level.
 
 #![expect(
     clippy::too_many_lines,
@@ -43,7 +43,7 @@
 const PART_COUNT: usize = 6;
 /// Default maximum deviation of a part from the first, in percent.
 const MAX_DEVIATION_PERCENT: u64 = 5;
-/// Default deviation, in kB, that is accepted whatever its share, because single queries move low levels by as much.
+/// Default deviation, in kB, that is accepted whatever its share, since one query may move a low level by it.
 const ACCEPTED_DEVIATION_KB: u64 = 96;
 /// Time before the first reading, in which the connection pools fill.
 const WARM_UP: Duration = Duration::from_secs(10);
@@ -74,8 +74,8 @@
     slack_kb: u64,
     /// Whether to inject no faults.
     calm: bool,
-    /// Whether to send the same small query each time, to compare the processor time of two programs. Implies `calm`
-    /// and no stalled clients.
+    /// Whether to send the same small query each time, to compare the processor time of two programs. Implies
+    /// `calm` and no stalled clients.
     plain: bool,
     /// File to which the JSON report is written.
     json: Option<String>,
@@ -176,7 +176,7 @@
     Some((kilobytes_of("VmRSS:")? * 1024.0, kilobytes_of("VmHWM:")? * 1024.0))
 }
 
-/// Records the memory table of the admin listener and the resident memory. Returns whether the table could be read.
+/// Records the admin listener's memory table and the resident memory. Returns whether the table was read.
 async fn record_memory(levels: &mut Levels, pool: &clients::Pool, admin: SocketAddr, child: &Child) -> bool {
     let Some((200, body)) = http_get(pool, admin, "/memory").await else { return false };
     let Ok(table) = serde_json::from_slice::<Value>(&body) else { return false };
@@ -193,8 +193,8 @@
     true
 }
 
-/// Returns the query with this number. Four in five are small, the others large; one in ten is of the vertical `book`;
-/// nine in ten are of the tenant `loud`.
+/// Returns the query with this number. Four in five are small, the others large; one in ten is of the
+/// vertical `book`; nine in ten are of the tenant `loud`.
 fn query(number: u64, rng: &mut fastrand::Rng) -> ClientQuery {
     let length = match rng.u32(..100) {
         0..80 => rng.usize(16..512),
@@ -309,14 +309,14 @@
     let queries_started_at = Instant::now();
     for number in 0..options.queries {
         ticks.tick().await;
-        let asked = if options.plain { plain_query(number) } else { query(number, &mut rng) };
+        let client_query = if options.plain { plain_query(number) } else { query(number, &mut rng) };
         if !options.plain && rng.u32(..50) == 0 {
             let (faulty_clients, after) = (faulty_clients.clone(), Duration::from_millis(rng.u64(..30)));
-            tokio::spawn(async move { clients::leave(listen, asked, after, &faulty_clients).await });
+            tokio::spawn(async move { clients::leave(listen, client_query, after, &faulty_clients).await });
         } else {
-            let counts = if asked.tenant == "loud" { loud.clone() } else { quiet.clone() };
+            let counts = if client_query.tenant == "loud" { loud.clone() } else { quiet.clone() };
             let pool = pool.clone();
-            tokio::spawn(async move { clients::ask(&pool, listen, asked, &counts).await });
+            tokio::spawn(async move { clients::ask(&pool, listen, client_query, &counts).await });
         }
         if Instant::now() >= next_reading && !options.plain {
             next_reading += Duration::from_secs(1);
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -78,8 +78,8 @@
     f64::from(some) / f64::from(all.max(1))
 }
 
-/// Measures how queries ended. `served_share` is relative to queries, with retries counted as part of their query; the
-/// rejected, aborted and unanswered shares are relative to attempts.
+/// Measures how queries ended. `served_share` is relative to queries, with retries counted as part of their
+/// query; the rejected, aborted and unanswered shares are relative to attempts.
 fn measure_queries(history: &History, mark: Duration, length: Duration, out: &mut Figures) {
     let (mut query_count, mut ends) = (0, BTreeMap::<End, u32>::new());
     let (mut sent_at, mut windows) = (BTreeMap::new(), BTreeMap::<u64, (u32, u32)>::new());
@@ -91,8 +91,8 @@
             }
             EventKind::Ended { query, end, .. } => {
                 *ends.entry(end).or_default() += 1;
-                let asked = sent_at.get(&query).copied().unwrap_or_default();
-                let window = windows.entry(bucket_index(asked, WINDOW)).or_default();
+                let sent = sent_at.get(&query).copied().unwrap_or_default();
+                let window = windows.entry(bucket_index(sent, WINDOW)).or_default();
                 window.0 += 1;
                 window.1 += u32::from(matches!(end, End::Whole | End::Partial));
             }
@@ -115,7 +115,7 @@
         windows_after.iter().filter(|(_, w)| is_bad(w)).map(|(at, _)| WINDOW * (**at as u32 + 1)).max();
     let first_window =
         windows.iter().find(|(_, w)| w.0 >= MIN_WINDOW_COUNT).map(|(at, _)| WINDOW * *at as u32);
-    // Without such a window it extends to the first window with enough queries, if that is later than the mark.
+    // Without such a window it extends to the first window with enough queries, if later than the mark.
     let until = last_bad.or(first_window.filter(|at| *at > mark)).unwrap_or(mark);
     out.insert("nine_tenths_s", until.min(length).saturating_sub(mark).as_secs_f64());
 }
@@ -126,7 +126,7 @@
     for Event { at, kind } in &history.events {
         match *kind {
             EventKind::Started { node } => drop(started.insert(node, *at)),
-            // Processes that were ready before the rehearsal's clock started have no meaningful start-up time.
+            // Processes that were ready before the rehearsal's clock started have no start-up time.
             EventKind::Ready { node } if !at.is_zero() => {
                 durations.extend(started.remove(&node).map(|start| (*at - start).as_secs_f64()))
             }
@@ -187,7 +187,7 @@
     out.insert("connections_server", max_open as f64);
 }
 
-/// Measures the calls that shard servers ran or rejected, and how soon the fleet avoids servers that misbehave.
+/// Measures the calls that shard servers ran or rejected, and how soon the fleet avoids misbehaving ones.
 fn measure_leaf_calls(history: &History, mark: Duration, out: &mut Figures) {
     let (mut ran_count, mut full_count, mut outage_count, mut cold_outage_count) = (0, 0, 0, 0);
     let (mut faulty, mut recovered_at) = (BTreeSet::new(), None);
@@ -238,8 +238,8 @@
     out.insert("calls_to_troubled", times.len() as f64);
 }
 
-/// Measures how soon another process owns a duty after its owner was killed, stopped or terminated, was cut off from a
-/// keeper, or gave the duty up.
+/// Measures how soon another process owns a duty after its owner was killed, stopped or terminated, was cut
+/// off from a keeper, or gave the duty up.
 fn measure_owners(history: &History, out: &mut Figures) {
     let (mut owner, mut lost_at, mut durations) = (None, None, Vec::new());
     let (mut by_second, mut calls) = (BTreeMap::<u64, u32>::new(), BTreeMap::<Node, u64>::new());
@@ -284,7 +284,8 @@
     out.insert("keeper_calls_1s", max_calls as f64);
 }
 
-/// Computes all figures of a history. `mark` is the time from which recovery is measured, `length` that of the run.
+/// Computes all figures of a history. `mark` is the time from which recovery is measured, `length` that of
+/// the run.
 pub fn measure(history: &History, mark: Duration, length: Duration) -> Figures {
     let mut out = Figures::new();
     measure_queries(history, mark, length, &mut out);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Randomized failure search (`hunt`): generates rehearsal scripts from a seed and shrinks a script that breaks a
-//! rule to the shortest one that still does.
+//! Randomized failure search (`hunt`): generates rehearsal scripts from a seed and shrinks a script that
+//! breaks a rule to the shortest one that still does.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const START_RANGE_MS: std::ops::Range<u64> = 500..5000;
 /// Range of durations of actions.
 const DURATION_RANGE_MS: std::ops::Range<u64> = 200..4000;
-/// Settings of every generated script: a short run of a small fleet that serves queries before the first action.
+/// Settings of every generated script: a short run of a small fleet, serving queries before the first action.
 const BASE_SETTINGS: &str = r#"
 about = "drawn by a hunt"
 gatherers = 8
@@ -46,8 +46,8 @@
     NodeSelector { kind, from, share, zone: (rng.u8(..4) == 0).then(|| rng.u16(..2)) }
 }
 
-/// Returns a random network fault on the links from clients to gatherers, or from gatherers to the list service or
-/// shard servers.
+/// Returns a random network fault on the links from clients to gatherers, or from gatherers to the list
+/// service or shard servers.
 fn random_link_fault(rng: &mut fastrand::Rng, for_ms: u64) -> Action {
     let gatherers = random_selector(rng, Kind::Gatherers);
     let (from, to) = match rng.u8(..6) {
@@ -174,8 +174,8 @@
     (*duration_ms >= DURATION_RANGE_MS.start).then_some(scheduled)
 }
 
-/// Removes actions, then halves the durations of the remaining ones, as long as `breaks_rule` reports that the script
-/// still breaks a rule.
+/// Removes actions, then halves the durations of the remaining ones, as long as `breaks_rule` reports that
+/// the script still breaks a rule.
 pub async fn shrink(
     mut actions: Vec<ScheduledAction>, mut breaks_rule: impl AsyncFnMut(&[ScheduledAction]) -> bool,
 ) -> Vec<ScheduledAction> {
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -1,4 +1,4 @@
-//! Trends of measured levels over a long run: compares the mean of each part of the run with that of the first.
+//! Trends of measured levels over a long run: compares each part's mean with the first part's.
 
 use std::collections::BTreeMap;
 
@@ -18,8 +18,8 @@
     pub means: Vec<f64>,
     /// Highest single reading.
     pub peak: f64,
-    /// Greatest distance of a part's mean from that of the first part, as a share of the first; absolute if the first
-    /// is zero.
+    /// Greatest distance of a part's mean from that of the first part, as a share of the first; absolute if
+    /// the first is zero.
     pub furthest: f64,
     /// Whether every part's mean is within the permitted distance of the first.
     pub steady: bool,
@@ -31,9 +31,9 @@
         self.0.entry(name.to_owned()).or_default().0.push(value);
     }
 
-    /// Returns the trend of each level over `parts` equal parts. A level is steady if the mean of each part differs
-    /// from that of the first by at most the share `share` of the first, or by at most `slack`. The absolute `slack`
-    /// is for levels so low that a single query moves them by more than `share`.
+    /// Returns the trend of each level over `parts` equal parts. A level is steady if the mean of each part
+    /// differs from that of the first by at most the share `share` of the first, or by at most `slack`. The
+    /// absolute `slack` is for levels so low that a single query moves them by more than `share`.
     pub fn trends(&self, parts: usize, share: f64, slack: f64) -> Vec<LevelTrend> {
         let trend = |(name, series): (&String, &Series)| {
             let part_length = (series.0.len() / parts.max(1)).max(1);
--- a/crates/lab/tests/rehearse.rs
+++ b/crates/lab/tests/rehearse.rs
@@ -1,5 +1,5 @@
-//! Small versions of the built-in rehearsals, and failure cases of the rig itself. They run the `ashvane` executable of
-//! the same build folder.
+//! Small versions of the built-in rehearsals, and failure cases of the rig itself. They run the `ashvane`
+//! executable of the same build folder.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -33,8 +33,8 @@
 /// Maximum number of runs of a rehearsal that the machine is too busy to measure.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Checks that a rehearsal passes according to its last line. Runs it again if clients could not send their queries in
-/// time, so that it was not measured.
+/// Checks that a rehearsal passes according to its last line. Runs it again if clients could not send their
+/// queries in time, so that it was not measured.
 fn check_passes(arguments: &[&str]) {
     for attempts_left in (0..MAX_ATTEMPTS).rev() {
         let output = run_rehearse(arguments);
@@ -113,7 +113,7 @@
     check_passes(&["owner", "--gatherers", "8", "--seconds", "28"]);
 }
 
-/// Guards against a rig that does not notice wrong answers and repeated effects: the stand-in servers produce them.
+/// Guards against a rig that does not notice the wrong answers and repeated effects of stand-in servers.
 #[test]
 fn wrong_behaviour_of_stand_ins_is_reported_with_status_1() {
     let folder = Folder::new("wrong");
@@ -163,7 +163,8 @@
     assert!(output_text(&run_rehearse(&["--help"])).contains("hunt --seeds"));
 }
 
-/// Guards against waiting for a gatherer that has already exited, without reporting its exit status and last log lines.
+/// Guards against waiting for a gatherer that has already exited, without reporting its exit status and last
+/// log lines.
 #[test]
 fn a_program_that_exits_at_start_is_reported_at_once_with_its_last_lines() {
     use std::os::unix::fs::PermissionsExt as _;
@@ -200,8 +201,8 @@
     }
 }
 
-/// Guards against gatherers that outlive the rig. Some are stopped (SIGSTOP) here, since a stopped process does not act
-/// on SIGTERM.
+/// Guards against gatherers that outlive the rig. Some are stopped (SIGSTOP) here, since a stopped process
+/// does not act on SIGTERM.
 #[test]
 fn no_gatherer_keeps_running_when_the_rig_exits_is_interrupted_or_is_killed() {
     let folder = Folder::new("left");
@@ -237,8 +238,8 @@
     wait_until("normal exit", || !pids.iter().any(|pid| is_running(*pid)));
 }
 
-/// Guards against a stopped process that blocks the rig or the logs of other processes because it was stopped in the
-/// middle of a line. Each process has its own log pipe to prevent this.
+/// Guards against a stopped process that blocks the rig or the logs of other processes because it was stopped
+/// in the middle of a line. Each process has its own log pipe to prevent this.
 #[test]
 fn a_process_that_stays_stopped_does_not_block_others() {
     let folder = Folder::new("stopped");
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,10 +1,12 @@
-//! Two-minute soak test with faults in cycles of ten seconds. It runs the `ashvane` executable of the same build folder.
+//! Two-minute soak test with faults in cycles of ten seconds. It runs the `ashvane` executable of the same
+//! build folder.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Guards against growing memory, missing or false answers, and crashes under faults. The permitted deviation of memory
-/// levels is wide because each sixth of the run has only two cycles; the long soak run permits five percent.
+/// Guards against growing memory, missing or false answers, and crashes under faults. The permitted deviation
+/// of memory levels is wide because each sixth of the run has only two cycles; the long soak run permits five
+/// percent.
 #[test]
 fn two_minutes_of_faults_cause_no_lost_or_false_answer_and_no_memory_growth() {
     let soak = Path::new(env!("CARGO_BIN_EXE_ashvane-soak"));
