--- a/crates/gatherer/src/program/mod.rs
+++ b/crates/gatherer/src/program/mod.rs
@@ -152,10 +152,7 @@
         sockets.min(usize::try_from(memory_slots).unwrap_or(usize::MAX)).max(1)
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "not done yet: The path of a request reads as well as it works"
-    )]
+    #[expect(clippy::too_many_lines, reason = "starts one task after another; not split yet")]
     /// Starts all tasks, and runs until the graceful shutdown is complete.
     async fn serve(
         config: Config, files: Files, level: log::LevelFilter, as_json: bool,
--- a/crates/gatherer/src/transport/lane.rs
+++ b/crates/gatherer/src/transport/lane.rs
@@ -97,8 +97,8 @@
         self.outbox.borrow().iter().any(has_part) || self.writing.borrow().iter().any(|w| &**w == id)
     }
 
-    /// Returns when the frame that is only partly received began to arrive, or `None` if there is no such
-    /// frame.
+    /// Returns the time at which the first byte of an incomplete incoming frame arrived, or `None` if no frame
+    /// is incomplete.
     pub(crate) fn partial_since(&self) -> Option<Instant> {
         self.codec.partial_since.get()
     }
--- a/crates/gatherer/tests/common/mod.rs
+++ b/crates/gatherer/tests/common/mod.rs
@@ -149,10 +149,7 @@
         self.frames('S').iter().map(|s| s.ids.len()).sum()
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "not done yet: The path of a request reads as well as it works"
-    )]
+    #[expect(clippy::too_many_lines, reason = "one arm for each behaviour of the server; not split yet")]
     async fn serve(&self, mut stream: TcpStream, connection: usize) -> std::io::Result<()> {
         let (answers, mut queue) = tokio::sync::mpsc::unbounded_channel::<Vec<u8>>();
         let (mut read, mut write) = stream.split();
--- a/crates/gossip/tests/updates.rs
+++ b/crates/gossip/tests/updates.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not done yet: The rest reads as well")]
+    #[expect(clippy::too_many_lines, reason = "one arm for each random step; not split yet")]
     fn step(&mut self, with_crashes: bool) {
         self.now += Duration::from_millis(self.rng.u64(1..120));
         match self.rng.usize(0..100) {
--- a/crates/node/tests/scripted/client.rs
+++ b/crates/node/tests/scripted/client.rs
@@ -177,7 +177,7 @@
     {
         ledger.count("client: closed by shutdown");
         let request = ledger.requests.get_mut(&draft.attempt).expect("the request is recorded");
-        // The client may send it again elsewhere, so it must never run, as after a promise.
+        // A client whose connection closes without a response may retry elsewhere, so the request must not run.
         request.promised_not_to_run = true;
         if !request.actions.is_empty() {
             ledger.report_violation(format!(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! A query consists of parts, each for one shard. A call sends one part to one shard server; each retry and
 //! each hedge of the part is a further call.
 
-#![allow(clippy::wildcard_imports, reason = "not done yet: The path of a request reads as well as it works")]
+#![allow(clippy::wildcard_imports, reason = "the modules of `decide` share the imports of their parent")]
 
 use std::time::Duration;
 
